--- a/internal/sagefollow/doc.go
+++ b/internal/sagefollow/doc.go
@@ -7,7 +7,7 @@
 // everything and how old their proof is. A node that holds the same content takes the proof over; one
 // that lacks changes fetches them from the peer. A node whose proof grows too old, because these two
 // died, are cut off or are refused by the store, polls itself, those with a lower rank first. How old a
-// proof may get follows from the bound on changes of the kind, [Follower.Within].
+// proof may get follows from the bound on changes of the kind, [Follower.MaxStaleness].
 //
 // No call holds a node up: one that isn't answered gets a fresh one beside it, and the first answer
 // anywhere in the fleet serves all.
--- a/internal/sagefollow/follow_test.go
+++ b/internal/sagefollow/follow_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *store) Renew() {}
+func (s *store) ResetConnections() {}
 
 func (s *store) set(f func(s *store)) {
 	s.mu.Lock()
@@ -175,7 +175,7 @@
 	if _, err := fmt.Sscan(peer, &i); err != nil {
 		return Delta{}, err
 	}
-	return f.followers[i].Since(since), nil
+	return f.followers[i].DeltaSince(since), nil
 }
 
 func newFleet(t *testing.T, n int, src Source) *fleet {
@@ -189,7 +189,7 @@
 		f.applied = append(f.applied, seen)
 		f.gates = append(f.gates, &gate{Source: src})
 		f.followers = append(f.followers, &Follower{
-			Kind: "k", Source: f.gates[i], Peers: f, Within: 250 * time.Millisecond, Rank: func(bool) int { return i }, Reach: new(sagefresh.Proof),
+			Kind: "k", Source: f.gates[i], Peers: f, MaxStaleness: 250 * time.Millisecond, Rank: func(bool) int { return i }, StoreProof: new(sagefresh.Proof),
 			Apply: func(cs []Change, _ bool) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
@@ -215,7 +215,7 @@
 				for j, to := range f.followers {
 					if i != j {
 						stamp := sageclock.Now()
-						to.Told(ctx, fmt.Sprint(i), from.Position(), stamp, i%2 == j%2)
+						to.HandlePosition(ctx, fmt.Sprint(i), from.Position(), stamp, i%2 == j%2)
 					}
 				}
 			}
@@ -300,7 +300,7 @@
 	return Delta{}, ErrGone
 }
 
-func (p *paged) Renew() {}
+func (p *paged) ResetConnections() {}
 
 // Engines beyond the first few hundred stay unknown for good: the store refuses some page of a long listing
 // each time, since many nodes list at once, and a listing that begins anew meets the same again.
--- a/internal/sagefollow/follower.go
+++ b/internal/sagefollow/follower.go
@@ -18,10 +18,10 @@
 	// farAfter is how long a node waits for the content to reach its own data centre before it
 	// fetches it from another one.
 	farAfter = 400 * time.Millisecond
-	// AwayAfter is how long the store must have been out of sight for leases to have lapsed unseen.
+	// LongOutage is how long the store must have been out of sight for leases to have lapsed unseen.
 	// It lies above the usual age of the proofs and below the shortest lease, three heartbeats of an
 	// upstream.
-	AwayAfter = 2500 * time.Millisecond
+	LongOutage = 2500 * time.Millisecond
 )
 
 // Follower follows one kind. Exported fields but Proof are set before Run.
@@ -31,7 +31,7 @@
 	Peers  Peers
 	// Within is how old what a node knows may get before it must not be acted upon any more: the
 	// shortest bound that the platform sets on changes of this kind.
-	Within time.Duration
+	MaxStaleness time.Duration
 	// Rank is this node's place among the live nodes, 0 the first; blind says that the store does not
 	// answer this one.
 	Rank func(blind bool) int
@@ -39,24 +39,24 @@
 	// store had been out of sight for a while. Calls never overlap.
 	Apply func(changes []Change, returned bool)
 	// Reach is the proof of the store's answers to any kind, shared by all followers of a node.
-	Reach *sagefresh.Proof
+	StoreProof *sagefresh.Proof
 	// NotBefore is the instant before which a node that has nothing yet leaves the first listing to
 	// others; zero means at once.
-	NotBefore sageclock.Instant
+	ListNotBefore sageclock.Instant
 	// Scout follows another kind of the same store. While its calls fail as well as this one's, the store
 	// is away altogether, and it is left to the scout to find out when it is back; nil if this is the
 	// scout.
-	Scout *Follower
+	Prober *Follower
 	// Gather is how long a node waits after changes before it watches on, so that changes that come
 	// close together cost one call.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Lag is how old a peer's proof may get on its way, in heartbeats; nil means no time at all.
-	Lag func() time.Duration
+	PeerProofDelay func() time.Duration
 	// Changed is called after a change of the content, to tell the peers. Own says that the store
 	// itself told of it. May be nil.
-	Changed func(own bool)
+	OnChange func(own bool)
 	// Called is told of each call to the store; may be nil.
-	Called func(ok bool)
+	OnCall func(ok bool)
 	// Now is the clock; nil means [sageclock.Now].
 	Now func() sageclock.Instant
 	Log sagelog.Logger
@@ -77,12 +77,12 @@
 func (f *Follower) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := Position{AsOf: f.content.asOf, Content: f.content.changed, AgeMillis: -1}
+	p := Position{AsOf: f.content.asOf, ContentRevision: f.content.changed, ProofAgeMillis: -1}
 	if !f.content.listed {
 		return p
 	}
 	if age := f.Proof.Age(f.now()); age != sagefresh.Unproven {
-		p.AgeMillis = age.Milliseconds() + 1
+		p.ProofAgeMillis = age.Milliseconds() + 1
 	}
 	return p
 }
@@ -92,7 +92,7 @@
 func (f *Follower) AsOf() uint64 { return f.asOf.Load() }
 
 // Since answers a peer that knows everything up to a revision.
-func (f *Follower) Since(rev uint64) Delta {
+func (f *Follower) DeltaSince(rev uint64) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.content.listed {
@@ -108,19 +108,19 @@
 // It guards against all nodes fetching a large configuration at once from the ones that ask the store,
 // whose links would need seconds for it. A peer that tells of a change and then answers nothing holds
 // this node up no longer than until its proof is too old, when it asks the store itself.
-func (f *Follower) Told(ctx context.Context, peer string, p Position, stamp sageclock.Instant, near bool) {
-	if p.AsOf == 0 || p.AgeMillis < 0 {
+func (f *Follower) HandlePosition(ctx context.Context, peer string, p Position, stamp sageclock.Instant, near bool) {
+	if p.AsOf == 0 || p.ProofAgeMillis < 0 {
 		return
 	}
 	f.mu.Lock()
-	if f.content.listed && f.content.asOf >= p.Content {
+	if f.content.listed && f.content.asOf >= p.ContentRevision {
 		f.content.asOf = max(f.content.asOf, p.AsOf)
 		f.asOf.Store(f.content.asOf)
 		f.lacking = 0
 		f.mu.Unlock()
-		age := time.Duration(p.AgeMillis) * time.Millisecond
+		age := time.Duration(p.ProofAgeMillis) * time.Millisecond
 		f.Proof.Relayed(stamp, age)
-		f.Reach.Relayed(stamp, age)
+		f.StoreProof.Relayed(stamp, age)
 		return
 	}
 	now := f.now()
@@ -160,15 +160,15 @@
 func (f *Follower) take(since uint64, d Delta, own bool) {
 	f.mu.Lock()
 	first := !f.content.listed
-	returned := !first && f.Reach.Age(f.now()) > AwayAfter
+	returned := !first && f.StoreProof.Age(f.now()) > LongOutage
 	fresh := f.content.apply(since, d)
 	f.asOf.Store(f.content.asOf)
 	if len(fresh) > 0 || returned || first && f.content.listed {
 		f.Apply(fresh, returned)
 	}
 	f.mu.Unlock()
-	if len(fresh) > 0 && f.Changed != nil {
-		f.Changed(own)
+	if len(fresh) > 0 && f.OnChange != nil {
+		f.OnChange(own)
 	}
 }
 
--- a/internal/sagefollow/poll.go
+++ b/internal/sagefollow/poll.go
@@ -83,18 +83,18 @@
 // It guards against an outage in which every node asks for every kind over and over: of three kinds two
 // wait for what the scout finds.
 func (f *Follower) untilDue(now, last sageclock.Instant) time.Duration {
-	if f.Scout != nil && f.Failing() && f.Scout.Failing() {
+	if f.Prober != nil && f.Failing() && f.Prober.Failing() {
 		return last.Add(scoutedAfter).Sub(now)
 	}
 	if !f.listed() {
-		return f.NotBefore.Sub(now)
+		return f.ListNotBefore.Sub(now)
 	}
 	rank := f.Rank(f.Failing())
-	allowed := time.Duration(pollShare * float64(f.Within))
+	allowed := time.Duration(pollShare * float64(f.MaxStaleness))
 	if rank != pollRank {
 		allowed += lateAfter + time.Duration(min(rank, spreadRanks))*perRank
-		if f.Lag != nil {
-			allowed += f.Lag()
+		if f.PeerProofDelay != nil {
+			allowed += f.PeerProofDelay()
 		}
 	}
 	wait := allowed - f.Proof.Age(now)
@@ -138,7 +138,7 @@
 				return
 			}
 		case <-time.After(overdue.Sub(p.f.now())):
-			p.f.Source.Renew()
+			p.f.Source.ResetConnections()
 			return
 		}
 	}
--- a/internal/sagefollow/silence_test.go
+++ b/internal/sagefollow/silence_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func (l *link) Renew() {}
+func (l *link) ResetConnections() {}
 
 // remoteNode is a node of a [remoteFleet].
 type remoteNode struct {
@@ -161,7 +161,7 @@
 		<-ctx.Done()
 		return Delta{}, ctx.Err()
 	}
-	return f.nodes[i].Since(since), nil
+	return f.nodes[i].DeltaSince(since), nil
 }
 
 // startFleet starts n nodes in a bubble, with the followers of another kind as their scouts if there are
@@ -171,13 +171,13 @@
 	for i := range n {
 		x := &remoteNode{stamps: make(map[int]sageclock.Instant), blind: make(map[int]bool), seen: make(map[string]uint64)}
 		x.Follower = &Follower{
-			Kind: "k", Source: &link{remoteStore: s, node: fmt.Sprint(i)}, Peers: f, Within: contentBound, Now: bubbleNow, Reach: new(sagefresh.Proof),
-			Rank:    func(blind bool) int { return x.rank(i, n, blind) },
-			Apply:   x.apply,
-			Changed: func(bool) { go f.beat(ctx, i) },
+			Kind: "k", Source: &link{remoteStore: s, node: fmt.Sprint(i)}, Peers: f, MaxStaleness: contentBound, Now: bubbleNow, StoreProof: new(sagefresh.Proof),
+			Rank:     func(blind bool) int { return x.rank(i, n, blind) },
+			Apply:    x.apply,
+			OnChange: func(bool) { go f.beat(ctx, i) },
 		}
 		if scouts != nil {
-			x.Scout = scouts.nodes[i].Follower
+			x.Prober = scouts.nodes[i].Follower
 		}
 		f.nodes = append(f.nodes, x)
 	}
@@ -242,7 +242,7 @@
 		to.stamps[from], to.blind[from] = stamp, blind
 		to.mu.Unlock()
 		if echo := echoes[i]; echo != 0 {
-			to.Told(ctx, fmt.Sprint(from), p, echo, true)
+			to.HandlePosition(ctx, fmt.Sprint(from), p, echo, true)
 		}
 	}
 }
--- a/internal/sagefollow/source.go
+++ b/internal/sagefollow/source.go
@@ -50,7 +50,7 @@
 	// Watch returns the changes after a revision, at the latest after wait, or [ErrGone].
 	Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (Delta, error)
 	// Renew has the next calls use connections that no call has used before.
-	Renew()
+	ResetConnections()
 }
 
 // Peers are the other nodes.
@@ -64,7 +64,7 @@
 	// AsOf is the revision of the store up to which the copy is complete.
 	AsOf uint64
 	// Content is the revision as of which the content last changed.
-	Content uint64
+	ContentRevision uint64
 	// AgeMillis is the age of the proof; negative if there is none.
-	AgeMillis int64
+	ProofAgeMillis int64
 }
--- a/internal/sagefollow/watch.go
+++ b/internal/sagefollow/watch.go
@@ -47,7 +47,7 @@
 		// one to watch.
 		sleep(ctx, checkEvery)
 	case changes > 0:
-		sleep(ctx, f.Gather)
+		sleep(ctx, f.BatchDelay)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	f.take(since, d, true)
 	f.Proof.Own(asOf)
-	f.Reach.Own(asOf)
+	f.StoreProof.Own(asOf)
 	return len(d.Changes), nil
 }
 
@@ -86,8 +86,8 @@
 
 // ended notes how a call that began at an instant ended.
 func (f *Follower) ended(began sageclock.Instant, err error) {
-	if f.Called != nil {
-		f.Called(err == nil)
+	if f.OnCall != nil {
+		f.OnCall(err == nil)
 	}
 	if err != nil {
 		f.lost(began, err)
--- a/internal/sagemesh/codec.go
+++ b/internal/sagemesh/codec.go
@@ -24,18 +24,18 @@
 		return nil, fmt.Errorf("encode heartbeat: %w", err)
 	}
 	m := &heartbeat.Heartbeat{
-		Address: address, Ready: h.Ready, Leaving: h.Leaving, Blind: h.Blind, Informed: h.Informed, Broken: h.Broken,
-		Stamp: &heartbeat.Stamp{Incarnation: h.Stamp.Incarnation, At: int64(h.Stamp.At)}, Ask: h.Ask, Pass: h.Pass,
+		Address: address, Ready: h.Ready, Leaving: h.Leaving, Blind: h.StoreUnreachable, Informed: h.Synced, Broken: h.Broken,
+		Stamp: &heartbeat.Stamp{Incarnation: h.Stamp.Incarnation, At: int64(h.Stamp.At)}, Ask: h.ReplyRequested, Pass: h.Forward,
 	}
-	if m.Silent, err = packAddresses(h.Silent); err != nil {
+	if m.Silent, err = packAddresses(h.Unresponsive); err != nil {
 		return nil, fmt.Errorf("encode heartbeat: %w", err)
 	}
 	for kind, p := range h.Copies {
-		m.Copies = append(m.Copies, &heartbeat.Copy{Kind: kind, AsOf: p.AsOf, Content: p.Content, AgeMillis: p.AgeMillis})
+		m.Copies = append(m.Copies, &heartbeat.Copy{Kind: kind, AsOf: p.AsOf, Content: p.ContentRevision, AgeMillis: p.ProofAgeMillis})
 	}
 	m.Upstreams, m.InFlight = columns(h.InFlight)
 	if h.Sum != nil {
-		m.Sum = &heartbeat.Sum{All: h.Sum.All}
+		m.Sum = &heartbeat.Sum{All: h.Sum.FleetWide}
 		m.Sum.Upstreams, m.Sum.InFlight = columns(h.Sum.InFlight)
 		m.Sum.BrokenUpstreams, m.Sum.Broken = columns(h.Sum.Broken)
 		m.Sum.AnswerKeys, m.Sum.Answers = columns(h.Sum.Answers)
@@ -109,13 +109,13 @@
 	id := m.GetIdentity()
 	h := &Heartbeat{
 		Address: address, Identity: Identity{Node: id.GetNode(), Entry: id.GetEntry(), DataCentre: id.GetDataCentre(), LinkMbps: int(id.GetLinkMbps())},
-		Ready: m.GetReady(), Leaving: m.GetLeaving(), Blind: m.GetBlind(), Informed: m.GetInformed(), Broken: m.GetBroken(),
+		Ready: m.GetReady(), Leaving: m.GetLeaving(), StoreUnreachable: m.GetBlind(), Synced: m.GetInformed(), Broken: m.GetBroken(),
 		Stamp: stamp(m.GetStamp()), Echo: stamp(m.GetEcho()),
 		Copies: make(map[string]sagefollow.Position, len(m.GetCopies())), InFlight: counts,
-		Soon: m.GetSoon(), Ask: m.GetAsk(), Pass: m.GetPass(),
+		ShortInterval: m.GetSoon(), ReplyRequested: m.GetAsk(), Forward: m.GetPass(),
 	}
 	for _, c := range m.GetCopies() {
-		h.Copies[c.GetKind()] = sagefollow.Position{AsOf: c.GetAsOf(), Content: c.GetContent(), AgeMillis: c.GetAgeMillis()}
+		h.Copies[c.GetKind()] = sagefollow.Position{AsOf: c.GetAsOf(), ContentRevision: c.GetContent(), ProofAgeMillis: c.GetAgeMillis()}
 	}
 	if sum := m.GetSum(); sum != nil {
 		counts, err := fromColumns(sum.GetUpstreams(), sum.GetInFlight())
@@ -130,7 +130,7 @@
 		if err != nil {
 			return nil, err
 		}
-		h.Sum = &Sum{All: sum.GetAll(), InFlight: counts, Broken: broken, Answers: answers}
+		h.Sum = &Sum{FleetWide: sum.GetAll(), InFlight: counts, Broken: broken, Answers: answers}
 	}
 	if h.Answers, err = fromColumns(m.GetAnswerKeys(), m.GetAnswers()); err != nil {
 		return nil, err
@@ -156,10 +156,10 @@
 	for _, p := range m.GetListed() {
 		h.Listed[p.GetUpstream()] = plain[sagechain.PartHash](p.GetHashes())
 	}
-	if h.Known, err = unpackAddresses(m.GetKnown()); err != nil {
+	if h.KnownAddresses, err = unpackAddresses(m.GetKnown()); err != nil {
 		return nil, err
 	}
-	if h.Silent, err = unpackAddresses(m.GetSilent()); err != nil {
+	if h.Unresponsive, err = unpackAddresses(m.GetSilent()); err != nil {
 		return nil, err
 	}
 	return h, nil
--- a/internal/sagemesh/fetch.go
+++ b/internal/sagemesh/fetch.go
@@ -42,13 +42,13 @@
 // Holders are prompt parts by the upstreams that hold them.
 type Holders struct {
 	// Told is what nodes saw.
-	Told map[string][]uint64 `json:"told"`
+	Observed map[string][]uint64 `json:"told"`
 	// Listed is what upstreams listed themselves.
 	Listed map[string][]sagechain.PartHash `json:"listed"`
 }
 
 // Held returns the prompt parts that a peer knows each upstream to hold.
-func (f *Fetcher) Held(ctx context.Context, peer string) (Holders, error) {
+func (f *Fetcher) FetchHolders(ctx context.Context, peer string) (Holders, error) {
 	var held Holders
 	err := f.get(ctx, peer, heldPath, &held)
 	return held, err
@@ -78,7 +78,7 @@
 func HandleHeld(mux *http.ServeMux, placer *sagechain.Placer, log sagelog.Logger) {
 	mux.HandleFunc("GET "+heldPath, func(w http.ResponseWriter, _ *http.Request) {
 		now := sageclock.Now()
-		if err := encode(w, Holders{Told: placer.All(now), Listed: placer.AllListed(now)}); err != nil {
+		if err := encode(w, Holders{Observed: placer.All(now), Listed: placer.AllListed(now)}); err != nil {
 			log.Warn("Holders could not be sent to a peer.", "err", err)
 		}
 	})
@@ -106,7 +106,7 @@
 			return
 		}
 		defer slots.Release(1)
-		if err := encode(w, f.Since(since)); err != nil {
+		if err := encode(w, f.DeltaSince(since)); err != nil {
 			f.Log.Warn("Copy could not be sent to a peer.", "kind", f.Kind, "err", err)
 		}
 	})
--- a/internal/sagemesh/hear.go
+++ b/internal/sagemesh/hear.go
@@ -36,7 +36,7 @@
 	if err := s.add(h.Address, false); err != nil {
 		return
 	}
-	for _, a := range h.Known {
+	for _, a := range h.KnownAddresses {
 		_ = s.add(a, false) // a damaged address is worth no more than no address
 	}
 	now := s.now()
@@ -48,14 +48,14 @@
 	}
 	p.knows = h.Echo.Incarnation == s.incarnation
 	echoed, known := p.knows, s.identify(p, h)
-	if !known || !echoed || h.Ask {
+	if !known || !echoed || h.ReplyRequested {
 		s.announce(now, p, h.Address)
 	}
 	if !known {
 		s.mu.Unlock()
 		return
 	}
-	p.stamp, p.heard, p.member, p.soon = h.Stamp, now, h.Member(), h.Soon
+	p.stamp, p.heard, p.member, p.soon = h.Stamp, now, h.Member(), h.ShortInterval
 	s.passOn(h)
 	s.hearSilent(now, h)
 	joined := !s.live[h.Address]
@@ -71,9 +71,9 @@
 		stamp = h.Echo.At
 	}
 	if joined {
-		s.Joined(h.Member())
+		s.OnJoined(h.Member())
 	}
-	s.Heard(h, stamp)
+	s.OnHeartbeat(h, stamp)
 }
 
 // rejoin has all nodes told at once that this one is heard again, after it had lost most of them. mu is held.
@@ -85,7 +85,7 @@
 		return
 	}
 	s.rejoined = now
-	s.Nudge(true)
+	s.TriggerHeartbeats(true)
 }
 
 // identify completes a heartbeat that came without its sender's identity, and reports whether the
--- a/internal/sagemesh/heartbeat.go
+++ b/internal/sagemesh/heartbeat.go
@@ -26,7 +26,7 @@
 // Sum adds up what several nodes count by upstream, the sender among them.
 type Sum struct {
 	// All says that the nodes are all of the fleet, not only those of the sender's data centre.
-	All bool
+	FleetWide bool
 	// InFlight are requests in flight, Broken the nodes whose own exchanges broke of late.
 	InFlight, Broken map[string]int
 	// Answers are the answers in rollouts by key.
@@ -36,16 +36,16 @@
 // Heartbeat is what a node tells another.
 type Heartbeat struct {
 	Address string
-	// Identity is empty on the wire for a receiver that knows it; [Service.Heard] gets it filled in.
+	// Identity is empty on the wire for a receiver that knows it; [Service.OnHeartbeat] gets it filled in.
 	Identity
 	// Ready says that the node serves; Leaving that it stops.
 	Ready   bool
 	Leaving bool
 	// Blind says that the store does not answer the sender.
-	Blind bool
+	StoreUnreachable bool
 	// Informed says that the sender knows what the engines hold, as far as the fleet does.
-	Informed bool
-	Stamp    Stamp
+	Synced bool
+	Stamp  Stamp
 	// Echo is the receiver's last stamp that the sender has.
 	Echo Stamp
 	// Copies are the positions of the sender's copies, by kind.
@@ -69,29 +69,29 @@
 	Crashes []sagequarantine.Report
 	Cleared []sagequarantine.Fingerprint
 	// Known are addresses of some nodes, for those that know few.
-	Known []string
+	KnownAddresses []string
 	// Soon says that the sender tells the receiver again at the shortest interval.
-	Soon bool
+	ShortInterval bool
 	// Ask asks for a heartbeat at once.
-	Ask bool
+	ReplyRequested bool
 	// Pass says that Held and Silent are for the receiver, a hub, to pass on.
-	Pass bool
+	Forward bool
 	// Silent are addresses of nodes that a hub heard nothing of.
-	Silent []string
+	Unresponsive []string
 }
 
 // Member is a node as the others see it.
 type Member struct {
 	Address string
 	Identity
-	Ready   bool
-	Leaving bool
-	Blind   bool
+	Ready            bool
+	Leaving          bool
+	StoreUnreachable bool
 	// Informed says that the node can tell a started one what the engines hold.
-	Informed bool
+	Synced bool
 }
 
 // Member returns the sender as the heartbeat shows it.
 func (h *Heartbeat) Member() Member {
-	return Member{Address: h.Address, Identity: h.Identity, Ready: h.Ready, Leaving: h.Leaving, Blind: h.Blind, Informed: h.Informed}
+	return Member{Address: h.Address, Identity: h.Identity, Ready: h.Ready, Leaving: h.Leaving, StoreUnreachable: h.StoreUnreachable, Synced: h.Synced}
 }
--- a/internal/sagemesh/hub.go
+++ b/internal/sagemesh/hub.go
@@ -60,11 +60,11 @@
 
 // IsHub reports whether a node is the hub of its data centre, as far as this node knows. Sums of others
 // are not for use: two nodes may believe that they are it.
-func (s *Service) IsHub(m *Member) bool { return s.hubs()[m.DataCentre].first == m.Address }
+func (s *Service) IsAggregator(m *Member) bool { return s.hubs()[m.DataCentre].first == m.Address }
 
 // Relays reports whether this node passes on what others report: in a small fleet every node does, in a large one the
 // hubs.
-func (s *Service) Relays() bool {
+func (s *Service) ForwardsReports() bool {
 	return s.Interval() == shortest || s.hubs()[s.DataCentre].first == s.Address
 }
 
@@ -85,7 +85,7 @@
 		s.expect(map[string]bool{mine.first: true})
 		s.soonTo = map[string]bool{mine.first: true, mine.deputy: true}
 		s.tellThose(round{
-			fill: func(h *Heartbeat) { h.Pass = true; s.forHub.put(h, mostListedPassed) },
+			fill: func(h *Heartbeat) { h.Forward = true; s.forHub.put(h, mostListedPassed) },
 			want: func(t *target) bool { return mine.has(t.address) },
 		})
 		return
@@ -120,7 +120,7 @@
 // fillForHubs adds what came from this data centre.
 func (s *Service) fillForHubs(h *Heartbeat, silent words) {
 	s.FillSum(h, false)
-	h.Pass, h.Silent = true, silent.near
+	h.Forward, h.Unresponsive = true, silent.near
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forHubs.put(h, s.listedFor(len(s.soonTo), len(h.Sum.InFlight)))
@@ -129,7 +129,7 @@
 // fillForNear adds what came from all.
 func (s *Service) fillForNear(h *Heartbeat, silent words) {
 	s.FillSum(h, true)
-	h.Silent = silent.all
+	h.Unresponsive = silent.all
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forNear.put(h, s.listedFor(len(s.soonTo), len(h.Sum.InFlight)))
@@ -137,7 +137,7 @@
 
 // passOn keeps what came with a heartbeat for the other nodes, if its sender asks for that. mu is held.
 func (s *Service) passOn(h *Heartbeat) {
-	if !h.Pass {
+	if !h.Forward {
 		return
 	}
 	s.forNear.add(h.Held, h.Listed)
--- a/internal/sagemesh/mesh_test.go
+++ b/internal/sagemesh/mesh_test.go
@@ -45,17 +45,17 @@
 	n := new(node)
 	n.Service = &Service{
 		Name: name, Address: address, Seeds: seeds,
-		Fill:     func(h *Heartbeat) { h.Ready = true; h.Copies = map[string]sagefollow.Position{"k": {AsOf: 1}} },
-		FillSum:  func(h *Heartbeat, _ bool) { h.Sum = new(Sum) },
-		FillNews: func(*Heartbeat) {},
-		Heard: func(_ *Heartbeat, stamp sageclock.Instant) {
+		Fill:        func(h *Heartbeat) { h.Ready = true; h.Copies = map[string]sagefollow.Position{"k": {AsOf: 1}} },
+		FillSum:     func(h *Heartbeat, _ bool) { h.Sum = new(Sum) },
+		FillUpdates: func(*Heartbeat) {},
+		OnHeartbeat: func(_ *Heartbeat, stamp sageclock.Instant) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if stamp != 0 {
 				n.stamps++
 			}
 		},
-		Joined: func(Member) {}, Lost: func(Member) {},
+		OnJoined: func(Member) {}, OnLost: func(Member) {},
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 	for _, n := range []*node{a, b, c} {
 		require.Eventually(t, func() bool { return len(n.Live()) == 2 }, patience, 10*time.Millisecond)
 		require.Eventually(t, func() bool { return n.echoed() > 0 }, patience, 10*time.Millisecond, "its stamps come back")
-		require.Len(t, n.Known(), 3)
+		require.Len(t, n.KnownNodes(), 3)
 	}
 	ranks := map[int]bool{a.Rank(false): true, b.Rank(false): true, c.Rank(false): true}
 	require.Len(t, ranks, 3, "one place each")
@@ -117,7 +117,7 @@
 func TestEchoOfAnEarlierProcessProvesNothing(t *testing.T) {
 	n := start(t, "a", freePort(t))
 	var got []sageclock.Instant
-	n.Heard = func(_ *Heartbeat, stamp sageclock.Instant) { got = append(got, stamp) }
+	n.OnHeartbeat = func(_ *Heartbeat, stamp sageclock.Instant) { got = append(got, stamp) }
 	other := freePort(t)
 	n.hear(&Heartbeat{Identity: Identity{Node: "b"}, Address: other, Stamp: Stamp{1, 5}, Echo: Stamp{n.incarnation + 1, 999}})
 	n.hear(&Heartbeat{Identity: Identity{Node: "b"}, Address: other, Stamp: Stamp{1, 6}, Echo: Stamp{n.incarnation, 42}})
@@ -134,8 +134,8 @@
 	require.NoError(t, err)
 	defer func() { _ = to.Close() }()
 	address := to.LocalAddr().String()
-	n := &Service{Name: "a", Address: freePort(t), Heard: func(*Heartbeat, sageclock.Instant) {}, Joined: func(Member) {}, Lost: func(Member) {}}
-	n.FillNews = func(*Heartbeat) {}
+	n := &Service{Name: "a", Address: freePort(t), OnHeartbeat: func(*Heartbeat, sageclock.Instant) {}, OnJoined: func(Member) {}, OnLost: func(Member) {}}
+	n.FillUpdates = func(*Heartbeat) {}
 	n.Fill = func(*Heartbeat) {
 		n.hear(&Heartbeat{Identity: Identity{Node: "b"}, Address: address, Stamp: Stamp{1, 99}})
 	}
@@ -156,7 +156,7 @@
 	n := start(t, "a", freePort(t))
 	for i := range 20 {
 		addr := nobody(i)
-		n.hear(&Heartbeat{Identity: Identity{Node: addr}, Address: addr, Stamp: Stamp{1, 1}, Blind: i%2 == 0, Leaving: i%2 == 1})
+		n.hear(&Heartbeat{Identity: Identity{Node: addr}, Address: addr, Stamp: Stamp{1, 1}, StoreUnreachable: i%2 == 0, Leaving: i%2 == 1})
 	}
 	require.Zero(t, n.Rank(false))
 	require.LessOrEqual(t, n.Rank(true), 10, "a blind node counts the blind ones")
@@ -165,7 +165,7 @@
 	n.hear(&Heartbeat{Identity: Identity{Node: seeing}, Address: seeing, Stamp: Stamp{1, 1}})
 	require.Equal(t, before+1, n.Rank(true), "and comes behind those that see")
 	n.hear(&Heartbeat{Identity: Identity{Node: "x"}, Address: "nonsense", Stamp: Stamp{1, 1}})
-	require.Len(t, n.Known(), 22, "an address that can't be used names no node")
+	require.Len(t, n.KnownNodes(), 22, "an address that can't be used names no node")
 }
 
 // In a large fleet heartbeats are a second apart. The nodes that watch the store are cut off, and a
@@ -183,8 +183,8 @@
 	standby := n.standby()
 	require.Len(t, standby, quick)
 	n.tellQuick()
-	require.Equal(t, n.Rank(false) < quick, n.Quick())
-	n.hear(&Heartbeat{Identity: Identity{Node: standby[0]}, Address: standby[0], Stamp: Stamp{1, 2}, Blind: true})
+	require.Equal(t, n.Rank(false) < quick, n.IsStandby())
+	n.hear(&Heartbeat{Identity: Identity{Node: standby[0]}, Address: standby[0], Stamp: Stamp{1, 2}, StoreUnreachable: true})
 	if standby[0] != n.Address {
 		require.NotContains(t, n.standby(), standby[0], "one that the store refuses does not stand by")
 	}
@@ -193,10 +193,10 @@
 // Prompts are read again in other data centres: what engines hold is told only once, and that once was a
 // heartbeat to the nodes nearby, to those that stand by, or to a hub that was just killed.
 func TestNewsGoesToAllNodes(t *testing.T) {
-	n := &Service{Name: "a", Address: freePort(t), Heard: func(*Heartbeat, sageclock.Instant) {}, Joined: func(Member) {}, Lost: func(Member) {}}
+	n := &Service{Name: "a", Address: freePort(t), OnHeartbeat: func(*Heartbeat, sageclock.Instant) {}, OnJoined: func(Member) {}, OnLost: func(Member) {}}
 	facts := map[string][]uint64{"e": {7}}
 	n.Fill = func(*Heartbeat) {}
-	n.FillNews = func(h *Heartbeat) { h.Held, facts = facts, nil }
+	n.FillUpdates = func(h *Heartbeat) { h.Held, facts = facts, nil }
 	n.FillSum = func(h *Heartbeat, _ bool) { h.Sum = new(Sum) }
 	require.NoError(t, n.Open())
 	defer func() { _ = n.conn.Close() }()
@@ -230,8 +230,8 @@
 // A VM restarts at the same address. The others leave out who they are, since they told the process
 // before it, and the new one can name nobody to callers for an interval or, if it forgot them, for good.
 func TestIdentityIsStatedAgainToANewIncarnation(t *testing.T) {
-	n := &Service{Name: "a", Address: freePort(t), Entry: "entry", DataCentre: "dc", Heard: func(*Heartbeat, sageclock.Instant) {}, Joined: func(Member) {}, Lost: func(Member) {}}
-	n.Fill, n.FillNews = func(*Heartbeat) {}, func(*Heartbeat) {}
+	n := &Service{Name: "a", Address: freePort(t), Entry: "entry", DataCentre: "dc", OnHeartbeat: func(*Heartbeat, sageclock.Instant) {}, OnJoined: func(Member) {}, OnLost: func(Member) {}}
+	n.Fill, n.FillUpdates = func(*Heartbeat) {}, func(*Heartbeat) {}
 	require.NoError(t, n.Open())
 	defer func() { _ = n.conn.Close() }()
 	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -285,12 +285,12 @@
 		n := prepare(a, a, addrs...)
 		n.DataCentre = []string{"north", "south"}[i%2]
 		nodes[a] = n
-		n.FillSum = func(h *Heartbeat, all bool) { h.Sum = &Sum{All: all, InFlight: map[string]int{"e": 1}} }
-		n.Heard = func(h *Heartbeat, _ sageclock.Instant) {
+		n.FillSum = func(h *Heartbeat, all bool) { h.Sum = &Sum{FleetWide: all, InFlight: map[string]int{"e": 1}} }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) {
 			mu.Lock()
 			defer mu.Unlock()
-			if m := h.Member(); h.Sum != nil && n.IsHub(&m) {
-				told[n.Address] = append(told[n.Address], sum{h.Address, h.Sum.All})
+			if m := h.Member(); h.Sum != nil && n.IsAggregator(&m) {
+				told[n.Address] = append(told[n.Address], sum{h.Address, h.Sum.FleetWide})
 			}
 		}
 		n.listen(t)
@@ -383,14 +383,14 @@
 	h := usual(4)
 	h.Held = map[string][]uint64{"e": {1, 1 << 63}}
 	h.Listed = map[string][]sagechain.PartHash{"f": {7, 1 << 31}}
-	h.Blind, h.Leaving, h.Broken = true, true, []string{"e"}
-	h.Sum = &Sum{All: true, InFlight: map[string]int{"e": 9}, Broken: map[string]int{"f": 2}, Answers: map[string]int{"2/1/0/r": 4}}
+	h.StoreUnreachable, h.Leaving, h.Broken = true, true, []string{"e"}
+	h.Sum = &Sum{FleetWide: true, InFlight: map[string]int{"e": 9}, Broken: map[string]int{"f": 2}, Answers: map[string]int{"2/1/0/r": 4}}
 	h.Answers = map[string]int{"2/2/1/r": 3}
 	h.Plans = []sagerollout.Plan{{Order: 2, Phase: sagerollout.Ramp, Share: 0.25, Version: 7, By: "vm1", Issued: h.Stamp.At.Add(-time.Second), Since: h.Stamp.At.Add(-2 * time.Second)}}
-	h.Soon, h.Ask, h.Pass, h.Silent = true, true, true, h.Known[:1]
+	h.ShortInterval, h.ReplyRequested, h.Forward, h.Unresponsive = true, true, true, h.KnownAddresses[:1]
 	common, err := h.encode()
 	require.NoError(t, err)
-	b, err := (&extra{h.Echo, &h.Identity, h.Known, h.Soon}).append(common)
+	b, err := (&extra{h.Echo, &h.Identity, h.KnownAddresses, h.ShortInterval}).append(common)
 	require.NoError(t, err)
 	back, err := decode(h.Stamp.At, b)
 	require.NoError(t, err)
@@ -402,7 +402,7 @@
 	require.NoError(f, err)
 	f.Add(seed)
 	f.Fuzz(func(_ *testing.T, b []byte) {
-		s := &Service{Name: "z", Address: "127.0.0.1:9", Heard: func(*Heartbeat, sageclock.Instant) {}, Joined: func(Member) {}, Lost: func(Member) {}}
+		s := &Service{Name: "z", Address: "127.0.0.1:9", OnHeartbeat: func(*Heartbeat, sageclock.Instant) {}, OnJoined: func(Member) {}, OnLost: func(Member) {}}
 		s.now = sageclock.Now
 		s.prepare(rand.New(rand.NewPCG(1, 1)))
 		s.take(b)
--- a/internal/sagemesh/news.go
+++ b/internal/sagemesh/news.go
@@ -47,7 +47,7 @@
 // all others at once, some hundred kilobytes come at each small link in the same moment.
 func (s *Service) gatherNews() {
 	h := new(Heartbeat)
-	s.FillNews(h)
+	s.FillUpdates(h)
 	if s.Interval() == shortest {
 		s.forAll.add(h.Held, h.Listed)
 		return
--- a/internal/sagemesh/quarantine_test.go
+++ b/internal/sagemesh/quarantine_test.go
@@ -22,9 +22,9 @@
 		out[i] = b
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
-			h.Crashes, h.Cleared = b.Reports(v.now, n.Relays)
+			h.Crashes, h.Cleared = b.Reports(v.now, n.ForwardsReports)
 		}
-		n.Heard = func(h *Heartbeat, _ sageclock.Instant) { b.Learn(v.now, h.Crashes, h.Cleared) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { b.Learn(v.now, h.Crashes, h.Cleared) }
 	}
 	return out
 }
--- a/internal/sagemesh/ranks.go
+++ b/internal/sagemesh/ranks.go
@@ -19,8 +19,8 @@
 	for a := range s.live {
 		m := &s.peers[a].member
 		switch {
-		case m.Leaving || m.Blind && !blind:
-		case blind && !m.Blind, xxhash.Sum64String(a) > mine:
+		case m.Leaving || m.StoreUnreachable && !blind:
+		case blind && !m.StoreUnreachable, xxhash.Sum64String(a) > mine:
 			rank++
 		}
 	}
@@ -28,7 +28,7 @@
 }
 
 // First reports whether this node comes first, in the order of [Service.Rank], in its data centre.
-func (s *Service) First() bool {
+func (s *Service) IsFirstInDataCentre() bool {
 	mine := xxhash.Sum64String(s.Address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 
 // Quick reports whether this node is one of those that tell each other at the shortest interval of a
 // large fleet.
-func (s *Service) Quick() bool { return s.isQuick.Load() }
+func (s *Service) IsStandby() bool { return s.isQuick.Load() }
 
 // standby returns the addresses of the first nodes in the order of [Service.Rank].
 func (s *Service) standby() []string {
@@ -53,7 +53,7 @@
 	all := []ranked{{s.Address, xxhash.Sum64String(s.Address)}}
 	s.mu.Lock()
 	for a := range s.live {
-		if m := &s.peers[a].member; !m.Leaving && !m.Blind {
+		if m := &s.peers[a].member; !m.Leaving && !m.StoreUnreachable {
 			all = append(all, ranked{a, xxhash.Sum64String(a)})
 		}
 	}
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -41,12 +41,12 @@
 			h.Answers, h.Plans = p.answers.Tell(), p.book.Plans()
 		}
 		n.FillSum = func(h *Heartbeat, all bool) {
-			h.Sum = &Sum{All: all, Answers: p.answers.SumOf(f.now, n.DataCentre)}
+			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumOf(f.now, n.DataCentre)}
 			if all {
 				h.Sum.Answers = p.answers.Sum(f.now)
 			}
 		}
-		n.Heard = func(h *Heartbeat, _ sageclock.Instant) { p.learn(f.now, n.Service, h) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { p.learn(f.now, n.Service, h) }
 	}
 	f.play(4 * time.Second)
 	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Given: f.now, Deadline: f.now.Add(20 * time.Second)}
@@ -66,10 +66,10 @@
 	}
 	m := h.Member()
 	switch near := h.DataCentre == s.DataCentre; {
-	case h.Sum == nil || !s.IsHub(&m):
-	case h.Sum.All && near:
+	case h.Sum == nil || !s.IsAggregator(&m):
+	case h.Sum.FleetWide && near:
 		p.answers.LearnTotal(now, h.Sum.Answers)
-	case !h.Sum.All && !near:
+	case !h.Sum.FleetWide && !near:
 		p.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
--- a/internal/sagemesh/rounds.go
+++ b/internal/sagemesh/rounds.go
@@ -16,7 +16,7 @@
 
 // Lag is how long what one node tells takes to reach all others while nothing is lost, and what they prove to
 // each other with it: a datagram and the stamp that it echoes a hop, by the hubs three hops.
-func (s *Service) Lag() time.Duration {
+func (s *Service) PropagationDelay() time.Duration {
 	if s.Interval() > shortest {
 		return 3 * 2 * shortest
 	}
--- a/internal/sagemesh/service.go
+++ b/internal/sagemesh/service.go
@@ -70,13 +70,13 @@
 	// FillSum adds the sum of the counts of this data centre's nodes, or of all nodes.
 	FillSum func(h *Heartbeat, all bool)
 	// FillNews adds the facts on prompt parts that nobody was told.
-	FillNews func(h *Heartbeat)
+	FillUpdates func(h *Heartbeat)
 	// Heard is called for each heartbeat of a node whose identity is known. Stamp is the instant that
 	// the sender proved to have heard of, or 0.
-	Heard func(h *Heartbeat, stamp sageclock.Instant)
+	OnHeartbeat func(h *Heartbeat, stamp sageclock.Instant)
 	// Joined is called for each node that becomes live, Lost for each that stops being so.
-	Joined, Lost func(m Member)
-	Log          sagelog.Logger
+	OnJoined, OnLost func(m Member)
+	Log              sagelog.Logger
 
 	// now and write are the clock and the way out; tests put a network in virtual time there.
 	now   func() sageclock.Instant
@@ -151,7 +151,7 @@
 }
 
 // Add makes another node's address known.
-func (s *Service) Add(address string) error { return s.add(address, false) }
+func (s *Service) AddPeer(address string) error { return s.add(address, false) }
 
 func (s *Service) add(address string, seed bool) error {
 	if address == s.Address || s.knows(address) {
@@ -177,7 +177,7 @@
 }
 
 // Nudge sends heartbeats at once, to all nodes or only to those of this data centre.
-func (s *Service) Nudge(all bool) {
+func (s *Service) TriggerHeartbeats(all bool) {
 	c := s.nudgeNear
 	if all {
 		c = s.nudge
@@ -236,7 +236,7 @@
 func (s *Service) Bytes() (sent, received int64) { return s.sent.Load(), s.came.Load() }
 
 // Known returns the names of all nodes that were ever heard of, this one included.
-func (s *Service) Known() []string {
+func (s *Service) KnownNodes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]string, 0, len(s.ever))
--- a/internal/sagemesh/silence.go
+++ b/internal/sagemesh/silence.go
@@ -117,12 +117,12 @@
 	s.mu.Unlock()
 	if len(ask) > 0 {
 		s.tellThose(round{
-			fill: func(h *Heartbeat) { h.Ask = true },
+			fill: func(h *Heartbeat) { h.ReplyRequested = true },
 			want: func(t *target) bool { return ask[t.address] },
 		})
 	}
 	for _, m := range lost {
-		s.Lost(m)
+		s.OnLost(m)
 	}
 }
 
@@ -168,11 +168,11 @@
 // hearSilent notes the nodes that a hub calls silent, and keeps what another data centre's hub found out for
 // the nodes of this one. mu is held.
 func (s *Service) hearSilent(now sageclock.Instant, h *Heartbeat) {
-	for _, a := range h.Silent {
+	for _, a := range h.Unresponsive {
 		if p := s.peers[a]; p != nil {
 			p.told = now
 		}
-		if h.Pass && h.DataCentre != s.DataCentre {
+		if h.Forward && h.DataCentre != s.DataCentre {
 			s.silentFar[a] = now
 		}
 	}
--- a/internal/sagemesh/size_test.go
+++ b/internal/sagemesh/size_test.go
@@ -160,7 +160,7 @@
 			list[i] = sagechain.PartHash(v.rnd.Uint32())
 		}
 		n.listed = map[string][]sagechain.PartHash{"e" + n.Name: list}
-		n.Nudge(true)
+		n.TriggerHeartbeats(true)
 	}
 	v.play(soonGone)
 	for _, n := range v.nodes {
--- a/internal/sagemesh/tell.go
+++ b/internal/sagemesh/tell.go
@@ -93,7 +93,7 @@
 		return
 	}
 	s.saidReady, s.saidAt = ready, now
-	s.Nudge(true)
+	s.TriggerHeartbeats(true)
 }
 
 // send sends a heartbeat to each target. What all of them get is encoded once.
@@ -111,7 +111,7 @@
 			x.identity = &h.Identity
 		}
 		if !t.knows || i%knownEvery == 0 {
-			x.known = h.Known
+			x.known = h.KnownAddresses
 		}
 		b, err := x.append(common)
 		if err != nil {
@@ -155,8 +155,8 @@
 		if want == nil || want(&t) {
 			out = append(out, t)
 		}
-		if s.live[a] && len(h.Known) < knownPerHeartbeat {
-			h.Known = append(h.Known, a)
+		if s.live[a] && len(h.KnownAddresses) < knownPerHeartbeat {
+			h.KnownAddresses = append(h.KnownAddresses, a)
 		}
 	}
 	return out
--- a/internal/sagemesh/virtual_test.go
+++ b/internal/sagemesh/virtual_test.go
@@ -100,19 +100,19 @@
 			Name: fmt.Sprint("vm", i), Address: addr, Entry: addr, DataCentre: fmt.Sprint("dc", i%centres), LinkMbps: link,
 			Fill:    func(h *Heartbeat) { h.Ready = true },
 			FillSum: func(h *Heartbeat, _ bool) { h.Sum = new(Sum) },
-			FillNews: func(h *Heartbeat) {
+			FillUpdates: func(h *Heartbeat) {
 				h.Held, h.Listed = n.facts, n.listed
 				n.facts, n.listed = nil, nil
 			},
-			Joined: func(Member) {},
-			Lost: func(m Member) {
+			OnJoined: func(Member) {},
+			OnLost: func(m Member) {
 				if !v.byAddr[m.Address].dark {
 					v.falsely++
 				}
 			},
 			now: func() sageclock.Instant { return v.now },
 		}
-		n.Heard = func(h *Heartbeat, _ sageclock.Instant) { n.learn(v.now, h) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { n.learn(v.now, h) }
 		n.write = func(b []byte, to *net.UDPAddr) { v.send(n, b, to.String()) }
 		n.prepare(rand.New(rand.NewPCG(seed, uint64(i))))
 		v.nodes = append(v.nodes, n)
@@ -120,7 +120,7 @@
 	}
 	for _, n := range v.nodes {
 		for _, o := range v.nodes {
-			require.NoError(t, n.Add(o.Address))
+			require.NoError(t, n.AddPeer(o.Address))
 		}
 		v.after(time.Duration(v.rnd.IntN(300))*time.Millisecond, func() { v.often(n) })
 	}
--- a/internal/sagerouter/gauges.go
+++ b/internal/sagerouter/gauges.go
@@ -13,7 +13,7 @@
 func (n *Node) export() {
 	for kind, f := range n.copies {
 		n.metrics.NewGauge(`sagestand_copy_age_seconds{kind="`+kind+`"}`, func() float64 { return age(&f.Proof) })
-		f.Called = n.countCalls(kind)
+		f.OnCall = n.countCalls(kind)
 	}
 	n.metrics.NewGauge("sagestand_config_version", func() float64 {
 		if t := n.fleet.Table(); t != nil {
--- a/internal/sagerouter/members.go
+++ b/internal/sagerouter/members.go
@@ -75,7 +75,7 @@
 // of them sooner than a heartbeat later.
 func (m *members) use(names []string) {
 	m.node.names.Store(&names)
-	m.node.mesh.Nudge(true)
+	m.node.mesh.TriggerHeartbeats(true)
 }
 
 // create registers this node.
@@ -110,7 +110,7 @@
 			log.Warn("Entry names no node.", "name", c.Object.Name, "err", err)
 			continue
 		}
-		if err := n.mesh.Add(e.Mesh); err != nil {
+		if err := n.mesh.AddPeer(e.Mesh); err != nil {
 			log.Warn("Entry names no node.", "name", c.Object.Name, "err", err)
 		}
 		found = found || c.Object.Name == n.Settings.Node && e == m.entry()
--- a/internal/sagerouter/members_test.go
+++ b/internal/sagerouter/members_test.go
@@ -36,7 +36,7 @@
 	return sagefollow.Delta{}, nil
 }
 
-func (s *entries) Renew() {}
+func (s *entries) ResetConnections() {}
 
 func (s *entries) SetStatus(context.Context, string, string, uint64, json.RawMessage) error {
 	return nil
@@ -56,7 +56,7 @@
 // member returns the registration of a node that starts.
 func member(t *testing.T, i int, first bool, store *entries) *members {
 	t.Helper()
-	mesh := &sagemesh.Service{Address: "127.0.0.1:0", Heard: func(*sagemesh.Heartbeat, sageclock.Instant) {}}
+	mesh := &sagemesh.Service{Address: "127.0.0.1:0", OnHeartbeat: func(*sagemesh.Heartbeat, sageclock.Instant) {}}
 	require.NoError(t, mesh.Open())
 	return &members{node: &Node{
 		Settings: Settings{Node: fmt.Sprint("vm", i), DataCentre: "north", FirstStart: first, Listen: Listen{Mesh: fmt.Sprintf("10.0.0.%d:7000", i+1)}},
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -147,8 +147,8 @@
 	n.mesh = &sagemesh.Service{
 		Name: cfg.Node, Address: cfg.Listen.Mesh, Entry: cfg.Listen.Entry, DataCentre: cfg.DataCentre, Seeds: cfg.meshSeeds(),
 		LinkMbps: int(cfg.LinkMbps),
-		Fill:     n.fill, FillNews: n.fillNews, FillSum: n.fillSum, Heard: n.heard,
-		Joined: n.peers.Joined, Lost: n.peers.Lost,
+		Fill:     n.fill, FillUpdates: n.fillNews, FillSum: n.fillSum, OnHeartbeat: n.heard,
+		OnJoined: n.peers.Joined, OnLost: n.peers.Lost,
 		Log: n.Log.Part("mesh"),
 	}
 }
@@ -160,8 +160,8 @@
 	n.fetcher = &sagemesh.Fetcher{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 	follow := func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower {
 		return &sagefollow.Follower{
-			Kind: kind, Source: n.Store, Peers: n.fetcher, Within: millis(within), Rank: n.mesh.Rank, Apply: apply,
-			Reach: &n.reach, Changed: n.changed, Lag: n.lag, Log: n.Log.Part("follow"),
+			Kind: kind, Source: n.Store, Peers: n.fetcher, MaxStaleness: millis(within), Rank: n.mesh.Rank, Apply: apply,
+			StoreProof: &n.reach, OnChange: n.changed, PeerProofDelay: n.lag, Log: n.Log.Part("follow"),
 		}
 	}
 	n.copies = sagemesh.Copies{
@@ -173,14 +173,14 @@
 	if cfg.Bounds.Rollouts != nil {
 		n.followRollouts(follow)
 	}
-	n.copies[n.Kinds.Upstreams].Gather = gatherUpstreams
+	n.copies[n.Kinds.Upstreams].BatchDelay = gatherUpstreams
 	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.Closed, n.Kinds.Quarantines} {
-		n.copies[kind].Scout = n.copies[n.Kinds.Config]
+		n.copies[kind].Prober = n.copies[n.Kinds.Config]
 	}
 	n.spreadFirstListing()
 	n.fleet = &fleet{
 		view: n.view, keyProof: &n.copies[n.Kinds.Config].Proof,
-		known: n.mesh.Known, lag: n.countsLag, placer: placer, cold: sageshare.Cold{Self: cfg.Node},
+		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.Cold{Self: cfg.Node},
 		retries: sageshare.Retries{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
@@ -200,8 +200,8 @@
 // after a start, see [view.hold].
 func (n *Node) followRollouts(follow func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower) {
 	f := follow(n.Kinds.Rollouts, orderTimes*n.Settings.Bounds.Rollouts.UndoWithinMillis, n.applyRollouts)
-	f.Scout = n.copies[n.Kinds.Config]
-	f.NotBefore = n.firstListing()
+	f.Prober = n.copies[n.Kinds.Config]
+	f.ListNotBefore = n.firstListing()
 	n.copies[n.Kinds.Rollouts] = f
 	n.view.known = make(versions)
 	n.view.ordersAsOf = f.AsOf
@@ -211,8 +211,8 @@
 	n.recall = &recall{
 		Self: n.Settings.Node, DataCentre: n.Settings.DataCentre, FirstStart: n.Settings.FirstStart,
 		Placer: n.fleet.placer, Peers: n.mesh.Live, Engines: n.engines, Named: n.registered,
-		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.Held,
-		Inspector: n.Inspector, Tell: func() { n.mesh.Nudge(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
+		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.FetchHolders,
+		Inspector: n.Inspector, Tell: func() { n.mesh.TriggerHeartbeats(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
 	}
 }
 
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, f := range n.copies {
-		f.NotBefore = n.firstListing()
+		f.ListNotBefore = n.firstListing()
 	}
 }
 
@@ -300,7 +300,7 @@
 func (n *Node) Reload(cfg Settings) {
 	n.fleet.bounds(&cfg.Bounds)
 	for _, a := range cfg.meshSeeds() {
-		if err := n.mesh.Add(a); err != nil {
+		if err := n.mesh.AddPeer(a); err != nil {
 			n.Log.Part("node").Warn("Seed ignored.", "address", a, "err", err)
 		}
 	}
@@ -311,7 +311,7 @@
 	if p := n.names.Load(); p != nil {
 		return *p
 	}
-	return n.mesh.Known()
+	return n.mesh.KnownNodes()
 }
 
 // Ready says whether callers may be sent here.
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -66,7 +66,7 @@
 
 // fillCrashes adds the crashes that other nodes have to know of.
 func (n *Node) fillCrashes(h *sagemesh.Heartbeat) {
-	h.Crashes, h.Cleared = n.quarantine.Reports(sageclock.Now(), n.mesh.Relays)
+	h.Crashes, h.Cleared = n.quarantine.Reports(sageclock.Now(), n.mesh.ForwardsReports)
 }
 
 // learnCrashes takes in the crashes that another node reports.
--- a/internal/sagerouter/recall.go
+++ b/internal/sagerouter/recall.go
@@ -179,7 +179,7 @@
 }
 
 func (r *recall) anyInformed() bool {
-	return slices.ContainsFunc(r.Peers(), func(m sagemesh.Member) bool { return m.Informed })
+	return slices.ContainsFunc(r.Peers(), func(m sagemesh.Member) bool { return m.Synced })
 }
 
 // ready reports whether the engines can be asked and divided among the nodes.
@@ -191,7 +191,7 @@
 // fromPeer learns what an informed peer knows, and reports whether one told it. One of this data centre
 // is asked if there is any, else any.
 func (r *recall) fromPeer(ctx context.Context) bool {
-	peers := slices.DeleteFunc(r.Peers(), func(m sagemesh.Member) bool { return !m.Informed })
+	peers := slices.DeleteFunc(r.Peers(), func(m sagemesh.Member) bool { return !m.Synced })
 	if len(peers) == 0 {
 		return false
 	}
@@ -210,9 +210,9 @@
 		r.Log.Warn("Peer did not tell what engines hold.", "peer", peer, "err", err)
 		return false
 	}
-	r.Placer.Learn(sageclock.Now(), held.Told)
+	r.Placer.Learn(sageclock.Now(), held.Observed)
 	r.Placer.LearnListed(sageclock.Now(), held.Listed)
-	r.Log.Info("Learnt from a peer what engines hold.", "peer", peer, "told", len(held.Told), "listed", len(held.Listed))
+	r.Log.Info("Learnt from a peer what engines hold.", "peer", peer, "told", len(held.Observed), "listed", len(held.Listed))
 	return true
 }
 
--- a/internal/sagerouter/recall_test.go
+++ b/internal/sagerouter/recall_test.go
@@ -101,7 +101,7 @@
 	}
 	for name, n := range f.nodes {
 		if name != self && n.live {
-			out = append(out, sagemesh.Member{Address: name, Identity: sagemesh.Identity{Node: name, DataCentre: n.dataCentre}, Informed: n.informed.Load()})
+			out = append(out, sagemesh.Member{Address: name, Identity: sagemesh.Identity{Node: name, DataCentre: n.dataCentre}, Synced: n.informed.Load()})
 		}
 	}
 	return out
@@ -115,7 +115,7 @@
 	if n == nil || !n.live {
 		return sagemesh.Holders{}, errors.New("no such peer")
 	}
-	return sagemesh.Holders{Told: n.Placer.All(sageclock.Now()), Listed: n.Placer.AllListed(sageclock.Now())}, nil
+	return sagemesh.Holders{Observed: n.Placer.All(sageclock.Now()), Listed: n.Placer.AllListed(sageclock.Now())}, nil
 }
 
 // tell sends one heartbeat with the node's news to all that live.
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -112,7 +112,7 @@
 	}
 	n.learnPlan(now, p)
 	if p.Phase != e.Plan.Phase {
-		n.mesh.Nudge(true)
+		n.mesh.TriggerHeartbeats(true)
 	}
 	c.write(ctx, now, e.Order, p.Phase)
 }
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -49,7 +49,7 @@
 	n := s.node
 	by := time.Now().Add(seconds(n.Settings.Bounds.StopWithinSeconds) - stopMargin)
 	n.leaving.Store(true)
-	n.mesh.Nudge(true)
+	n.mesh.TriggerHeartbeats(true)
 	n.Log.Part("node").Info("Leaving.", "in_flight", n.relay.InFlight())
 	time.Sleep(min(keptTimes*AnswerValid+AnswerValid/2, time.Until(by)))
 	ctx, cancel := context.WithDeadline(context.Background(), by)
@@ -84,7 +84,7 @@
 			n.fleet.health.Keep(func(u string) bool { return set.Get(u) != nil })
 		case <-t.C:
 			n.peers.Flush()
-			n.view.settle(n.reach.Age(sageclock.Now()) > sagefollow.AwayAfter)
+			n.view.settle(n.reach.Age(sageclock.Now()) > sagefollow.LongOutage)
 		}
 	}
 }
--- a/internal/sagerouter/tell.go
+++ b/internal/sagerouter/tell.go
@@ -26,11 +26,11 @@
 
 // fill completes a heartbeat.
 func (n *Node) fill(h *sagemesh.Heartbeat) {
-	h.Ready, h.Leaving, h.Informed = n.Ready(), n.leaving.Load(), n.recall.informed.Load()
+	h.Ready, h.Leaving, h.Synced = n.Ready(), n.leaving.Load(), n.recall.informed.Load()
 	h.Copies = make(map[string]sagefollow.Position, len(n.copies))
 	for kind, f := range n.copies {
 		h.Copies[kind] = f.Position()
-		h.Blind = h.Blind || f.Failing()
+		h.StoreUnreachable = h.StoreUnreachable || f.Failing()
 	}
 	h.InFlight = n.fleet.flights.Tell()
 	h.Broken = n.fleet.health.Broken(sageclock.Now())
@@ -57,7 +57,7 @@
 		}
 		return c.SumOf(now, n.Settings.DataCentre)
 	}
-	h.Sum = &sagemesh.Sum{All: all, InFlight: of(&n.fleet.flights), Broken: of(&n.fleet.broken), Answers: of(&n.fleet.answers)}
+	h.Sum = &sagemesh.Sum{FleetWide: all, InFlight: of(&n.fleet.flights), Broken: of(&n.fleet.broken), Answers: of(&n.fleet.answers)}
 }
 
 // hearSum takes the sum in that comes with a heartbeat, if its sender is the one to make it.
@@ -65,12 +65,12 @@
 	m := h.Member()
 	near := h.DataCentre == n.Settings.DataCentre
 	switch {
-	case h.Sum == nil || !n.mesh.IsHub(&m):
-	case h.Sum.All && near:
+	case h.Sum == nil || !n.mesh.IsAggregator(&m):
+	case h.Sum.FleetWide && near:
 		n.fleet.flights.LearnTotal(now, h.Sum.InFlight)
 		n.fleet.broken.LearnTotal(now, h.Sum.Broken)
 		n.fleet.answers.LearnTotal(now, h.Sum.Answers)
-	case !h.Sum.All && !near:
+	case !h.Sum.FleetWide && !near:
 		n.fleet.flights.LearnGroup(now, h.DataCentre, h.Sum.InFlight)
 		n.fleet.broken.LearnGroup(now, h.DataCentre, h.Sum.Broken)
 		n.fleet.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
@@ -98,10 +98,10 @@
 	if stamp == 0 {
 		return
 	}
-	near := h.DataCentre == n.Settings.DataCentre || n.mesh.First()
+	near := h.DataCentre == n.Settings.DataCentre || n.mesh.IsFirstInDataCentre()
 	for kind, p := range h.Copies {
 		if f := n.copies[kind]; f != nil {
-			f.Told(context.Background(), h.Address, p, stamp, near)
+			f.HandlePosition(context.Background(), h.Address, p, stamp, near)
 		}
 	}
 }
@@ -126,15 +126,15 @@
 // changed tells the peers of changed content: all of them if the store told this node, those of its
 // data centre if this node fetched it for them.
 func (n *Node) changed(own bool) {
-	if own || n.mesh.First() {
-		n.mesh.Nudge(own)
+	if own || n.mesh.IsFirstInDataCentre() {
+		n.mesh.TriggerHeartbeats(own)
 	}
 }
 
 // lag is the age that a proof gets by heartbeats: the peer's own and the stamp that it echoes.
 func (n *Node) lag() time.Duration {
-	if n.mesh.Quick() {
+	if n.mesh.IsStandby() {
 		return 0
 	}
-	return max(0, n.mesh.Lag()-mostLag)
+	return max(0, n.mesh.PropagationDelay()-mostLag)
 }
