--- a/internal/sagemesh/mesh_test.go
+++ b/internal/sagemesh/mesh_test.go
@@ -386,7 +386,7 @@
 	h.StoreUnreachable, h.Leaving, h.Broken = true, true, []string{"e"}
 	h.Sum = &Sum{FleetWide: true, InFlight: map[string]int{"e": 9}, Broken: map[string]int{"f": 2}, Answers: map[string]int{"2/1/0/r": 4}}
 	h.Answers = map[string]int{"2/2/1/r": 3}
-	h.Plans = []sagerollout.Plan{{Order: 2, Phase: sagerollout.Ramp, Share: 0.25, Version: 7, By: "vm1", Issued: h.Stamp.At.Add(-time.Second), Since: h.Stamp.At.Add(-2 * time.Second)}}
+	h.Plans = []sagerollout.Plan{{OrderID: 2, Phase: sagerollout.PhaseRamp, Share: 0.25, Sequence: 7, Controller: "vm1", IssuedAt: h.Stamp.At.Add(-time.Second), PhaseSince: h.Stamp.At.Add(-2 * time.Second)}}
 	h.ShortInterval, h.ReplyRequested, h.Forward, h.Unresponsive = true, true, true, h.KnownAddresses[:1]
 	common, err := h.encode()
 	require.NoError(t, err)
--- a/internal/sagemesh/plans.go
+++ b/internal/sagemesh/plans.go
@@ -18,8 +18,8 @@
 	for i := range plans {
 		p := &plans[i]
 		out = append(out, &heartbeat.Plan{
-			Order: p.Order, Phase: uint32(p.Phase), Share: float32(p.Share), Version: p.Version, By: p.By,
-			AgeMillis: ageMillis(now, p.Issued), PhaseAgeMillis: ageMillis(now, p.Since),
+			Order: p.OrderID, Phase: uint32(p.Phase), Share: float32(p.Share), Version: p.Sequence, By: p.Controller,
+			AgeMillis: ageMillis(now, p.IssuedAt), PhaseAgeMillis: ageMillis(now, p.PhaseSince),
 		})
 	}
 	return out
@@ -32,13 +32,13 @@
 		if share := p.GetShare(); !(share >= 0 && share <= 1) {
 			return nil, fmt.Errorf("plan with share %v: %w", share, ErrHeartbeat)
 		}
-		phase := sagerollout.Undone
-		if p.GetPhase() < uint32(sagerollout.Undone) {
+		phase := sagerollout.PhaseRolledBack
+		if p.GetPhase() < uint32(sagerollout.PhaseRolledBack) {
 			phase = sagerollout.Phase(p.GetPhase())
 		}
 		out = append(out, sagerollout.Plan{
-			Order: p.GetOrder(), Phase: phase, Share: float64(p.GetShare()), Version: p.GetVersion(), By: p.GetBy(),
-			Issued: now.Add(-millisOf(p.GetAgeMillis())), Since: now.Add(-millisOf(p.GetPhaseAgeMillis())),
+			OrderID: p.GetOrder(), Phase: phase, Share: float64(p.GetShare()), Sequence: p.GetVersion(), Controller: p.GetBy(),
+			IssuedAt: now.Add(-millisOf(p.GetAgeMillis())), PhaseSince: now.Add(-millisOf(p.GetPhaseAgeMillis())),
 		})
 	}
 	return out, nil
--- a/internal/sagemesh/quarantine_test.go
+++ b/internal/sagemesh/quarantine_test.go
@@ -15,25 +15,25 @@
 const fatal = sagequarantine.Fingerprint(7)
 
 // books gives each node of a virtual fleet a book whose reports ride on its heartbeats.
-func books(v *virtual) []*sagequarantine.Book {
-	out := make([]*sagequarantine.Book, len(v.nodes))
+func books(v *virtual) []*sagequarantine.Tracker {
+	out := make([]*sagequarantine.Tracker, len(v.nodes))
 	for i, n := range v.nodes {
-		b := new(sagequarantine.Book)
+		b := new(sagequarantine.Tracker)
 		out[i] = b
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
 			h.Crashes, h.Cleared = b.Reports(v.now, n.ForwardsReports)
 		}
-		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { b.Learn(v.now, h.Crashes, h.Cleared) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { b.Merge(v.now, h.Crashes, h.Cleared) }
 	}
 	return out
 }
 
 // quarantining returns how many books refuse a request.
-func quarantining(v *virtual, books []*sagequarantine.Book, f sagequarantine.Fingerprint) int {
+func quarantining(v *virtual, books []*sagequarantine.Tracker, f sagequarantine.Fingerprint) int {
 	n := 0
 	for _, b := range books {
-		if _, ok := b.Quarantined(v.now, f); ok {
+		if _, ok := b.QuarantinedUntil(v.now, f); ok {
 			n++
 		}
 	}
@@ -70,7 +70,7 @@
 			}
 			for c := range sagequarantine.DefaultThreshold {
 				// Others run there too.
-				bs[len(bs)-1-c].Crashed(v.now, sagequarantine.CrashID(c+1), fatal, sagequarantine.Fingerprint(100+c))
+				bs[len(bs)-1-c].RecordCrash(v.now, sagequarantine.CrashID(c+1), fatal, sagequarantine.Fingerprint(100+c))
 			}
 			took := v.until(tt.most+time.Second, func() bool { return quarantining(v, bs, fatal) == tt.nodes })
 			t.Log("in force everywhere after", took)
@@ -93,7 +93,7 @@
 	before := v.bytes()
 	for c := range 10 {
 		for i := range 64 {
-			bs[(c*64+i)%len(bs)].Crashed(v.now, sagequarantine.CrashID(c+1), sagequarantine.Fingerprint(1000*c+i))
+			bs[(c*64+i)%len(bs)].RecordCrash(v.now, sagequarantine.CrashID(c+1), sagequarantine.Fingerprint(1000*c+i))
 		}
 	}
 	v.play(5 * time.Second)
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -13,7 +13,7 @@
 
 // rolloutNode is what a node of a virtual fleet knows of a rollout.
 type rolloutNode struct {
-	book    sagerollout.Book
+	book    sagerollout.Tracker
 	answers sageflight.Counter
 }
 
@@ -33,7 +33,7 @@
 func newRolloutFleet(t *testing.T, seed uint64, nodes, centres int) *rolloutFleet {
 	f := &rolloutFleet{virtual: newVirtual(t, seed, nodes, centres)}
 	for _, n := range f.nodes {
-		p := &rolloutNode{book: sagerollout.Book{Chance: f.rnd.Float64}}
+		p := &rolloutNode{book: sagerollout.Tracker{Rand: f.rnd.Float64}}
 		f.parts = append(f.parts, p)
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
@@ -49,11 +49,11 @@
 		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { p.learn(f.now, n.Service, h) }
 	}
 	f.play(4 * time.Second)
-	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Given: f.now, Deadline: f.now.Add(20 * time.Second)}
+	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", FirstSeen: f.now, Deadline: f.now.Add(20 * time.Second)}
 	for _, p := range f.parts {
 		p.book.Put(f.order)
 	}
-	c := &sagerollout.Controller{Self: f.nodes[0].Name, Bounds: sagerollout.Bounds{Share: 0.1, Slack: 50}}
+	c := &sagerollout.Controller{Self: f.nodes[0].Name, Bounds: sagerollout.Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	f.after(0, func() { f.step(c) })
 	return f
 }
@@ -62,7 +62,7 @@
 func (p *rolloutNode) learn(now sageclock.Instant, s *Service, h *Heartbeat) {
 	p.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
 	for _, plan := range h.Plans {
-		p.book.Learn(plan)
+		p.book.MergePlan(plan)
 	}
 	m := h.Member()
 	switch near := h.DataCentre == s.DataCentre; {
@@ -81,17 +81,17 @@
 			continue
 		}
 		f.total++
-		if p.book.Arm(f.now, "s", "r") != sagerollout.Target {
-			p.book.Note("s", "v1", "r", false)
+		if p.book.Arm(f.now, "s", "r") != sagerollout.ArmTarget {
+			p.book.RecordAnswer("s", "v1", "r", false)
 			continue
 		}
 		f.exposed++
-		p.book.Note("s", "v2", "r", f.bad && f.rnd.IntN(2) == 0)
+		p.book.RecordAnswer("s", "v2", "r", f.bad && f.rnd.IntN(2) == 0)
 	}
 	first := f.parts[0]
 	e := first.book.Entries()[0]
-	evidence := sagerollout.Gather(e.Order.ID, first.answers.Sum(f.now))
-	first.book.Learn(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.Fleet{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
+	evidence := sagerollout.CollectEvidence(e.Order.ID, first.answers.Sum(f.now))
+	first.book.MergePlan(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.ServiceLoad{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
 	f.after(stepEvery, func() { f.step(c) })
 }
 
@@ -110,9 +110,9 @@
 func TestBadVersionIsUndoneByAllNodesOfALargeFleet(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 3, manyNodes, manyCentres)
-	f.until(20*time.Second, func() bool { return f.in(sagerollout.Full) == manyNodes })
+	f.until(20*time.Second, func() bool { return f.in(sagerollout.PhaseFull) == manyNodes })
 	f.bad = true
-	took := f.until(5*time.Second, func() bool { return f.in(sagerollout.Undone) == manyNodes })
+	took := f.until(5*time.Second, func() bool { return f.in(sagerollout.PhaseRolledBack) == manyNodes })
 	t.Log("undone by all nodes after", took)
 	exposed := f.exposed
 	f.play(2 * time.Second)
@@ -123,7 +123,7 @@
 func TestRolloutGoesOnWithoutHubs(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 4, manyNodes, manyCentres)
-	f.until(10*time.Second, func() bool { return f.in(sagerollout.Canary) == manyNodes })
+	f.until(10*time.Second, func() bool { return f.in(sagerollout.PhaseCanary) == manyNodes })
 	hubs := f.nodes[0].hubs()
 	for _, n := range f.nodes[1:] {
 		n.dark = n.DataCentre < "dc3" && hubs[n.DataCentre].first == n.Address
@@ -135,6 +135,6 @@
 			living++
 		}
 	}
-	f.until(10*time.Second, func() bool { return f.in(sagerollout.Undone) == living })
+	f.until(10*time.Second, func() bool { return f.in(sagerollout.PhaseRolledBack) == living })
 	require.LessOrEqual(t, float64(f.exposed), 0.1*float64(f.total)+50)
 }
--- a/internal/sagerelay/crash.go
+++ b/internal/sagerelay/crash.go
@@ -18,7 +18,7 @@
 		if j.account != nil {
 			account = j.account.Name
 		}
-		f := sagequarantine.Of(account, j.r.Method, j.r.Host+j.r.URL.RequestURI(), j.bytes)
+		f := sagequarantine.FingerprintOf(account, j.r.Method, j.r.Host+j.r.URL.RequestURI(), j.bytes)
 		j.print = &f
 	}
 	return *j.print
@@ -26,15 +26,15 @@
 
 // quarantined reports whether the request must not be sent, and notes until when.
 func (j *job) quarantined() bool {
-	if !j.s.Quarantine.Watching() {
+	if !j.s.Quarantine.Active() {
 		return false
 	}
 	now := sageclock.Now()
-	until, ok := j.s.Quarantine.Quarantined(now, j.fingerprint())
+	until, ok := j.s.Quarantine.QuarantinedUntil(now, j.fingerprint())
 	if !ok {
 		return false
 	}
-	if j.s.Trials() && j.s.Quarantine.Trial(now, j.fingerprint()) {
+	if j.s.Trials() && j.s.Quarantine.AllowTrial(now, j.fingerprint()) {
 		j.s.Log.Info("Trial of a quarantined request.", "id", j.call.ID, "fingerprint", j.fingerprint().String())
 		return false
 	}
@@ -49,14 +49,14 @@
 
 // succeeded clears a request that was executed to its end.
 func (j *job) succeeded() {
-	if j.s.Quarantine.Watching() {
-		j.s.Quarantine.Succeeded(sageclock.Now(), j.fingerprint())
+	if j.s.Quarantine.Active() {
+		j.s.Quarantine.RecordSuccess(sageclock.Now(), j.fingerprint())
 	}
 }
 
 // crashOf returns the crash that ends this start of an upstream.
 func crashOf(u *sageupstream.Entry) sagequarantine.CrashID {
-	return sagequarantine.CrashOf(u.ID, u.Born)
+	return sagequarantine.CrashIDOf(u.ID, u.Born)
 }
 
 // checkCrash finds out whether the upstream crashed under the request, which takes a moment. One that was leaving has
@@ -76,7 +76,7 @@
 
 // abandon notes that this side gave the request up, with which the upstream may go on.
 func (x *exchange) abandon() {
-	x.j.s.Quarantine.Abandoned(sageclock.Now(), crashOf(x.p.Upstream), x.j.fingerprint())
+	x.j.s.Quarantine.RecordAbandoned(sageclock.Now(), crashOf(x.p.Upstream), x.j.fingerprint())
 }
 
 // crashed probes whether an upstream has stopped. Calls at the same time share one probe.
@@ -94,7 +94,7 @@
 	for _, f := range requests {
 		s.Log.Limited(sagelog.KindBelief, "Upstream crashed under a request.", "upstream", u.ID, "service", u.Service, "fingerprint", f.String())
 	}
-	for _, e := range s.Quarantine.Crashed(now, crashOf(u), requests...) {
+	for _, e := range s.Quarantine.RecordCrash(now, crashOf(u), requests...) {
 		s.Log.Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes), "learned", "here", "upstream", u.ID)
 	}
 }
--- a/internal/sagerelay/crash_test.go
+++ b/internal/sagerelay/crash_test.go
@@ -28,7 +28,7 @@
 // suspects returns how many requests a book suspects, once probes are over.
 func suspects(s *Service) int {
 	time.Sleep(2 * crashProbeAfter)
-	n, _ := s.Quarantine.Len()
+	n, _ := s.Quarantine.Counts()
 	return n
 }
 
@@ -80,8 +80,8 @@
 		time.Sleep(time.Second)
 		require.Equal(t, 503, w.callOn(t.Context(), s, nil, "another body").Code, "nothing listens there")
 		require.Equal(t, 1, suspects(s))
-		require.Empty(t, s.Quarantine.Crashed(sageclock.Now(), 1, sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body"))))
-		require.Len(t, s.Quarantine.Crashed(sageclock.Now(), 2, sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body"))), 1, "it was that one")
+		require.Empty(t, s.Quarantine.RecordCrash(sageclock.Now(), 1, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))))
+		require.Len(t, s.Quarantine.RecordCrash(sageclock.Now(), 2, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))), 1, "it was that one")
 	})
 }
 
@@ -90,9 +90,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
 		s := w.service()
-		fatal := sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body"))
+		fatal := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
 		for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-			s.Quarantine.Crashed(sageclock.Now(), c, fatal)
+			s.Quarantine.RecordCrash(sageclock.Now(), c, fatal)
 		}
 		began := time.Now()
 		out := w.callOn(t.Context(), s, nil, "body")
@@ -112,7 +112,7 @@
 		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
 		s := w.service()
 		for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-			s.Quarantine.Crashed(sageclock.Now().Add(-5*time.Minute), c, sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body")))
+			s.Quarantine.RecordCrash(sageclock.Now().Add(-5*time.Minute), c, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body")))
 		}
 		require.Equal(t, 503, w.callOn(t.Context(), s, nil, "body").Code)
 		w.trials = true
@@ -127,10 +127,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, route(sageroute.Idempotent), map[string]upstream{"b": reply(200, seal, "fine")})
 		s := w.service()
-		fatal := sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body"))
+		fatal := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
 		w.names, w.upstreams["a"] = []string{"a", "b"}, func(net.Conn, *http.Request) {
 			for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-				s.Quarantine.Crashed(sageclock.Now(), c, fatal)
+				s.Quarantine.RecordCrash(sageclock.Now(), c, fatal)
 			}
 		}
 		out := w.callOn(t.Context(), s, nil, "body")
@@ -145,10 +145,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
 		s := w.service()
-		f := sagequarantine.Of("acc", "POST", "h.example/x?y=1", []byte("body"))
-		s.Quarantine.Crashed(sageclock.Now(), 1, f)
-		s.Quarantine.Crashed(sageclock.Now(), 2, f)
+		f := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
+		s.Quarantine.RecordCrash(sageclock.Now(), 1, f)
+		s.Quarantine.RecordCrash(sageclock.Now(), 2, f)
 		require.Equal(t, 200, w.callOn(t.Context(), s, nil, "body").Code)
-		require.Empty(t, s.Quarantine.Crashed(sageclock.Now(), 3, f))
+		require.Empty(t, s.Quarantine.RecordCrash(sageclock.Now(), 3, f))
 	})
 }
--- a/internal/sagerelay/fakes_test.go
+++ b/internal/sagerelay/fakes_test.go
@@ -212,7 +212,7 @@
 }
 
 func (f *world) service() *Service {
-	s := &Service{Dialect: testDialect{}, Fleet: f, Metrics: metrics.NewSet(), Log: sagelog.Logger{}, Closing: func() bool { return false }, Quarantine: new(sagequarantine.Book),
+	s := &Service{Dialect: testDialect{}, Fleet: f, Metrics: metrics.NewSet(), Log: sagelog.Logger{}, Closing: func() bool { return false }, Quarantine: new(sagequarantine.Tracker),
 		Trials: func() bool { return f.trials }}
 	s.upstreams.dial = f.dial
 	return s
--- a/internal/sagerelay/service.go
+++ b/internal/sagerelay/service.go
@@ -42,7 +42,7 @@
 	// Closing reports whether callers should use another connection next.
 	Closing func() bool
 	// Quarantine keeps the requests that crash upstreams.
-	Quarantine *sagequarantine.Book
+	Quarantine *sagequarantine.Tracker
 	// Trials reports whether this node is the one that sends trials of quarantined requests.
 	Trials func() bool
 	// BodyBytes bounds the bodies that are held at a time; 0 means no bound.
--- a/internal/sagerouter/await.go
+++ b/internal/sagerouter/await.go
@@ -17,14 +17,14 @@
 // engines have listed what they hold. A request waits for that at most as long as an engine needs to read its
 // shared parts, so that it loses no more than it may save, and only until the recall is over.
 func (f *fleet) Await(ctx context.Context, service string, c sagechain.Chain) {
-	if f.recalled() || f.placer.Known(sageclock.Now(), c) {
+	if f.recalled() || f.placer.HasHolder(sageclock.Now(), c) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.Reads(service, c.Shared().Tokens()))
 	defer cancel()
 	t := time.NewTicker(awaitPoll)
 	defer t.Stop()
-	for !f.recalled() && !f.placer.Known(sageclock.Now(), c) {
+	for !f.recalled() && !f.placer.HasHolder(sageclock.Now(), c) {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/sagerouter/await_test.go
+++ b/internal/sagerouter/await_test.go
@@ -32,7 +32,7 @@
 			f := newFleet(t, 2, 0)
 			f.recalled = func() bool { return tt.recalled }
 			if tt.listed {
-				time.AfterFunc(10*time.Millisecond, func() { f.placer.List(sageclock.Now(), "u1", []uint64{1}) })
+				time.AfterFunc(10*time.Millisecond, func() { f.placer.RecordListed(sageclock.Now(), "u1", []uint64{1}) })
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -40,8 +40,8 @@
 	health   sagehealth.Book
 	paces    paces
 	// rollouts is nil if the fleet carries none out; answers are the counts of their answers by key.
-	rollouts     *sagerollout.Book
-	rolloutPaces sagerollout.Paces
+	rollouts     *sagerollout.Tracker
+	rolloutPaces sagerollout.LatencyTracker
 	answers      sageflight.Counter
 
 	mu      sync.Mutex
@@ -120,7 +120,7 @@
 	if len(warm) == 0 {
 		warm = failing
 	}
-	if arm == sagerollout.Target {
+	if arm == sagerollout.ArmTarget {
 		warm = f.canary(q.Service, warm)
 	}
 	all := set.All(q.Service)
@@ -144,19 +144,19 @@
 		return nil, sagechain.Choice{}
 	}
 	if len(q.Chain) == 0 {
-		return leastLoaded(es, loads), sagechain.Choice{Why: "least_loaded"}
+		return leastLoaded(es, loads), sagechain.Choice{Reason: "least_loaded"}
 	}
 	cands := make([]sagechain.Candidate, len(es))
-	rest := sagechain.Rest{Upstreams: len(all) - len(es), Lag: f.lag(), Run: f.paces.of(q.Service).run.Value()}
+	rest := sagechain.BoundParams{ExcludedUpstreams: len(all) - len(es), CountLag: f.lag(), MeanRunTime: f.paces.of(q.Service).run.Value()}
 	if limit := f.loadCap.Load(); limit != nil {
-		rest.Cap = *limit
+		rest.CapFactor = *limit
 	}
 	for _, e := range all {
-		rest.Load += loads[e.ID]
+		rest.ExcludedLoad += loads[e.ID]
 	}
 	for i, e := range es {
 		cands[i] = sagechain.Candidate{ID: e.ID, Load: loads[e.ID]}
-		rest.Load -= loads[e.ID]
+		rest.ExcludedLoad -= loads[e.ID]
 	}
 	c, _ := f.placer.Choose(now, cands, rest, q.Chain)
 	return es[c.Index], c
@@ -177,25 +177,25 @@
 
 func (f *fleet) picked(set *sageupstream.Set, e *sageupstream.Entry, c sagechain.Choice, loads map[string]int, q *sagerelay.Query) *sagerelay.Pick {
 	p := &sagerelay.Pick{
-		Upstream: e, Why: string(c.Why), Load: loads[e.ID], Unread: q.Chain.Tokens() - max(c.Held, c.Copied), Done: f.flights.Start(e.ID),
+		Upstream: e, Why: string(c.Reason), Load: loads[e.ID], Unread: q.Chain.Tokens() - max(c.HeldTokens, c.CopyTokens), Done: f.flights.Start(e.ID),
 	}
-	if from := set.Reachable(sageclock.Now(), c.From); from != nil {
+	if from := set.Reachable(sageclock.Now(), c.CopyFrom); from != nil {
 		p.From = from.Address
 	}
 	return p
 }
 
 // source judges whether an upstream can be copied from: it runs, and its answers don't break.
-func (f *fleet) source(upstream string) sagechain.Source {
+func (f *fleet) source(upstream string) sagechain.SourceTrust {
 	now := sageclock.Now()
 	e := f.view.set.Load().Reachable(now, upstream)
 	switch {
 	case e == nil || f.health.Out(now, e.Service, upstream):
-		return sagechain.NoSource
+		return sagechain.SourceUnusable
 	case f.health.Suspect(now, e.Service, upstream):
-		return sagechain.SuspectSource
+		return sagechain.SourceSuspect
 	}
-	return sagechain.SoundSource
+	return sagechain.SourceTrusted
 }
 
 func (f *fleet) coldRate(service string) float64 {
@@ -272,7 +272,7 @@
 
 // Read implements [sagerelay.Fleet].
 func (f *fleet) Read(u *sageupstream.Entry, c sagechain.Chain) {
-	f.placer.Note(sageclock.Now(), u.ID, c)
+	f.placer.Record(sageclock.Now(), u.ID, c)
 }
 
 // Gone implements [sagerelay.Fleet].
--- a/internal/sagerouter/gauges.go
+++ b/internal/sagerouter/gauges.go
@@ -32,8 +32,8 @@
 		}
 		return 0
 	})
-	n.metrics.NewGauge("sagestand_suspect_requests", func() float64 { suspects, _ := n.quarantine.Len(); return float64(suspects) })
-	n.metrics.NewGauge("sagestand_quarantined_requests", func() float64 { _, quarantined := n.quarantine.Len(); return float64(quarantined) })
+	n.metrics.NewGauge("sagestand_suspect_requests", func() float64 { suspects, _ := n.quarantine.Counts(); return float64(suspects) })
+	n.metrics.NewGauge("sagestand_quarantined_requests", func() float64 { _, quarantined := n.quarantine.Counts(); return float64(quarantined) })
 	if n.Dropped != nil {
 		n.metrics.NewGauge("sagestand_log_lines_dropped_total", func() float64 { return float64(n.Dropped()) })
 	}
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -101,7 +101,7 @@
 	names   atomic.Pointer[[]string] // of the nodes in the store
 	reach   sagefresh.Proof          // of the store
 	// quarantine are the requests that crash upstreams.
-	quarantine sagequarantine.Book
+	quarantine sagequarantine.Tracker
 	leaving    atomic.Bool
 }
 
@@ -184,9 +184,9 @@
 		retries: sageshare.Retries{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
-		n.fleet.rollouts = new(sagerollout.Book)
+		n.fleet.rollouts = new(sagerollout.Tracker)
 	}
-	placer.Source = n.fleet.source
+	placer.SourceTrust = n.fleet.source
 	n.fleet.recalled = func() bool { return n.recall.informed.Load() }
 	n.fleet.bounds(&cfg.Bounds)
 	n.relay = &sagerelay.Service{
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -39,7 +39,7 @@
 func (n *Node) applyQuarantines(changes []sagefollow.Change, _ bool) {
 	log := n.Log.Part("quarantine")
 	for _, c := range changes {
-		f, err := sagequarantine.Parse(c.Object.Name)
+		f, err := sagequarantine.ParseFingerprint(c.Object.Name)
 		if err != nil {
 			log.Warn("Object names no request.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
 			continue
@@ -71,7 +71,7 @@
 
 // learnCrashes takes in the crashes that another node reports.
 func (n *Node) learnCrashes(now sageclock.Instant, h *sagemesh.Heartbeat) {
-	for _, e := range n.quarantine.Learn(now, h.Crashes, h.Cleared) {
+	for _, e := range n.quarantine.Merge(now, h.Crashes, h.Cleared) {
 		n.Log.Part("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
 			"learned", "node", "from", h.Node)
 	}
@@ -82,7 +82,7 @@
 type quarantineKeeper struct {
 	Self string
 	Kind string
-	Book *sagequarantine.Book
+	Book *sagequarantine.Tracker
 	// Store takes the writes.
 	Store Store
 	// Rank is this node's place among the live nodes; a negative one keeps it from writing.
--- a/internal/sagerouter/quarantine_test.go
+++ b/internal/sagerouter/quarantine_test.go
@@ -55,9 +55,9 @@
 	if s.objects == nil {
 		s.objects = make(map[string]bool)
 	}
-	b := new(sagequarantine.Book)
+	b := new(sagequarantine.Tracker)
 	for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-		b.Crashed(begun, c, fatal)
+		b.RecordCrash(begun, c, fatal)
 	}
 	return &quarantineKeeper{Self: "vm1", Kind: "q", Book: b, Store: s, Rank: func() int { return rank }, Log: sagelog.New(io.Discard, "vm1")}
 }
@@ -73,7 +73,7 @@
 	k.Book.Restore(begun, fatal)
 	k.reconcile(t.Context(), begun.Add(time.Minute))
 	require.Equal(t, 1, s.writes)
-	over := begun.Add(sagequarantine.QuarantineFor)
+	over := begun.Add(sagequarantine.QuarantineDuration)
 	k.reconcile(t.Context(), over)
 	k.reconcile(t.Context(), over.Add(2*reconcileRank))
 	require.Empty(t, s.objects, "its quarantine is over")
@@ -99,9 +99,9 @@
 	n := &Node{Log: sagelog.New(io.Discard, "vm1")}
 	object := func(name string) sagefollow.Object { return sagefollow.Object{Name: name, Revision: 1} }
 	n.applyQuarantines([]sagefollow.Change{{Object: object("no fingerprint")}, {Object: object(fatal.String())}}, false)
-	_, ok := n.quarantine.Quarantined(sageclock.Now(), fatal)
+	_, ok := n.quarantine.QuarantinedUntil(sageclock.Now(), fatal)
 	require.True(t, ok)
 	n.applyQuarantines([]sagefollow.Change{{Object: object(fatal.String()), Deleted: true}, {Object: object("no fingerprint"), Deleted: true}}, false)
-	_, ok = n.quarantine.Quarantined(sageclock.Now(), fatal)
+	_, ok = n.quarantine.QuarantinedUntil(sageclock.Now(), fatal)
 	require.False(t, ok)
 }
--- a/internal/sagerouter/recall.go
+++ b/internal/sagerouter/recall.go
@@ -147,7 +147,7 @@
 func (r *recall) tell() {
 	r.mu.Lock()
 	for upstream, parts := range r.found {
-		r.Placer.List(sageclock.Now(), upstream, parts)
+		r.Placer.RecordListed(sageclock.Now(), upstream, parts)
 	}
 	r.mu.Unlock()
 	r.Tell()
@@ -210,8 +210,8 @@
 		r.Log.Warn("Peer did not tell what engines hold.", "peer", peer, "err", err)
 		return false
 	}
-	r.Placer.Learn(sageclock.Now(), held.Observed)
-	r.Placer.LearnListed(sageclock.Now(), held.Listed)
+	r.Placer.Merge(sageclock.Now(), held.Observed)
+	r.Placer.MergeListed(sageclock.Now(), held.Listed)
 	r.Log.Info("Learnt from a peer what engines hold.", "peer", peer, "told", len(held.Observed), "listed", len(held.Listed))
 	return true
 }
--- a/internal/sagerouter/recall_test.go
+++ b/internal/sagerouter/recall_test.go
@@ -122,11 +122,11 @@
 func (f *recallFleet) tell(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	told, listed := f.nodes[name].Placer.News(heldNotes), f.nodes[name].Placer.NewsListed(listedNotes)
+	told, listed := f.nodes[name].Placer.TakeUpdates(heldNotes), f.nodes[name].Placer.TakeListedUpdates(listedNotes)
 	for other, n := range f.nodes {
 		if other != name && n.live {
-			n.Placer.Learn(sageclock.Now(), told)
-			n.Placer.LearnListed(sageclock.Now(), listed)
+			n.Placer.Merge(sageclock.Now(), told)
+			n.Placer.MergeListed(sageclock.Now(), listed)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		f := newRecallFleet(t, 12, names...)
 		for i, name := range names {
 			n := f.start(ctx, name, fmt.Sprintf("dc%d", i%3))
-			n.Placer.Note(sageclock.Now(), f.engines[i].ID, sagechain.Chain{{ID: 7, Tokens: 500}, {ID: uint64(i), Tokens: 10}})
+			n.Placer.Record(sageclock.Now(), f.engines[i].ID, sagechain.Chain{{ID: 7, Tokens: 500}, {ID: uint64(i), Tokens: 10}})
 			time.Sleep(45 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
@@ -183,7 +183,7 @@
 		f := newRecallFleet(t, 12, "n0", "n1", "n2")
 		old := f.start(ctx, "n0", "dc0")
 		time.Sleep(2 * time.Second)
-		old.Placer.Learn(sageclock.Now(), f.holds)
+		old.Placer.Merge(sageclock.Now(), f.holds)
 		clear(f.asks)
 		f.known = false
 		late := f.start(ctx, "n1", "dc0")
@@ -202,7 +202,7 @@
 		f := newRecallFleet(t, 12, "n0", "n1", "n2", "n3", "n4", "n5")
 		old := f.start(ctx, "n0", "dc0")
 		time.Sleep(2 * time.Second)
-		old.Placer.Learn(sageclock.Now(), f.holds)
+		old.Placer.Merge(sageclock.Now(), f.holds)
 		clear(f.asks)
 		late := f.start(ctx, "n1", "dc0")
 		f.mu.Lock()
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -47,9 +47,9 @@
 
 // learnPlan takes in a plan from any node.
 func (n *Node) learnPlan(now sageclock.Instant, p sagerollout.Plan) {
-	if n.fleet.rollouts.Learn(p) {
-		n.Log.Part("rollouts").Info("Rollout phase.", "order", p.Order, "phase", p.Phase.String(), "share", p.Share,
-			"version", p.Version, "by", p.By, "age_ms", now.Sub(p.Issued).Milliseconds())
+	if n.fleet.rollouts.MergePlan(p) {
+		n.Log.Part("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
+			"version", p.Sequence, "by", p.Controller, "age_ms", now.Sub(p.IssuedAt).Milliseconds())
 	}
 }
 
@@ -93,12 +93,12 @@
 			c.stepOne(ctx, now, e)
 		}
 	}
-	c.controller.Keep(func(order uint64) bool { return live[order] })
+	c.controller.Retain(func(order uint64) bool { return live[order] })
 }
 
 func (c *rolloutController) stepOne(ctx context.Context, now sageclock.Instant, e sagerollout.Entry) {
 	n := c.node
-	evidence := sagerollout.Gather(e.Order.ID, n.fleet.answers.Sum(now))
+	evidence := sagerollout.CollectEvidence(e.Order.ID, n.fleet.answers.Sum(now))
 	sees := n.fleet.rolloutFleet(now, &e.Order)
 	p := c.controller.Step(now, e.Order, e.Plan, evidence, sees)
 	if p.Phase != e.Plan.Phase {
@@ -119,12 +119,12 @@
 
 // write has the store show how far an order is.
 func (c *rolloutController) write(ctx context.Context, now sageclock.Instant, o sagerollout.Order, p sagerollout.Phase) {
-	state := sagerollout.Running
+	state := sagerollout.StateRunning
 	switch p {
-	case sagerollout.Done:
-		state = sagerollout.Completed
-	case sagerollout.Undone:
-		state = sagerollout.RolledBack
+	case sagerollout.PhaseDone:
+		state = sagerollout.StateCompleted
+	case sagerollout.PhaseRolledBack:
+		state = sagerollout.StateRolledBack
 	}
 	if o.State == state || now.Sub(c.wrote[o.ID]) < statusWithin+statusPause {
 		return
@@ -152,10 +152,10 @@
 }
 
 // rolloutFleet returns what the controller needs to know of an order's service.
-func (f *fleet) rolloutFleet(now sageclock.Instant, o *sagerollout.Order) sagerollout.Fleet {
+func (f *fleet) rolloutFleet(now sageclock.Instant, o *sagerollout.Order) sagerollout.ServiceLoad {
 	set := f.view.set.Load()
 	loads := f.flights.Sum(now)
-	var out sagerollout.Fleet
+	var out sagerollout.ServiceLoad
 	for _, e := range set.Of(o.Service) {
 		switch {
 		case e.Version != o.Target:
@@ -179,7 +179,7 @@
 	if f.rollouts == nil {
 		return all
 	}
-	admits := f.rollouts.Filter(service, arm)
+	admits := f.rollouts.VersionFilter(service, arm)
 	if admits == nil {
 		return all
 	}
@@ -196,29 +196,29 @@
 func (f *fleet) arm(now sageclock.Instant, service, route string, first bool) sagerollout.Arm {
 	switch {
 	case f.rollouts == nil:
-		return sagerollout.Any
+		return sagerollout.ArmAny
 	case first:
 		return f.rollouts.Arm(now, service, route)
 	}
-	return f.rollouts.Repeat(now, service)
+	return f.rollouts.RetryArm(now, service)
 }
 
 // otherArm returns the arm to use when one has no upstream left, or false if the request has to be refused.
 // The target stands in for the baseline only while the order runs and nothing of the baseline is registered.
 func (f *fleet) otherArm(set *sageupstream.Set, service string, arm sagerollout.Arm) (sagerollout.Arm, bool) {
 	switch {
-	case arm == sagerollout.Target:
-		return sagerollout.Baseline, true
-	case arm == sagerollout.Any || !f.rollouts.Running(service):
+	case arm == sagerollout.ArmTarget:
+		return sagerollout.ArmBaseline, true
+	case arm == sagerollout.ArmAny || !f.rollouts.Running(service):
 		return arm, false
 	}
-	admits := f.rollouts.Filter(service, sagerollout.Baseline)
+	admits := f.rollouts.VersionFilter(service, sagerollout.ArmBaseline)
 	for _, e := range set.All(service) {
 		if admits == nil || admits(e.Version) {
 			return arm, false
 		}
 	}
-	return sagerollout.Target, true
+	return sagerollout.ArmTarget, true
 }
 
 // leastCanary is the least number of upstreams that a canary uses: one may be sick itself.
@@ -226,7 +226,7 @@
 
 // canary returns the upstreams of the target that the canary uses, the same ones on all nodes.
 func (f *fleet) canary(service string, es []*sageupstream.Entry) []*sageupstream.Entry {
-	n := int(math.Ceil(f.rollouts.Canary(service) * float64(len(es))))
+	n := int(math.Ceil(f.rollouts.CanaryFraction(service) * float64(len(es))))
 	return es[:min(len(es), max(leastCanary, n))]
 }
 
@@ -238,16 +238,16 @@
 		return
 	}
 	u := p.Upstream
-	t := sagerollout.Times{Pause: a.Pause, Whole: a.Whole}
+	t := sagerollout.Latencies{EventInterval: a.Pause, Total: a.Whole}
 	if a.First > 0 {
-		t.First = max(1, a.First-f.Reads(u.Service, p.Unread))
+		t.FirstEvent = max(1, a.First-f.Reads(u.Service, p.Unread))
 	}
 	cold := u.ColdUntil > sageclock.Now()
 	if cold && !a.Failed {
 		return
 	}
-	slow := !a.Failed && f.rolloutPaces.Slow(route, t)
-	f.rollouts.Note(u.Service, u.Version, route, a.Failed || slow)
+	slow := !a.Failed && f.rolloutPaces.IsSlow(route, t)
+	f.rollouts.RecordAnswer(u.Service, u.Version, route, a.Failed || slow)
 	if !a.Failed && !f.rollouts.IsTarget(u.Service, u.Version) {
 		f.rolloutPaces.Add(route, t)
 	}
--- a/internal/sagerouter/rollouts_test.go
+++ b/internal/sagerouter/rollouts_test.go
@@ -59,10 +59,10 @@
 			e.Version = "v2"
 		}
 	}
-	f.rollouts = new(sagerollout.Book)
-	p.Order, p.Version, p.Issued = 1, 1, sageclock.Now()
-	require.True(t, f.rollouts.Put(sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Deadline: p.Issued.Add(time.Minute)}))
-	f.rollouts.Learn(p)
+	f.rollouts = new(sagerollout.Tracker)
+	p.OrderID, p.Sequence, p.IssuedAt = 1, 1, sageclock.Now()
+	require.True(t, f.rollouts.Put(sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Deadline: p.IssuedAt.Add(time.Minute)}))
+	f.rollouts.MergePlan(p)
 	return f
 }
 
@@ -81,7 +81,7 @@
 // A canary that is spread over all of the target's upstreams loads none of them, and a version that is bad under
 // load only is promoted.
 func TestCanaryUsesFewUpstreams(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Canary, Share: 0.1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseCanary, Share: 0.1})
 	got := pickMany(f, 1000)
 	require.InDelta(t, 100, got["u5"]+got["u6"], 1)
 	require.Zero(t, got["u7"]+got["u8"]+got["u9"])
@@ -89,21 +89,21 @@
 }
 
 func TestFullUsesTheTargetOnly(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Full, Share: 1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseFull, Share: 1})
 	got := pickMany(f, 200)
 	require.Equal(t, 200, got["u5"]+got["u6"]+got["u7"]+got["u8"]+got["u9"])
 	require.NotEmpty(t, pickMany(f, 10, "u5", "u6", "u7", "u8", "u9"), "the baseline serves what the target can't")
 }
 
 func TestUndoneVersionGetsNothing(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Undone})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseRolledBack})
 	got := pickMany(f, 200)
 	require.Zero(t, got["u5"]+got["u6"]+got["u7"]+got["u8"]+got["u9"])
 }
 
 // A service whose upstreams all run the target already is refused for the time of the order.
 func TestTargetAloneServes(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Pending})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhasePending})
 	for _, e := range f.view.set.Load().Of("s") {
 		e.Version = "v2"
 	}
@@ -112,7 +112,7 @@
 
 // A version that is several times slower passes for a good one, since every answer comes in the end.
 func TestSlowAnswersOfTheTargetAreBad(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Canary, Share: 0.1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseCanary, Share: 0.1})
 	set := f.view.set.Load()
 	old, fresh := &sagerelay.Pick{Upstream: set.Get("u0")}, &sagerelay.Pick{Upstream: set.Get("u5")}
 	for range 20 {
@@ -121,7 +121,7 @@
 	f.Answered(fresh, "r", sagerelay.Answer{Pause: 90 * time.Millisecond})
 	f.Answered(fresh, "r", sagerelay.Answer{Pause: 25 * time.Millisecond})
 	f.Answered(fresh, "r", sagerelay.Answer{Failed: true})
-	sum := sagerollout.Gather(1, f.rollouts.Counts())["r"]
+	sum := sagerollout.CollectEvidence(1, f.rollouts.Counts())["r"]
 	require.Equal(t, sagerollout.Count{Good: 1, Bad: 2}, sum.Target)
 	require.Equal(t, sagerollout.Count{Good: 20}, sum.Baseline)
 }
--- a/internal/sagerouter/settings.go
+++ b/internal/sagerouter/settings.go
@@ -67,7 +67,7 @@
 
 // rollouts returns the bounds on rollouts.
 func (b *Bounds) rollouts() sagerollout.Bounds {
-	return sagerollout.Bounds{Share: b.Rollouts.ExposedShare, Slack: b.Rollouts.ExposedSlack}
+	return sagerollout.Bounds{ExposedShare: b.Rollouts.ExposedShare, ExposedSlack: b.Rollouts.ExposedSlack}
 }
 
 // Settings of a node.
--- a/internal/sagerouter/tell.go
+++ b/internal/sagerouter/tell.go
@@ -45,7 +45,7 @@
 
 // fillNews adds what the other nodes have not been told.
 func (n *Node) fillNews(h *sagemesh.Heartbeat) {
-	h.Held, h.Listed = n.fleet.placer.News(heldNotes), n.fleet.placer.NewsListed(listedNotes)
+	h.Held, h.Listed = n.fleet.placer.TakeUpdates(heldNotes), n.fleet.placer.TakeListedUpdates(listedNotes)
 }
 
 // fillSum adds what this data centre's nodes count, or what all do.
@@ -93,8 +93,8 @@
 	if len(h.Broken) > 0 || h.Sum != nil {
 		n.fleet.told(now)
 	}
-	n.fleet.placer.Learn(now, h.Held)
-	n.fleet.placer.LearnListed(now, h.Listed)
+	n.fleet.placer.Merge(now, h.Held)
+	n.fleet.placer.MergeListed(now, h.Listed)
 	if stamp == 0 {
 		return
 	}
--- a/internal/sagerouter/view_test.go
+++ b/internal/sagerouter/view_test.go
@@ -126,7 +126,7 @@
 func TestFirstListingKeepsWhatPeersTold(t *testing.T) {
 	v := newView()
 	now := sageclock.Now()
-	v.placer.Learn(now, map[string][]uint64{"e1": {1, 2}})
+	v.placer.Merge(now, map[string][]uint64{"e1": {1, 2}})
 	v.applyUpstreams([]sagefollow.Change{put("e1", 5, `{"Service":"s","Address":"a:1","Born":7}`)}, false)
 	require.Len(t, v.placer.All(now)["e1"], 2)
 	v.applyUpstreams([]sagefollow.Change{put("e1", 6, `{"Service":"s","Address":"a:1","Born":8}`)}, false)
@@ -138,7 +138,7 @@
 	v := newView()
 	now := sageclock.Now()
 	v.applyUpstreams([]sagefollow.Change{put("e1", 5, `{"Service":"s","Address":"a:1","Born":7}`)}, false)
-	v.placer.Learn(now, map[string][]uint64{"e1": {1, 2}})
+	v.placer.Merge(now, map[string][]uint64{"e1": {1, 2}})
 	gone := put("e1", 6, `{}`)
 	gone.Deleted = true
 	v.applyUpstreams([]sagefollow.Change{gone}, false)
--- a/pkg/sagechain/bound.go
+++ b/pkg/sagechain/bound.go
@@ -4,7 +4,7 @@
 
 // The bound on an upstream's load, in requests in flight.
 const (
-	// capSlack is what the platform tolerates beyond [Rest.Cap] times the mean; capMargin covers one request
+	// capSlack is what the platform tolerates beyond [Rest.CapFactor] times the mean; capMargin covers one request
 	// that another node sends at the same moment, and half of one for counts that are rounded.
 	capSlack  = 3.0
 	capMargin = 1.5
@@ -16,45 +16,45 @@
 	evenSlack = 1.0
 )
 
-// UsualCap is the cap of the known platforms.
-const UsualCap = 2.0
+// DefaultCapFactor is the cap of the known platforms.
+const DefaultCapFactor = 2.0
 
-// Rest are the upstreams of the service that may not be chosen: cold ones, those of data centres out
+// BoundParams are the upstreams of the service that may not be chosen: cold ones, those of data centres out
 // of service, those that failed.
-type Rest struct {
+type BoundParams struct {
 	// Cap is how many times the mean load of all upstreams of the service the platform tolerates at one;
-	// 0 means [UsualCap].
-	Cap       float64
-	Upstreams int
-	Load      int
+	// 0 means [DefaultCapFactor].
+	CapFactor         float64
+	ExcludedUpstreams int
+	ExcludedLoad      int
 	// Lag is the time between two statements of the other nodes' counts.
-	Lag time.Duration
+	CountLag time.Duration
 	// Run is how long a request runs in the mean. What an upstream got during the lag is the mean load
 	// times the lag over it.
-	Run time.Duration
+	MeanRunTime time.Duration
 }
 
-// Bound returns the greatest load at which an upstream may still be chosen. Below the cap, holding a chain
+// LoadBound returns the greatest load at which an upstream may still be chosen. Below the cap, holding a chain
 // counts more than an idle engine: a step takes some hundredths longer for each run beside it, while reading
 // a usual chain again takes a hundred steps.
 //
 // It guards against engines above the platform's cap when others may not be used: an idle engine that
 // is out of service lowers the mean that the cap is taken from, and the fewer are left, the more
 // evenly they have to be loaded.
-func Bound(cands []Candidate, rest Rest) float64 {
+func LoadBound(cands []Candidate, rest BoundParams) float64 {
 	total := 0
 	for i := range cands {
 		total += cands[i].Load
 	}
 	mean := float64(total) / float64(max(1, len(cands)))
-	all := float64(total+rest.Load) / float64(max(1, len(cands)+rest.Upstreams))
+	all := float64(total+rest.ExcludedLoad) / float64(max(1, len(cands)+rest.ExcludedUpstreams))
 	unseen := 0.0
-	if rest.Run > 0 {
-		unseen = all * float64(min(rest.Lag, mostLag)) / float64(rest.Run)
+	if rest.MeanRunTime > 0 {
+		unseen = all * float64(min(rest.CountLag, mostLag)) / float64(rest.MeanRunTime)
 	}
-	factor := rest.Cap
+	factor := rest.CapFactor
 	if factor == 0 {
-		factor = UsualCap
+		factor = DefaultCapFactor
 	}
 	return max(factor*all+capSlack-capMargin-unseen, mean+evenSlack)
 }
--- a/pkg/sagechain/chain.go
+++ b/pkg/sagechain/chain.go
@@ -36,7 +36,7 @@
 }
 
 // Own returns the part that belongs to the request alone.
-func (c Chain) Own() uint64 {
+func (c Chain) UniquePart() uint64 {
 	if len(c) == 0 {
 		return 0
 	}
--- a/pkg/sagechain/listed_test.go
+++ b/pkg/sagechain/listed_test.go
@@ -38,11 +38,11 @@
 	p := new(Placer)
 	now := sageclock.Instant(time.Hour)
 	for i := range uint64(500) {
-		p.Note(now, fmt.Sprintf("e%d", i%60), Chain{{ID: 1, Tokens: 500}, {ID: 100 + i, Tokens: 9000}, {ID: 5000 + i, Tokens: 10}})
+		p.Record(now, fmt.Sprintf("e%d", i%60), Chain{{ID: 1, Tokens: 500}, {ID: 100 + i, Tokens: 9000}, {ID: 5000 + i, Tokens: 10}})
 	}
 	before := sorted(p.All(now))
 	for u, parts := range lists(60) {
-		p.List(now, u, parts)
+		p.RecordListed(now, u, parts)
 	}
 	require.Equal(t, before, sorted(p.All(now)))
 	require.LessOrEqual(t, p.listed.parts, maxListed)
@@ -54,19 +54,19 @@
 	p := new(Placer)
 	now := sageclock.Instant(time.Hour)
 	for u, parts := range lists(4) {
-		p.List(now, u, parts)
+		p.RecordListed(now, u, parts)
 	}
 	cands := []Candidate{{ID: "e0"}, {ID: "e1"}, {ID: "e2"}, {ID: "e3"}}
 	c := Chain{{ID: 1, Tokens: 500}, {ID: 1_000_000 + 300*2 + 7, Tokens: 9000}, {ID: 9, Tokens: 10}}
-	got, _ := p.Choose(now, cands, Rest{}, c)
+	got, _ := p.Choose(now, cands, BoundParams{}, c)
 	require.Equal(t, "e2", cands[got.Index].ID)
-	require.Equal(t, WhyHeld, got.Why)
+	require.Equal(t, ReasonHoldsChain, got.Reason)
 	cands[2].Load = 50
-	got, _ = p.Choose(now, cands, Rest{}, c)
+	got, _ = p.Choose(now, cands, BoundParams{}, c)
 	require.NotEqual(t, "e2", cands[got.Index].ID)
-	require.Equal(t, "e2", got.From)
-	got, _ = p.Choose(now.Add(listedFor), cands, Rest{}, c)
-	require.Equal(t, WhyOrder, got.Why, "a list grows old")
+	require.Equal(t, "e2", got.CopyFrom)
+	got, _ = p.Choose(now.Add(listedFor), cands, BoundParams{}, c)
+	require.Equal(t, ReasonHashOrder, got.Reason, "a list grows old")
 	p.Forget("e2")
 	require.NotContains(t, p.AllListed(now), "e2")
 }
@@ -75,8 +75,8 @@
 	p := new(Placer)
 	now := sageclock.Instant(time.Hour)
 	for u, parts := range lists(400) {
-		p.List(now, u, parts)
-		p.List(now, u, parts)
+		p.RecordListed(now, u, parts)
+		p.RecordListed(now, u, parts)
 	}
 	require.Equal(t, maxListed, p.listed.parts)
 	sum := 0
@@ -84,7 +84,7 @@
 		sum += len(parts)
 	}
 	require.Equal(t, maxListed, sum)
-	require.Len(t, p.NewsListed(10), 1)
+	require.Len(t, p.TakeListedUpdates(10), 1)
 	p.listed.forget(now.Add(listedFor), "")
 	require.Zero(t, p.listed.parts)
 }
--- a/pkg/sagechain/load_test.go
+++ b/pkg/sagechain/load_test.go
@@ -57,7 +57,7 @@
 		gone: make(map[string]bool), seen: make(map[uint64]bool),
 	}
 	m.choose = func(p *Placer, now sageclock.Instant, cands []Candidate, c Chain) Choice {
-		ch, _ := p.Choose(now, cands, Rest{Lag: m.tell, Run: runFor}, c)
+		ch, _ := p.Choose(now, cands, BoundParams{CountLag: m.tell, MeanRunTime: runFor}, c)
 		return ch
 	}
 	for i := range m.own {
@@ -109,10 +109,10 @@
 		for u, n := range m.own[i] {
 			m.told[i][u] = n
 		}
-		news := m.placers[i].News(400)
+		news := m.placers[i].TakeUpdates(400)
 		for j := range m.placers {
 			if j != i {
-				m.placers[j].Learn(now, news)
+				m.placers[j].Merge(now, news)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 	}
 	ch := m.choose(&m.placers[node], now, cands, c)
 	engine := cands[ch.Index].ID
-	m.placers[node].Note(now, engine, c)
+	m.placers[node].Record(now, engine, c)
 	m.own[node][engine]++
 	real := 0
 	for j := range m.own {
@@ -149,7 +149,7 @@
 	if float64(real) > 2*float64(total)/float64(len(cands))+3 {
 		m.over++
 	}
-	m.readChain(now, engine, ch.From, c)
+	m.readChain(now, engine, ch.CopyFrom, c)
 	return engine
 }
 
--- a/pkg/sagechain/placer.go
+++ b/pkg/sagechain/placer.go
@@ -20,14 +20,14 @@
 	Load int
 }
 
-// Why says what decided a choice.
-type Why string
+// Reason says what decided a choice.
+type Reason string
 
 // The reasons of a choice.
 const (
-	WhyHeld  Why = "holds_chain"
-	WhyOrder Why = "order"
-	WhyFull  Why = "all_at_bound"
+	ReasonHoldsChain Reason = "holds_chain"
+	ReasonHashOrder  Reason = "order"
+	ReasonAllAtBound Reason = "all_at_bound"
 )
 
 // Choice is a decision.
@@ -35,29 +35,29 @@
 	// Index is the place among the candidates.
 	Index int
 	// Held is how many shared tokens the chosen upstream is believed to hold.
-	Held int
+	HeldTokens int
 	// From is the upstream that holds more of the chain and can pass it on; empty if none does. Copied is
 	// how many shared tokens it is believed to hold.
-	From   string
-	Copied int
-	Why    Why
+	CopyFrom   string
+	CopyTokens int
+	Reason     Reason
 }
 
-// Source says how well an upstream serves as the source of a copy.
-type Source int
+// SourceTrust says how well an upstream serves as the source of a copy.
+type SourceTrust int
 
 // What is thought of a source. One that stopped passes nothing on, and the parts are read again.
 const (
-	NoSource Source = iota
-	SuspectSource
-	SoundSource
+	SourceUnusable SourceTrust = iota
+	SourceSuspect
+	SourceTrusted
 )
 
 // Placer chooses upstreams for chains. It is safe for concurrent use.
 type Placer struct {
-	// Source judges whether an upstream can pass parts on to others; nil means that all can. It is set
+	// SourceTrust judges whether an upstream can pass parts on to others; nil means that all can. It is set
 	// before use.
-	Source func(upstream string) Source
+	SourceTrust func(upstream string) SourceTrust
 
 	mu     sync.Mutex
 	held   held
@@ -65,33 +65,33 @@
 }
 
 // Choose returns where a request with this chain goes, or false if there are no candidates.
-func (p *Placer) Choose(now sageclock.Instant, cands []Candidate, rest Rest, c Chain) (Choice, bool) {
+func (p *Placer) Choose(now sageclock.Instant, cands []Candidate, rest BoundParams, c Chain) (Choice, bool) {
 	if len(cands) == 0 {
 		return Choice{}, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	shared, bound := c.Shared(), Bound(cands, rest)
+	shared, bound := c.Shared(), LoadBound(cands, rest)
 	want := shared.Tokens()
 	var room [usualParts]map[string]*holder
 	seen := p.held.look(now, shared, &p.listed, &room)
 	holders, others := split(cands, &seen, want, bound, c)
-	best := Choice{Index: holders.lesser(cands), Why: WhyHeld}
+	best := Choice{Index: holders.lesser(cands), Reason: ReasonHoldsChain}
 	if best.Index < 0 {
-		best = Choice{Index: others.lesser(cands), Why: WhyOrder}
+		best = Choice{Index: others.lesser(cands), Reason: ReasonHashOrder}
 	}
 	if best.Index < 0 {
-		best = Choice{Index: anyTwo(cands, c).lesser(cands), Why: WhyFull}
+		best = Choice{Index: anyTwo(cands, c).lesser(cands), Reason: ReasonAllAtBound}
 	}
-	best.Held = seen.prefix(cands[best.Index].ID)
-	if best.From = p.source(&seen, cands[best.Index].ID, best.Held); best.From != "" {
-		best.Copied = seen.prefix(best.From)
+	best.HeldTokens = seen.prefix(cands[best.Index].ID)
+	if best.CopyFrom = p.source(&seen, cands[best.Index].ID, best.HeldTokens); best.CopyFrom != "" {
+		best.CopyTokens = seen.prefix(best.CopyFrom)
 	}
 	return best, true
 }
 
 // Known reports whether some upstream is believed to hold all shared parts of a chain.
-func (p *Placer) Known(now sageclock.Instant, c Chain) bool {
+func (p *Placer) HasHolder(now sageclock.Instant, c Chain) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	shared := c.Shared()
@@ -121,7 +121,7 @@
 // told to copy from one reads everything itself, although another one that read it since could have
 // passed it on.
 func (p *Placer) source(seen *sight, chosen string, has int) string {
-	from, most, trust, used := "", 0, NoSource, sageclock.Instant(0)
+	from, most, trust, used := "", 0, SourceUnusable, sageclock.Instant(0)
 	if seen.chain.Tokens() < has+worthCopying {
 		return from
 	}
@@ -130,12 +130,12 @@
 		if u == chosen || n < has+worthCopying {
 			return
 		}
-		t := SoundSource
-		if p.Source != nil {
-			t = p.Source(u)
+		t := SourceTrusted
+		if p.SourceTrust != nil {
+			t = p.SourceTrust(u)
 		}
 		at := seen.used(u)
-		if cmp.Or(cmp.Compare(t, trust), cmp.Compare(n, most), cmp.Compare(at, used), strings.Compare(from, u)) > 0 && t > NoSource {
+		if cmp.Or(cmp.Compare(t, trust), cmp.Compare(n, most), cmp.Compare(at, used), strings.Compare(from, u)) > 0 && t > SourceUnusable {
 			from, most, trust, used = u, n, t, at
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // Note remembers that an upstream reads the chain of a request.
-func (p *Placer) Note(now sageclock.Instant, upstream string, c Chain) {
+func (p *Placer) Record(now sageclock.Instant, upstream string, c Chain) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, part := range c.Shared() {
@@ -161,7 +161,7 @@
 
 // News returns up to n facts that other nodes have not been told, the newest first, as parts by
 // upstream, and takes them as told.
-func (p *Placer) News(n int) map[string][]uint64 {
+func (p *Placer) TakeUpdates(n int) map[string][]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	from := max(0, len(p.held.news)-n)
@@ -171,7 +171,7 @@
 }
 
 // Learn takes in the parts by upstream that another node told.
-func (p *Placer) Learn(now sageclock.Instant, told map[string][]uint64) {
+func (p *Placer) Merge(now sageclock.Instant, told map[string][]uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for u, parts := range told {
@@ -194,7 +194,7 @@
 
 // List takes in what an upstream itself says it holds, and has it told to the other nodes, each time
 // anew: nodes that joined since have not been told.
-func (p *Placer) List(now sageclock.Instant, upstream string, parts []uint64) {
+func (p *Placer) RecordListed(now sageclock.Instant, upstream string, parts []uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hashes := make([]PartHash, len(parts))
@@ -207,7 +207,7 @@
 
 // NewsListed returns up to n parts that upstreams listed and other nodes have not been told, by upstream,
 // and takes them as told.
-func (p *Placer) NewsListed(n int) map[string][]PartHash {
+func (p *Placer) TakeListedUpdates(n int) map[string][]PartHash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	from := max(0, len(p.listed.news)-n)
@@ -223,7 +223,7 @@
 }
 
 // LearnListed takes in parts that upstreams listed, by upstream, as another node told.
-func (p *Placer) LearnListed(now sageclock.Instant, told map[string][]PartHash) {
+func (p *Placer) MergeListed(now sageclock.Instant, told map[string][]PartHash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for u, parts := range told {
--- a/pkg/sagechain/spread.go
+++ b/pkg/sagechain/spread.go
@@ -40,7 +40,7 @@
 // loads alone, sends all of a hot chain's requests there until the counts arrive. The order of a
 // request's own part differs from request to request; the lesser of two then evens the rest out.
 func split(cands []Candidate, seen *sight, want int, bound float64, c Chain) (holders, others pair) {
-	own, key := c.Own(), c.Key()
+	own, key := c.UniquePart(), c.Key()
 	var first pair
 	held := want == 0
 	for i := range cands {
@@ -70,7 +70,7 @@
 func anyTwo(cands []Candidate, c Chain) *pair {
 	var p pair
 	for i := range cands {
-		p.add(i, order(c.Own(), cands[i].ID))
+		p.add(i, order(c.UniquePart(), cands[i].ID))
 	}
 	return &p
 }
--- a/pkg/sagequarantine/book.go
+++ b/pkg/sagequarantine/book.go
@@ -19,10 +19,10 @@
 	DefaultThreshold = 3
 	// succeededTimes is how many times as many a suspect needs that succeeded before: an upstream can execute it.
 	succeededTimes = 2
-	// QuarantineFor is how long a request stays quarantined: the time in which operators can mend the upstream.
-	QuarantineFor = 30 * time.Minute
+	// QuarantineDuration is how long a request stays quarantined: the time in which operators can mend the upstream.
+	QuarantineDuration = 30 * time.Minute
 	// rememberFor is how long a suspect without new crashes is remembered.
-	rememberFor = QuarantineFor
+	rememberFor = QuarantineDuration
 	// passFor is how long a fact rides on the heartbeats of a node: several of them may be lost.
 	passFor = 1500 * time.Millisecond
 	// runsOn is how long an upstream may go on with a request that its node has given up.
@@ -50,8 +50,8 @@
 	trials int
 }
 
-// Book keeps suspects and quarantined requests. The zero value is ready; it is safe for concurrent use.
-type Book struct {
+// Tracker keeps suspects and quarantined requests. The zero value is ready; it is safe for concurrent use.
+type Tracker struct {
 	// Threshold is how many upstreams must have crashed under a request; 0 means [DefaultThreshold]. It is set before
 	// use.
 	Threshold int
@@ -69,16 +69,16 @@
 }
 
 // Watching reports whether any request is suspect or quarantined. Otherwise nothing depends on fingerprints.
-func (b *Book) Watching() bool { return b.watching.Load() > 0 }
+func (b *Tracker) Active() bool { return b.watching.Load() > 0 }
 
 // Len returns the numbers of suspects and of quarantined requests.
-func (b *Book) Len() (suspects, quarantined int) {
+func (b *Tracker) Counts() (suspects, quarantined int) {
 	q := b.quarantined.Load()
 	return int(b.watching.Load() - q), int(q)
 }
 
 // Quarantined returns until when a request is quarantined, or false.
-func (b *Book) Quarantined(now sageclock.Instant, f Fingerprint) (sageclock.Instant, bool) {
+func (b *Tracker) QuarantinedUntil(now sageclock.Instant, f Fingerprint) (sageclock.Instant, bool) {
 	if b.quarantined.Load() == 0 {
 		return 0, false
 	}
@@ -92,7 +92,7 @@
 }
 
 // Trial reports whether a quarantined request may be sent once now. One node of the fleet at a time asks.
-func (b *Book) Trial(now sageclock.Instant, f Fingerprint) bool {
+func (b *Tracker) AllowTrial(now sageclock.Instant, f Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entries[f]
@@ -105,8 +105,8 @@
 
 // Reports returns the crashes to report to other nodes, and the suspects that were cleared: those that this node saw
 // itself, and what it learned from others if it relays that.
-func (b *Book) Reports(now sageclock.Instant, relays func() bool) (reports []Report, cleared []Fingerprint) {
-	if !b.Watching() {
+func (b *Tracker) Reports(now sageclock.Instant, relays func() bool) (reports []Report, cleared []Fingerprint) {
+	if !b.Active() {
 		return nil, nil
 	}
 	b.mu.Lock()
@@ -132,7 +132,7 @@
 }
 
 // count publishes how much there is to watch for.
-func (b *Book) count() {
+func (b *Tracker) count() {
 	b.quarantined.Store(int64(len(b.entries)))
 	b.watching.Store(int64(len(b.entries) + len(b.records)))
 }
--- a/pkg/sagequarantine/book_test.go
+++ b/pkg/sagequarantine/book_test.go
@@ -15,52 +15,52 @@
 func never() bool  { return false }
 
 // quarantined reports whether a book refuses a request.
-func quarantined(b *Book, now sageclock.Instant, f Fingerprint) bool {
-	_, ok := b.Quarantined(now, f)
+func quarantined(b *Tracker, now sageclock.Instant, f Fingerprint) bool {
+	_, ok := b.QuarantinedUntil(now, f)
 	return ok
 }
 
 // Guards against one request that crashes upstream after upstream, seen by one node or by several.
 func TestThirdCrashQuarantines(t *testing.T) {
-	b := new(Book)
-	require.Empty(t, b.Crashed(start, 1, 7, 8))
-	require.Empty(t, b.Learn(start, []Report{{Crash: 2, Suspects: []Fingerprint{7}}}, nil))
+	b := new(Tracker)
+	require.Empty(t, b.RecordCrash(start, 1, 7, 8))
+	require.Empty(t, b.Merge(start, []Report{{Crash: 2, Suspects: []Fingerprint{7}}}, nil))
 	require.False(t, quarantined(b, start, 7))
-	entries := b.Crashed(start.Add(time.Second), 3, 7)
-	require.Equal(t, []Entry{{Request: 7, Crashes: []CrashID{1, 2, 3}, Since: start.Add(time.Second), Until: start.Add(time.Second + QuarantineFor)}}, entries)
+	entries := b.RecordCrash(start.Add(time.Second), 3, 7)
+	require.Equal(t, []Entry{{Request: 7, Crashes: []CrashID{1, 2, 3}, Since: start.Add(time.Second), Until: start.Add(time.Second + QuarantineDuration)}}, entries)
 	require.True(t, quarantined(b, start.Add(time.Second), 7))
 	require.False(t, quarantined(b, start.Add(time.Second), 8))
 }
 
 // Guards against a crash that counts twice: several nodes have the same request at an upstream, and each reports it.
 func TestOneCrashCountsOnce(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	for range 5 {
-		require.Empty(t, b.Crashed(start, 1, 7, 7))
-		require.Empty(t, b.Learn(start, []Report{{1, []Fingerprint{7}}, {1, []Fingerprint{7}}}, nil))
+		require.Empty(t, b.RecordCrash(start, 1, 7, 7))
+		require.Empty(t, b.Merge(start, []Report{{1, []Fingerprint{7}}, {1, []Fingerprint{7}}}, nil))
 	}
-	require.Empty(t, b.Crashed(start, 2, 7))
+	require.Empty(t, b.RecordCrash(start, 2, 7))
 }
 
 // Guards against quarantine of a harmless request that many callers send alike while upstreams crash for other reasons.
 func TestSuccessClears(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		clear func(b *Book)
+		clear func(b *Tracker)
 	}{
-		{"here", func(b *Book) { b.Succeeded(start, 7) }},
-		{"on another node", func(b *Book) { b.Learn(start, nil, []Fingerprint{7}) }},
+		{"here", func(b *Tracker) { b.RecordSuccess(start, 7) }},
+		{"on another node", func(b *Tracker) { b.Merge(start, nil, []Fingerprint{7}) }},
 	} {
-		b := new(Book)
-		b.Crashed(start, 1, 7)
-		b.Crashed(start, 2, 7)
+		b := new(Tracker)
+		b.RecordCrash(start, 1, 7)
+		b.RecordCrash(start, 2, 7)
 		tt.clear(b)
-		require.Empty(t, b.Crashed(start, 3, 7), tt.name)
-		require.Empty(t, b.Learn(start, []Report{{1, []Fingerprint{7}}, {2, []Fingerprint{7}}}, nil), "%s: old reports come late", tt.name)
+		require.Empty(t, b.RecordCrash(start, 3, 7), tt.name)
+		require.Empty(t, b.Merge(start, []Report{{1, []Fingerprint{7}}, {2, []Fingerprint{7}}}, nil), "%s: old reports come late", tt.name)
 		for c := range CrashID(succeededTimes*DefaultThreshold - 2) {
-			require.Empty(t, b.Crashed(start, 4+c, 7), tt.name)
+			require.Empty(t, b.RecordCrash(start, 4+c, 7), tt.name)
 		}
-		require.Len(t, b.Crashed(start, 20, 7), 1, "%s: as many since", tt.name)
+		require.Len(t, b.RecordCrash(start, 20, 7), 1, "%s: as many since", tt.name)
 		tt.clear(b)
 		require.False(t, quarantined(b, start, 7), "%s: an attempt under way succeeded", tt.name)
 	}
@@ -68,77 +68,77 @@
 
 // Guards against quarantine of harmless requests that come again to the upstreams that another one crashes.
 func TestCrashesOfAQuarantinedRequestCountForNoOther(t *testing.T) {
-	b := new(Book)
-	b.Crashed(start, 1, 7, 9)
-	b.Crashed(start, 2, 7, 9)
-	b.Crashed(start, 3, 7, 8)
+	b := new(Tracker)
+	b.RecordCrash(start, 1, 7, 9)
+	b.RecordCrash(start, 2, 7, 9)
+	b.RecordCrash(start, 3, 7, 8)
 	require.True(t, quarantined(b, start, 7))
-	b.Crashed(start, 4, 7, 8)
-	b.Learn(start, []Report{{5, []Fingerprint{7}}}, nil)
-	b.Crashed(start, 5, 8)
-	b.Crashed(start, 6, 8)
-	b.Crashed(start, 7, 8)
+	b.RecordCrash(start, 4, 7, 8)
+	b.Merge(start, []Report{{5, []Fingerprint{7}}}, nil)
+	b.RecordCrash(start, 5, 8)
+	b.RecordCrash(start, 6, 8)
+	b.RecordCrash(start, 7, 8)
 	require.False(t, quarantined(b, start, 8))
-	b.Crashed(start, 8, 8)
+	b.RecordCrash(start, 8, 8)
 	require.True(t, quarantined(b, start, 8), "three of its own")
 	require.False(t, quarantined(b, start, 9))
-	b.Crashed(start, 9, 9)
+	b.RecordCrash(start, 9, 9)
 	require.True(t, quarantined(b, start, 9), "one that crashed upstreams beside the first")
 }
 
 // Guards against a harmless request that stays quarantined by mistake, and against tries without end of a fatal one.
 func TestQuarantinedRequestIsTriedSeldom(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	b.Restore(start, 7)
 	tries := 0
-	for s := range int(QuarantineFor / time.Second) {
-		if b.Trial(start.Add(time.Duration(s)*time.Second), 7) {
+	for s := range int(QuarantineDuration / time.Second) {
+		if b.AllowTrial(start.Add(time.Duration(s)*time.Second), 7) {
 			tries++
 		}
 	}
 	require.Equal(t, len(trialsAfter), tries)
-	require.False(t, b.Trial(start.Add(QuarantineFor), 8), "it is not quarantined")
+	require.False(t, b.AllowTrial(start.Add(QuarantineDuration), 8), "it is not quarantined")
 }
 
 // Guards against a request whose callers leave before the upstream crashes under it.
 func TestAbandonedRequestCounts(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	for c := range CrashID(3) {
-		b.Abandoned(start, c+1, 7)
+		b.RecordAbandoned(start, c+1, 7)
 	}
-	b.Abandoned(start, 9, 8)
-	require.Empty(t, b.Crashed(start.Add(time.Second), 1))
-	require.Empty(t, b.Learn(start.Add(time.Second), []Report{{2, []Fingerprint{99}}}, nil), "another node saw the crash")
-	require.Len(t, b.Crashed(start.Add(time.Second), 3), 1)
-	require.Empty(t, b.Crashed(start.Add(runsOn), 9), "it had ended by then")
-	suspects, entries := b.Len()
+	b.RecordAbandoned(start, 9, 8)
+	require.Empty(t, b.RecordCrash(start.Add(time.Second), 1))
+	require.Empty(t, b.Merge(start.Add(time.Second), []Report{{2, []Fingerprint{99}}}, nil), "another node saw the crash")
+	require.Len(t, b.RecordCrash(start.Add(time.Second), 3), 1)
+	require.Empty(t, b.RecordCrash(start.Add(runsOn), 9), "it had ended by then")
+	suspects, entries := b.Counts()
 	require.Equal(t, [2]int{1, 1}, [2]int{suspects, entries})
 }
 
 // Guards against nodes that refuse what others send: a node that was cut off reports a crash of a request that all
 // others hold quarantined.
 func TestLateReporterIsReminded(t *testing.T) {
-	b, late := new(Book), new(Book)
+	b, late := new(Tracker), new(Tracker)
 	for c := range CrashID(3) {
-		b.Crashed(start, c+1, 7)
+		b.RecordCrash(start, c+1, 7)
 	}
 	now := start.Add(time.Minute)
 	reports, _ := b.Reports(now, always)
 	require.Empty(t, reports)
-	late.Crashed(now, 4, 7)
+	late.RecordCrash(now, 4, 7)
 	reports, _ = late.Reports(now, never)
-	b.Learn(now, reports, nil)
+	b.Merge(now, reports, nil)
 	reports, _ = b.Reports(now, never)
-	require.Len(t, late.Learn(now, reports, nil), 1)
+	require.Len(t, late.Merge(now, reports, nil), 1)
 	require.True(t, quarantined(late, now, 7))
 }
 
 func TestReportsArePassedOnForAWhile(t *testing.T) {
-	b := new(Book)
-	b.Crashed(start, 1, 7, 8)
-	b.Learn(start, []Report{{2, []Fingerprint{9}}}, nil)
-	b.Succeeded(start, 8)
-	b.Succeeded(start, 1000)
+	b := new(Tracker)
+	b.RecordCrash(start, 1, 7, 8)
+	b.Merge(start, []Report{{2, []Fingerprint{9}}}, nil)
+	b.RecordSuccess(start, 8)
+	b.RecordSuccess(start, 1000)
 	own, cleared := b.Reports(start.Add(passFor-1), never)
 	require.Equal(t, []Report{{1, []Fingerprint{7, 8}}}, own)
 	require.Equal(t, []Fingerprint{8}, cleared)
@@ -151,50 +151,50 @@
 
 // Guards against memory without bounds: every request in the world is under way at some crash.
 func TestBookIsBounded(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	now := start
 	for i := range 3 * mostSuspects {
 		now++
-		b.Crashed(now, CrashID(i), Fingerprint(i))
-		b.Abandoned(now, CrashID(i), Fingerprint(i))
+		b.RecordCrash(now, CrashID(i), Fingerprint(i))
+		b.RecordAbandoned(now, CrashID(i), Fingerprint(i))
 	}
-	suspects, _ := b.Len()
+	suspects, _ := b.Counts()
 	require.Equal(t, mostSuspects, suspects)
 	require.LessOrEqual(t, len(b.out), mostWaiting)
 	require.LessOrEqual(t, len(b.abandoned), mostAbandoned)
 	for i := range 2 * mostQuarantined {
 		now++
 		for c := range CrashID(DefaultThreshold) {
-			b.Crashed(now, 1_000_000+CrashID(i)*DefaultThreshold+c, 1_000_000+Fingerprint(i))
+			b.RecordCrash(now, 1_000_000+CrashID(i)*DefaultThreshold+c, 1_000_000+Fingerprint(i))
 		}
 	}
-	_, entries := b.Len()
+	_, entries := b.Counts()
 	require.Equal(t, mostQuarantined, entries)
 	require.True(t, quarantined(b, now, 1_000_000+2*mostQuarantined-1), "the newest stay")
 	require.LessOrEqual(t, len(b.explained), mostExplained)
 	for c := range CrashID(100) {
-		b.Crashed(now, 9_000_000+c, 5)
-		b.Succeeded(now, 5)
+		b.RecordCrash(now, 9_000_000+c, 5)
+		b.RecordSuccess(now, 5)
 	}
 	require.LessOrEqual(t, len(b.records[5].setAside), mostSetAside)
-	b.Sweep(now.Add(QuarantineFor))
-	suspects, entries = b.Len()
+	b.Sweep(now.Add(QuarantineDuration))
+	suspects, entries = b.Counts()
 	require.Zero(t, suspects+entries)
-	require.False(t, b.Watching())
+	require.False(t, b.Active())
 }
 
 // Guards against a fleet that forgets: all nodes start again.
 func TestStoreOutlastsTheNodes(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	for c := range CrashID(3) {
-		b.Crashed(start, c+1, 7)
+		b.RecordCrash(start, c+1, 7)
 	}
 	require.Equal(t, []Difference{{Request: 7, Quarantined: true, Since: start}}, b.Differences(start))
 	require.Equal(t, []Difference{{Request: 7, Quarantined: true, Since: start}}, b.Differences(start.Add(time.Second)))
 	require.False(t, b.Restore(start, 7))
 	require.Empty(t, b.Differences(start))
 
-	started := new(Book)
+	started := new(Tracker)
 	require.True(t, started.Restore(start, 7))
 	require.True(t, quarantined(started, start, 7))
 	require.Empty(t, started.Differences(start))
@@ -203,25 +203,25 @@
 	require.False(t, quarantined(started, start, 7), "an operator deleted the object")
 	require.Empty(t, started.Differences(start))
 
-	b.Sweep(start.Add(QuarantineFor))
-	require.Equal(t, []Difference{{Request: 7, Since: start.Add(QuarantineFor)}}, b.Differences(start.Add(QuarantineFor)))
+	b.Sweep(start.Add(QuarantineDuration))
+	require.Equal(t, []Difference{{Request: 7, Since: start.Add(QuarantineDuration)}}, b.Differences(start.Add(QuarantineDuration)))
 	b.Release(7)
-	require.Empty(t, b.Differences(start.Add(QuarantineFor)))
+	require.Empty(t, b.Differences(start.Add(QuarantineDuration)))
 }
 
 func TestCrashesDifferByStart(t *testing.T) {
-	require.NotEqual(t, CrashOf("e1", 1), CrashOf("e1", 2))
-	require.NotEqual(t, CrashOf("e1", 1), CrashOf("e11", 1))
-	require.Equal(t, CrashOf("e1", 1), CrashOf("e1", 1))
+	require.NotEqual(t, CrashIDOf("e1", 1), CrashIDOf("e1", 2))
+	require.NotEqual(t, CrashIDOf("e1", 1), CrashIDOf("e11", 1))
+	require.Equal(t, CrashIDOf("e1", 1), CrashIDOf("e1", 1))
 }
 
 func BenchmarkQuarantined(b *testing.B) {
-	book := new(Book)
+	book := new(Tracker)
 	for i := range mostQuarantined {
 		book.Restore(start, Fingerprint(i))
 	}
 	for i := range b.N {
-		book.Quarantined(start, Fingerprint(i))
+		book.QuarantinedUntil(start, Fingerprint(i))
 	}
 }
 
@@ -229,17 +229,17 @@
 	body := make([]byte, 16<<10)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		Of("acc", "POST", "shop.example/reply/x", body)
+		FingerprintOf("acc", "POST", "shop.example/reply/x", body)
 	}
 }
 
 // Guards against the one request that matters being left out of heartbeats while many upstreams crash at once.
 func TestRepeatedSuspectsArePassedOnFirst(t *testing.T) {
-	b := new(Book)
-	b.Learn(start, []Report{{1, []Fingerprint{7}}, {2, []Fingerprint{7}}}, nil)
+	b := new(Tracker)
+	b.Merge(start, []Report{{1, []Fingerprint{7}}, {2, []Fingerprint{7}}}, nil)
 	for c := range CrashID(20) {
 		for f := range Fingerprint(64) {
-			b.Crashed(start, 100+c, 1000*Fingerprint(c+1)+f)
+			b.RecordCrash(start, 100+c, 1000*Fingerprint(c+1)+f)
 		}
 	}
 	seen := make(map[Fingerprint]bool)
@@ -264,19 +264,19 @@
 
 // Guards against a node that started after the first crashes and goes on sending what the others have quarantined.
 func TestQuarantineReachesNodesThatKnowSomeCrashesOnly(t *testing.T) {
-	b, started := new(Book), new(Book)
-	b.Crashed(start, 1, 7)
-	b.Crashed(start, 2, 7)
+	b, started := new(Tracker), new(Tracker)
+	b.RecordCrash(start, 1, 7)
+	b.RecordCrash(start, 2, 7)
 	now := start.Add(time.Minute)
-	b.Learn(now, []Report{{3, []Fingerprint{7}}}, nil)
+	b.Merge(now, []Report{{3, []Fingerprint{7}}}, nil)
 	reports, _ := b.Reports(now, never)
-	require.Len(t, started.Learn(now, reports, nil), 1)
+	require.Len(t, started.Merge(now, reports, nil), 1)
 }
 
 // Guards against reports that go round for ever: nodes that all hold a request quarantined answer each other's reports
 // of it.
 func TestReportsOfAQuarantinedRequestEnd(t *testing.T) {
-	books := []*Book{new(Book), new(Book), new(Book)}
+	books := []*Tracker{new(Tracker), new(Tracker), new(Tracker)}
 	now := start
 	exchange := func() {
 		now = now.Add(200 * time.Millisecond)
@@ -284,13 +284,13 @@
 			reports, cleared := from.Reports(now, always)
 			for _, to := range books {
 				if to != from {
-					to.Learn(now, reports, cleared)
+					to.Merge(now, reports, cleared)
 				}
 			}
 		}
 	}
 	for c := range CrashID(12) {
-		books[c%3].Crashed(now, c+1, 7)
+		books[c%3].RecordCrash(now, c+1, 7)
 		exchange()
 	}
 	for _, b := range books {
--- a/pkg/sagequarantine/crash.go
+++ b/pkg/sagequarantine/crash.go
@@ -9,8 +9,8 @@
 // CrashID names the end of one start of an upstream, the same on every node.
 type CrashID uint64
 
-// CrashOf returns the crash that ends a start of an upstream; born distinguishes the starts of one id.
-func CrashOf(upstream string, born int64) CrashID {
+// CrashIDOf returns the crash that ends a start of an upstream; born distinguishes the starts of one id.
+func CrashIDOf(upstream string, born int64) CrashID {
 	return CrashID(xxhash.Sum64String(upstream + "/" + strconv.FormatInt(born, 10)))
 }
 
--- a/pkg/sagequarantine/evidence.go
+++ b/pkg/sagequarantine/evidence.go
@@ -16,7 +16,7 @@
 
 // Crashed takes in that an upstream crashed while this node's requests ran there, and returns those that are
 // quarantined from now on. Without requests it only recalls the abandoned ones.
-func (b *Book) Crashed(now sageclock.Instant, c CrashID, requests ...Fingerprint) []Entry {
+func (b *Tracker) RecordCrash(now sageclock.Instant, c CrashID, requests ...Fingerprint) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -31,7 +31,7 @@
 //
 // It guards against a request whose callers leave before it crashes the upstream: no exchange is left that would
 // break.
-func (b *Book) Abandoned(now sageclock.Instant, c CrashID, f Fingerprint) {
+func (b *Tracker) RecordAbandoned(now sageclock.Instant, c CrashID, f Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.abandoned = append(b.abandoned, abandoned{f, c, now})
@@ -40,7 +40,7 @@
 
 // Learn takes in another node's reports and cleared suspects, and returns the requests that are quarantined from now
 // on.
-func (b *Book) Learn(now sageclock.Instant, reports []Report, cleared []Fingerprint) []Entry {
+func (b *Tracker) Merge(now sageclock.Instant, reports []Report, cleared []Fingerprint) []Entry {
 	if len(reports) == 0 && len(cleared) == 0 {
 		return nil
 	}
@@ -64,8 +64,8 @@
 //
 // It guards against quarantine of a harmless request that many callers send alike: while upstreams crash for other
 // reasons, some of its attempts run there each time.
-func (b *Book) Succeeded(now sageclock.Instant, f Fingerprint) {
-	if !b.Watching() {
+func (b *Tracker) RecordSuccess(now sageclock.Instant, f Fingerprint) {
+	if !b.Active() {
 		return
 	}
 	b.mu.Lock()
@@ -75,7 +75,7 @@
 }
 
 // note takes in that a request ran when an upstream crashed, and appends it to entries if it is quarantined thereby.
-func (b *Book) note(entries []Entry, m message) []Entry {
+func (b *Tracker) note(entries []Entry, m message) []Entry {
 	now := m.since
 	b.out.sweep(now)
 	if e := b.entries[m.suspect]; e != nil && now < e.Until {
@@ -96,7 +96,7 @@
 	if len(r.counted) < b.threshold(r) {
 		return entries
 	}
-	e := Entry{Request: m.suspect, Crashes: r.counted, Since: now, Until: now.Add(QuarantineFor)}
+	e := Entry{Request: m.suspect, Crashes: r.counted, Since: now, Until: now.Add(QuarantineDuration)}
 	b.put(&e)
 	for _, c := range e.Crashes {
 		b.explain(c)
@@ -107,7 +107,7 @@
 
 // noteQuarantined takes in one more crash under a quarantined request. Whoever reports it may not know of the others; a
 // crash that is known already says nothing of that.
-func (b *Book) noteQuarantined(e *Entry, m message) {
+func (b *Tracker) noteQuarantined(e *Entry, m message) {
 	b.explain(m.crash)
 	if slices.Contains(e.Crashes, m.crash) || len(e.Crashes) >= mostCrashes {
 		return
@@ -117,7 +117,7 @@
 }
 
 // threshold returns how many crashes quarantine a suspect.
-func (b *Book) threshold(r *record) int {
+func (b *Tracker) threshold(r *record) int {
 	n := cmp.Or(b.Threshold, DefaultThreshold)
 	if r.succeeded {
 		n *= succeededTimes
@@ -127,14 +127,14 @@
 
 // remind passes the crashes of a quarantined request on anew, for nodes that know of some only: they started or were
 // cut off in between.
-func (b *Book) remind(now sageclock.Instant, e *Entry) {
+func (b *Tracker) remind(now sageclock.Instant, e *Entry) {
 	for _, c := range e.Crashes {
 		b.out.adopt(message{e.Request, c, now, true})
 	}
 }
 
 // matchAbandoned notes the requests that this node had given up at an upstream that crashed soon after.
-func (b *Book) matchAbandoned(now sageclock.Instant, c CrashID) []Entry {
+func (b *Tracker) matchAbandoned(now sageclock.Instant, c CrashID) []Entry {
 	if len(b.abandoned) == 0 {
 		return nil
 	}
@@ -154,7 +154,7 @@
 }
 
 // clear sets aside what speaks against a suspect and ends its quarantine.
-func (b *Book) clear(m message) {
+func (b *Tracker) clear(m message) {
 	b.out.sweep(m.since)
 	r, e := b.records[m.suspect], b.entries[m.suspect]
 	if e == nil && (r == nil || len(r.counted) == 0) {
@@ -171,7 +171,7 @@
 // one; those with more may crash upstreams as well.
 //
 // It guards against quarantine of harmless requests that come to the same upstreams as one that crashes them.
-func (b *Book) explain(c CrashID) {
+func (b *Tracker) explain(c CrashID) {
 	if b.isExplained(c) {
 		return
 	}
@@ -184,10 +184,10 @@
 	}
 }
 
-func (b *Book) isExplained(c CrashID) bool { return slices.Contains(b.explained, c) }
+func (b *Tracker) isExplained(c CrashID) bool { return slices.Contains(b.explained, c) }
 
 // repeated reports whether more than one crash speaks against a request.
-func (b *Book) repeated(f Fingerprint) bool {
+func (b *Tracker) repeated(f Fingerprint) bool {
 	r := b.records[f]
 	return b.entries[f] != nil || r != nil && len(r.counted) > 1
 }
--- a/pkg/sagequarantine/fingerprint.go
+++ b/pkg/sagequarantine/fingerprint.go
@@ -19,10 +19,10 @@
 // digits is the length of a fingerprint's text.
 const digits = 16
 
-// Of returns the fingerprint of a request: the client account, the method, the host with path and query, and the body.
+// FingerprintOf returns the fingerprint of a request: the client account, the method, the host with path and query, and the body.
 //
 // The hash is a cryptographic one, since a caller who finds a collision could have another's request refused.
-func Of(account, method, target string, body []byte) Fingerprint {
+func FingerprintOf(account, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range [...]string{account, method, target} {
@@ -34,8 +34,8 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// Parse reads the text of a fingerprint.
-func Parse(s string) (Fingerprint, error) {
+// ParseFingerprint reads the text of a fingerprint.
+func ParseFingerprint(s string) (Fingerprint, error) {
 	n, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != digits {
 		return 0, fmt.Errorf("%q: %w", s, ErrFingerprint)
--- a/pkg/sagequarantine/limits.go
+++ b/pkg/sagequarantine/limits.go
@@ -3,7 +3,7 @@
 import "sagestand.example/sagestand/pkg/sageclock"
 
 // record returns the record of a suspect, a new one if there is none.
-func (b *Book) record(now sageclock.Instant, f Fingerprint) *record {
+func (b *Tracker) record(now sageclock.Instant, f Fingerprint) *record {
 	if r := b.records[f]; r != nil {
 		return r
 	}
@@ -19,7 +19,7 @@
 }
 
 // evictSuspect drops the suspect whose last crash is the longest ago.
-func (b *Book) evictSuspect() {
+func (b *Tracker) evictSuspect() {
 	var oldest Fingerprint
 	var last sageclock.Instant
 	for f, r := range b.records {
@@ -31,7 +31,7 @@
 }
 
 // put begins a quarantine.
-func (b *Book) put(e *Entry) {
+func (b *Tracker) put(e *Entry) {
 	if b.entries == nil {
 		b.entries = make(map[Fingerprint]*Entry)
 	}
@@ -43,7 +43,7 @@
 }
 
 // evictEntry ends the quarantine that would end first.
-func (b *Book) evictEntry() {
+func (b *Tracker) evictEntry() {
 	var first *Entry
 	for _, e := range b.entries {
 		if first == nil || e.Until < first.Until {
@@ -54,7 +54,7 @@
 }
 
 // Sweep drops what is out of date.
-func (b *Book) Sweep(now sageclock.Instant) {
+func (b *Tracker) Sweep(now sageclock.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
--- a/pkg/sagequarantine/load_test.go
+++ b/pkg/sagequarantine/load_test.go
@@ -36,7 +36,7 @@
 type play struct {
 	rnd       *rand.Rand
 	now       sageclock.Instant
-	book      *Book
+	book      *Tracker
 	clears    bool // successes are reported
 	at        [playUpstreams][]running
 	downUntil [playUpstreams]sageclock.Instant
@@ -48,7 +48,7 @@
 	third                                 sageclock.Instant
 }
 
-func newPlay(seed uint64, b *Book) *play {
+func newPlay(seed uint64, b *Tracker) *play {
 	return &play{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, book: b, clears: true, next: 1000}
 }
 
@@ -85,7 +85,7 @@
 	for _, r := range broke {
 		requests = append(requests, r.request)
 	}
-	p.book.Crashed(p.now, p.starts, requests...)
+	p.book.RecordCrash(p.now, p.starts, requests...)
 	for _, r := range broke {
 		if r.retries > 0 {
 			p.send(r.request, r.retries-1)
@@ -131,7 +131,7 @@
 			p.crash(u)
 			return
 		case p.clears:
-			p.book.Succeeded(p.now, r.request)
+			p.book.RecordSuccess(p.now, r.request)
 		}
 	}
 	p.at[u] = rest
@@ -160,7 +160,7 @@
 func (s *setting) play(plays int, clears bool, threshold int) outcome {
 	var out outcome
 	for seed := range uint64(plays) {
-		p := newPlay(seed, &Book{Threshold: threshold})
+		p := newPlay(seed, &Tracker{Threshold: threshold})
 		p.clears = clears
 		for range int(playLength / playStep) {
 			p.step(s.crashes, s.fatal)
--- a/pkg/sagequarantine/mirror.go
+++ b/pkg/sagequarantine/mirror.go
@@ -26,7 +26,7 @@
 //
 // It guards against a fleet that forgets: nodes that start again know nothing, and each request that was quarantined
 // would crash as many upstreams once more.
-func (b *Book) Restore(now sageclock.Instant, f Fingerprint) bool {
+func (b *Tracker) Restore(now sageclock.Instant, f Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -37,12 +37,12 @@
 	if b.entries[f] != nil {
 		return false
 	}
-	b.put(&Entry{Request: f, Since: now, Until: now.Add(QuarantineFor)})
+	b.put(&Entry{Request: f, Since: now, Until: now.Add(QuarantineDuration)})
 	return true
 }
 
 // Release takes in that the store no longer holds a request, which ends its quarantine.
-func (b *Book) Release(f Fingerprint) {
+func (b *Tracker) Release(f Fingerprint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.count()
@@ -52,7 +52,7 @@
 }
 
 // Differences returns how the store differs from the book, ordered by request.
-func (b *Book) Differences(now sageclock.Instant) []Difference {
+func (b *Tracker) Differences(now sageclock.Instant) []Difference {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	differs := make(map[Fingerprint]sageclock.Instant)
--- a/pkg/sagerollout/book.go
+++ b/pkg/sagerollout/book.go
@@ -9,10 +9,10 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// Book is what one node knows of the orders and their plans. It is safe for concurrent use.
-type Book struct {
+// Tracker is what one node knows of the orders and their plans. It is safe for concurrent use.
+type Tracker struct {
 	// Chance returns a random number of [0, 1); nil means [rand.Float64]. It is set before use.
-	Chance func() float64
+	Rand func() float64
 
 	mu       sync.Mutex
 	services map[string]*rollout
@@ -24,12 +24,12 @@
 	order Order
 	plan  Plan
 	split Splitter
-	tally map[Key]int
+	tally map[CountKey]int
 }
 
 // Put takes an order in as the store shows it, and reports whether it or its state is new. An order that takes the
 // place of one that was not completed leaves the earlier target without requests.
-func (b *Book) Put(o Order) (fresh bool) {
+func (b *Tracker) Put(o Order) (fresh bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[o.Service]
@@ -39,24 +39,24 @@
 			b.services = make(map[string]*rollout)
 		}
 		delete(b.left[o.Service], o.Target)
-		b.services[o.Service] = &rollout{order: o, split: Splitter{Begin: b.chance()}, tally: make(map[Key]int)}
+		b.services[o.Service] = &rollout{order: o, split: Splitter{InitialCredit: b.chance()}, tally: make(map[CountKey]int)}
 		return true
 	}
-	o.Given, o.Deadline = r.order.Given, r.order.Deadline
+	o.FirstSeen, o.Deadline = r.order.FirstSeen, r.order.Deadline
 	fresh = o.State != r.order.State
 	r.order = o
 	return fresh
 }
 
-func (b *Book) chance() float64 {
-	if b.Chance != nil {
-		return b.Chance()
+func (b *Tracker) chance() float64 {
+	if b.Rand != nil {
+		return b.Rand()
 	}
 	return rand.Float64()
 }
 
 // Delete drops the order of a name. A target that was not completed gets no more requests.
-func (b *Book) Delete(name string) {
+func (b *Tracker) Delete(name string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for service, r := range b.services {
@@ -67,13 +67,13 @@
 }
 
 // leave drops the order of a service. mu is held.
-func (b *Book) leave(service string) {
+func (b *Tracker) leave(service string) {
 	r := b.services[service]
 	if r == nil {
 		return
 	}
 	delete(b.services, service)
-	if r.state() == Completed {
+	if r.state() == StateCompleted {
 		return
 	}
 	if b.left == nil {
@@ -90,50 +90,50 @@
 	switch {
 	case r.order.State.Final():
 		return r.order.State
-	case r.plan.Phase == Undone:
-		return RolledBack
+	case r.plan.Phase == PhaseRolledBack:
+		return StateRolledBack
 	}
-	return Running
+	return StateRunning
 }
 
 // Arm returns where the next request of a service on a route goes, for its first send. Its repeats go to
-// [Book.Repeat].
-func (b *Book) Arm(now sageclock.Instant, service, route string) Arm {
+// [Book.RetryArm].
+func (b *Tracker) Arm(now sageclock.Instant, service, route string) Arm {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[service]
 	switch {
 	case r == nil:
-		return Any
-	case r.state() == Completed:
-		return Target
-	case r.state() == RolledBack || !r.split.Next(route, r.plan.share(now)):
-		return Baseline
+		return ArmAny
+	case r.state() == StateCompleted:
+		return ArmTarget
+	case r.state() == StateRolledBack || !r.split.Next(route, r.plan.share(now)):
+		return ArmBaseline
 	}
-	return Target
+	return ArmTarget
 }
 
 // Repeat returns where a request goes that is sent once more.
-func (b *Book) Repeat(now sageclock.Instant, service string) Arm {
+func (b *Tracker) RetryArm(now sageclock.Instant, service string) Arm {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[service]
 	switch {
 	case r == nil:
-		return Any
-	case r.state() == Completed || r.state() == Running && r.plan.share(now) >= 1:
-		return Target
+		return ArmAny
+	case r.state() == StateCompleted || r.state() == StateRunning && r.plan.share(now) >= 1:
+		return ArmTarget
 	}
-	return Baseline
+	return ArmBaseline
 }
 
 // Filter returns what reports whether an upstream of a version may get a request of an arm; nil if all may.
-func (b *Book) Filter(service string, arm Arm) func(version string) bool {
+func (b *Tracker) VersionFilter(service string, arm Arm) func(version string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left := b.left[service]
 	r := b.services[service]
-	if r == nil || arm == Any {
+	if r == nil || arm == ArmAny {
 		if len(left) == 0 {
 			return nil
 		}
@@ -141,32 +141,32 @@
 		return func(version string) bool { return !left[version] }
 	}
 	left, target := maps.Clone(left), r.order.Target
-	return func(version string) bool { return !left[version] && (version == target) == (arm == Target) }
+	return func(version string) bool { return !left[version] && (version == target) == (arm == ArmTarget) }
 }
 
-// Canary returns the part of the target's upstreams that the canary uses, 1 for all of them.
+// PhaseCanary returns the part of the target's upstreams that the canary uses, 1 for all of them.
 //
 // It guards against versions that are bad under load only: spread over all upstreams of the target, the
 // canary would load none of them as the whole traffic does.
-func (b *Book) Canary(service string) float64 {
+func (b *Tracker) CanaryFraction(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r := b.services[service]; r != nil && r.plan.Phase == Canary {
+	if r := b.services[service]; r != nil && r.plan.Phase == PhaseCanary {
 		return r.plan.Share
 	}
 	return 1
 }
 
-// Running reports whether an order about a service runs.
-func (b *Book) Running(service string) bool {
+// StateRunning reports whether an order about a service runs.
+func (b *Tracker) Running(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[service]
-	return r != nil && r.state() == Running
+	return r != nil && r.state() == StateRunning
 }
 
 // IsTarget reports whether a version is the target of a service's order.
-func (b *Book) IsTarget(service, version string) bool {
+func (b *Tracker) IsTarget(service, version string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[service]
@@ -174,27 +174,27 @@
 }
 
 // Note counts an answer of an upstream, if an order about its service runs.
-func (b *Book) Note(service, version, route string, bad bool) {
+func (b *Tracker) RecordAnswer(service, version, route string, bad bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.services[service]
-	if r == nil || r.state() != Running {
+	if r == nil || r.state() != StateRunning {
 		return
 	}
-	k := Key{Order: r.order.ID, Arm: Baseline, Bad: bad, Route: route}
+	k := CountKey{OrderID: r.order.ID, Arm: ArmBaseline, Bad: bad, Route: route}
 	if version == r.order.Target {
-		k.Arm = Target
+		k.Arm = ArmTarget
 	}
 	r.tally[k]++
 }
 
 // Counts returns this node's counts, for the other nodes.
-func (b *Book) Counts() map[string]int {
+func (b *Tracker) Counts() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]int)
 	for _, r := range b.services {
-		if r.state() != Running {
+		if r.state() != StateRunning {
 			continue
 		}
 		for k, n := range r.tally {
@@ -205,12 +205,12 @@
 }
 
 // Learn takes in a plan, and reports whether its phase is new.
-func (b *Book) Learn(p Plan) (fresh bool) {
+func (b *Tracker) MergePlan(p Plan) (fresh bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range b.services {
-		if r.order.ID == p.Order && p.supersedes(&r.plan) {
-			fresh = r.plan.Version == 0 || p.Phase != r.plan.Phase
+		if r.order.ID == p.OrderID && p.supersedes(&r.plan) {
+			fresh = r.plan.Sequence == 0 || p.Phase != r.plan.Phase
 			r.plan = p
 		}
 	}
@@ -218,17 +218,17 @@
 }
 
 // Plans returns the plans of the orders that the store does not show as ended, ordered by order.
-func (b *Book) Plans() []Plan {
+func (b *Tracker) Plans() []Plan {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Plan
 	for _, r := range b.services {
-		if r.plan.Version > 0 && !r.order.State.Final() {
+		if r.plan.Sequence > 0 && !r.order.State.Final() {
 			out = append(out, r.plan)
 		}
 	}
 	slices.SortFunc(out, func(x, y Plan) int {
-		if x.Order < y.Order {
+		if x.OrderID < y.OrderID {
 			return -1
 		}
 		return 1
@@ -243,7 +243,7 @@
 }
 
 // Entries returns all orders, ordered by service.
-func (b *Book) Entries() []Entry {
+func (b *Tracker) Entries() []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Entry
--- a/pkg/sagerollout/controller.go
+++ b/pkg/sagerollout/controller.go
@@ -31,8 +31,8 @@
 	roomPart = 0.7
 )
 
-// Fleet is what the controller sees of a service.
-type Fleet struct {
+// ServiceLoad is what the controller sees of a service.
+type ServiceLoad struct {
 	// TargetSlots are the slots of the target's upstreams that may be used, BaselineSlots those of the
 	// others.
 	TargetSlots, BaselineSlots int
@@ -41,7 +41,7 @@
 }
 
 // bears reports whether the target can take the whole traffic.
-func (f *Fleet) bears() bool {
+func (f *ServiceLoad) bears() bool {
 	return f.TargetSlots > 0 && float64(f.InFlight) <= roomPart*float64(f.TargetSlots)
 }
 
@@ -50,8 +50,8 @@
 	// Self is this node's name.
 	Self   string
 	Bounds Bounds
-	// Weigh returns the verdict on all of an order's evidence; nil means a [Judge] for each order.
-	Weigh func(e Evidence) (v Verdict, route string)
+	// Weigh returns the verdict on all of an order's evidence; nil means a [SequentialTest] for each order.
+	Evaluate func(e Evidence) (v Verdict, route string)
 
 	orders map[uint64]*watched
 }
@@ -59,51 +59,51 @@
 // watched is what a controller remembers of an order.
 type watched struct {
 	busy  sageclock.Instant // when its baseline last had requests
-	judge Judge
+	judge SequentialTest
 }
 
 // Step returns the next version of an order's plan.
-func (c *Controller) Step(now sageclock.Instant, o Order, p Plan, e Evidence, f Fleet) Plan {
+func (c *Controller) Step(now sageclock.Instant, o Order, p Plan, e Evidence, f ServiceLoad) Plan {
 	w := c.watch(now, o.ID)
 	if f.BaselineInFlight > 0 {
 		w.busy = now
 	}
 	next := p
-	next.Order, next.Version, next.By, next.Issued = o.ID, p.Version+1, c.Self, now
-	if p.Version == 0 {
-		next.Since = now
+	next.OrderID, next.Sequence, next.Controller, next.IssuedAt = o.ID, p.Sequence+1, c.Self, now
+	if p.Sequence == 0 {
+		next.PhaseSince = now
 	}
 	if p.Phase.Final() {
 		return next
 	}
 	v, _ := c.weigh(w, e)
-	if v == Unknown && requestRate(now.Sub(o.Given), e)*o.Deadline.Sub(o.Given).Seconds() < slackPart*c.Bounds.Slack {
-		v = Sound // all requests until the deadline are fewer than the bound leaves to a bad version
+	if v == VerdictUnknown && requestRate(now.Sub(o.FirstSeen), e)*o.Deadline.Sub(o.FirstSeen).Seconds() < slackPart*c.Bounds.ExposedSlack {
+		v = VerdictSound // all requests until the deadline are fewer than the bound leaves to a bad version
 	}
 	promote := c.promoteAt(now, o, e)
 	switch {
-	case v == Bad:
-		next.enter(Undone, 0, now)
-	case now >= o.Deadline && p.Phase < Full:
-		next.enter(Undone, 0, now)
-	case p.Phase == Pending && f.bears():
-		next.enter(Canary, c.canaryShare(now, o, promote, e), now)
-	case p.Phase == Canary && now >= promote && now.Sub(p.Since) >= react && v == Sound && f.bears():
-		next.enter(Ramp, rampShare, now)
-	case p.Phase == Canary:
+	case v == VerdictBad:
+		next.enter(PhaseRolledBack, 0, now)
+	case now >= o.Deadline && p.Phase < PhaseFull:
+		next.enter(PhaseRolledBack, 0, now)
+	case p.Phase == PhasePending && f.bears():
+		next.enter(PhaseCanary, c.canaryShare(now, o, promote, e), now)
+	case p.Phase == PhaseCanary && now >= promote && now.Sub(p.PhaseSince) >= react && v == VerdictSound && f.bears():
+		next.enter(PhaseRamp, rampShare, now)
+	case p.Phase == PhaseCanary:
 		next.Share = c.canaryShare(now, o, promote, e)
-	case p.Phase == Ramp && now.Sub(p.Since) >= react && v == Sound:
+	case p.Phase == PhaseRamp && now.Sub(p.PhaseSince) >= react && v == VerdictSound:
 		w.busy = now
-		next.enter(Full, 1, now)
-	case p.Phase == Full && now.Sub(p.Since) >= idleFor && now.Sub(w.busy) >= idleFor:
-		next.enter(Done, 1, now)
+		next.enter(PhaseFull, 1, now)
+	case p.Phase == PhaseFull && now.Sub(p.PhaseSince) >= idleFor && now.Sub(w.busy) >= idleFor:
+		next.enter(PhaseDone, 1, now)
 	}
 	return next
 }
 
 func (c *Controller) weigh(w *watched, e Evidence) (Verdict, string) {
-	if c.Weigh != nil {
-		return c.Weigh(e)
+	if c.Evaluate != nil {
+		return c.Evaluate(e)
 	}
 	w.judge.Add(e)
 	return w.judge.Verdict()
@@ -114,12 +114,12 @@
 	if w := c.orders[order]; w != nil {
 		return w.judge.Verdict()
 	}
-	return Unknown, ""
+	return VerdictUnknown, ""
 }
 
 // enter begins a phase.
 func (p *Plan) enter(phase Phase, share float64, now sageclock.Instant) {
-	p.Phase, p.Share, p.Since = phase, share, now
+	p.Phase, p.Share, p.PhaseSince = phase, share, now
 }
 
 // watch returns what is remembered of an order.
@@ -136,7 +136,7 @@
 }
 
 // Keep forgets all orders but those for which keep is true.
-func (c *Controller) Keep(keep func(order uint64) bool) {
+func (c *Controller) Retain(keep func(order uint64) bool) {
 	for id := range c.orders {
 		if !keep(id) {
 			delete(c.orders, id)
@@ -148,26 +148,26 @@
 // gets everything from then on, if that leaves time to complete the order, and else so that the longest usual answers
 // end in time. It gives the canary the longest time to find a version that turns bad.
 func (c *Controller) promoteAt(now sageclock.Instant, o Order, e Evidence) sageclock.Instant {
-	whole := o.Deadline.Sub(o.Given)
+	whole := o.Deadline.Sub(o.FirstSeen)
 	earliest := time.Duration(canaryPart * float64(whole))
-	at := time.Duration((1 - c.Bounds.Share) * float64(whole))
-	if rate := requestRate(now.Sub(o.Given), e); rate > 0 {
-		at -= time.Duration((1 - slackPart) * c.Bounds.Slack / rate * float64(time.Second))
+	at := time.Duration((1 - c.Bounds.ExposedShare) * float64(whole))
+	if rate := requestRate(now.Sub(o.FirstSeen), e); rate > 0 {
+		at -= time.Duration((1 - slackPart) * c.Bounds.ExposedSlack / rate * float64(time.Second))
 	}
 	if at > whole-completeLeast {
 		at = whole - completeWithin
 	}
-	return o.Given.Add(max(earliest, at))
+	return o.FirstSeen.Add(max(earliest, at))
 }
 
 // canaryShare returns the share at which the canary uses the part of the bound that is left when the ramp
 // and the reaction to a version that turns bad at full share are taken off.
 func (c *Controller) canaryShare(now sageclock.Instant, o Order, promote sageclock.Instant, e Evidence) float64 {
-	whole, canary := o.Deadline.Sub(o.Given).Seconds(), promote.Sub(o.Given).Seconds()
+	whole, canary := o.Deadline.Sub(o.FirstSeen).Seconds(), promote.Sub(o.FirstSeen).Seconds()
 	spent := react.Seconds() * (1 + rampShare)
-	share := max(0, c.Bounds.Share*whole-spent) / max(spent, canary)
-	if rate := requestRate(now.Sub(o.Given), e); rate > 0 {
-		share += slackPart * c.Bounds.Slack / max(1, canary) / rate
+	share := max(0, c.Bounds.ExposedShare*whole-spent) / max(spent, canary)
+	if rate := requestRate(now.Sub(o.FirstSeen), e); rate > 0 {
+		share += slackPart * c.Bounds.ExposedSlack / max(1, canary) / rate
 	}
 	return min(max(share, leastShare), mostShare)
 }
--- a/pkg/sagerollout/doc.go
+++ b/pkg/sagerollout/doc.go
@@ -20,14 +20,14 @@
 //
 // # Evidence
 //
-// [Judge] compares the target with the baseline under the same load at the same time, by route, with a
+// [SequentialTest] compares the target with the baseline under the same load at the same time, by route, with a
 // sequential probability ratio test. Its hypotheses are the baseline's own rate of bad answers, and that
 // rate with an excess. An answer is bad if it is a failure, never came, or took several times as long as
 // the baseline's answers on that route.
 //
 // # Usage
 //
-//	b := new(sagerollout.Book)
+//	b := new(sagerollout.Tracker)
 //	b.Put(now, order)
 //	arm := b.Arm(now, "chat", "drafts")         // for each request
 //	if admits := b.Filter("chat", arm); admits == nil || admits(upstream.Version) { ... }
--- a/pkg/sagerollout/judge.go
+++ b/pkg/sagerollout/judge.go
@@ -37,26 +37,26 @@
 
 // The verdicts.
 const (
-	// Unknown says that the target has answered too little.
-	Unknown Verdict = iota
-	// Sound says that nothing speaks against the target.
-	Sound
-	// Suspect says that a route may be worse than its baseline.
-	Suspect
-	// Bad says that a route, or all together, are worse than their baseline.
-	Bad
+	// VerdictUnknown says that the target has answered too little.
+	VerdictUnknown Verdict = iota
+	// VerdictSound says that nothing speaks against the target.
+	VerdictSound
+	// VerdictSuspect says that a route may be worse than its baseline.
+	VerdictSuspect
+	// VerdictBad says that a route, or all together, are worse than their baseline.
+	VerdictBad
 )
 
 // String returns the verdict's name for the log.
 func (v Verdict) String() string { return [...]string{"unknown", "sound", "suspect", "bad"}[v] }
 
-// Judge is a cumulative sum test of a target against its baseline by route, with the log likelihood ratios of
+// SequentialTest is a cumulative sum test of a target against its baseline by route, with the log likelihood ratios of
 // the answers since the last step. The zero value is ready; it is not safe for concurrent use.
 //
 // It compares what came in the same seconds. Were all answers since the order compared, a moment that is bad
 // for both arms would count against the one that got most of its requests in it, which is the target when it
 // is promoted.
-type Judge struct {
+type SequentialTest struct {
 	last   Evidence
 	recent map[string]*recent
 	ratios map[string]float64
@@ -67,7 +67,7 @@
 type recent struct{ bad, total float64 }
 
 // Add takes in the evidence on an order as it is now.
-func (j *Judge) Add(e Evidence) {
+func (j *SequentialTest) Add(e Evidence) {
 	if j.ratios == nil {
 		j.ratios, j.recent = make(map[string]float64), make(map[string]*recent)
 	}
@@ -82,7 +82,7 @@
 }
 
 // step returns the log likelihood ratio of a route's new answers.
-func (j *Judge) step(route string, p Pair) float64 {
+func (j *SequentialTest) step(route string, p ArmCounts) float64 {
 	was := j.last[route]
 	r := j.recent[route]
 	if r == nil {
@@ -112,7 +112,7 @@
 func (c Count) since(o Count) Count { return Count{max(0, c.Good-o.Good), max(0, c.Bad-o.Bad)} }
 
 // Verdict returns what the evidence says, and the route that decided it; empty for all together.
-func (j *Judge) Verdict() (Verdict, string) {
+func (j *SequentialTest) Verdict() (Verdict, string) {
 	worst, route := j.all, ""
 	for _, r := range slices.Sorted(maps.Keys(j.ratios)) {
 		if j.ratios[r] > worst {
@@ -121,11 +121,11 @@
 	}
 	switch {
 	case worst >= rejectAt:
-		return Bad, route
+		return VerdictBad, route
 	case worst >= suspectAt:
-		return Suspect, route
+		return VerdictSuspect, route
 	case j.last.Sum().Target.Total() < leastAnswers:
-		return Unknown, ""
+		return VerdictUnknown, ""
 	}
-	return Sound, ""
+	return VerdictSound, ""
 }
--- a/pkg/sagerollout/model_test.go
+++ b/pkg/sagerollout/model_test.go
@@ -108,15 +108,15 @@
 func play(rnd *rand.Rand, d drawn, weigh func(Evidence) (Verdict, string)) played {
 	var out played
 	instant := func(at time.Duration) sageclock.Instant { return sageclock.Instant(at + time.Hour) }
-	o := Order{ID: 7, Name: "s", Service: "s", Target: "v2", Given: instant(0), Deadline: instant(d.whole), State: Running}
-	books := make([]*Book, d.nodes)
+	o := Order{ID: 7, Name: "s", Service: "s", Target: "v2", FirstSeen: instant(0), Deadline: instant(d.whole), State: StateRunning}
+	books := make([]*Tracker, d.nodes)
 	delay := make([]time.Duration, d.nodes)
 	for i := range books {
-		books[i] = &Book{Chance: rnd.Float64}
+		books[i] = &Tracker{Rand: rnd.Float64}
 		books[i].Put(o)
 		delay[i] = time.Duration(rnd.IntN(500)) * time.Millisecond
 	}
-	c := &Controller{Self: "vm", Bounds: Bounds{Share: modelShare, Slack: modelSlack}, Weigh: weigh}
+	c := &Controller{Self: "vm", Bounds: Bounds{ExposedShare: modelShare, ExposedSlack: modelSlack}, Evaluate: weigh}
 	var plan Plan
 	var plans []Plan // one a tick
 	var counts []map[string]int
@@ -128,18 +128,18 @@
 		at := time.Duration(k) * tick
 		for i, b := range books {
 			if j := k - int(delay[i]/tick) - 1; j >= 0 {
-				b.Learn(plans[j])
+				b.MergePlan(plans[j])
 			}
 		}
 		for _, a := range pending[k] {
 			inFlight[a.version]--
-			books[a.node].Note("s", a.version, a.route, a.bad)
-			arm := Baseline
+			books[a.node].RecordAnswer("s", a.version, a.route, a.bad)
+			arm := ArmBaseline
 			if a.version == "v2" {
-				arm = Target
+				arm = ArmTarget
 			}
-			sum[Key{Order: o.ID, Arm: arm, Bad: a.bad, Route: a.route}.String()]++
-			if a.bad && arm == Target {
+			sum[CountKey{OrderID: o.ID, Arm: arm, Bad: a.bad, Route: a.route}.String()]++
+			if a.bad && arm == ArmTarget {
 				if badAnswers++; badAnswers == afterBad {
 					fiftieth = at
 				}
@@ -150,7 +150,7 @@
 			route, node := d.drawRoute(rnd), rnd.IntN(d.nodes)
 			arm := books[node].Arm(instant(at), "s", route.name)
 			version := "v1"
-			if arm == Target && at >= d.ready {
+			if arm == ArmTarget && at >= d.ready {
 				version = "v2"
 			}
 			if at < d.whole {
@@ -175,12 +175,12 @@
 		}
 		counts = append(counts, snapshot)
 		if k%2 == 0 && k >= 5 {
-			sees := Fleet{InFlight: inFlight["v1"] + inFlight["v2"], BaselineInFlight: inFlight["v1"], BaselineSlots: 1000, TargetSlots: 100000}
+			sees := ServiceLoad{InFlight: inFlight["v1"] + inFlight["v2"], BaselineInFlight: inFlight["v1"], BaselineSlots: 1000, TargetSlots: 100000}
 			if at < d.ready {
 				sees.TargetSlots = 0
 			}
 			was := plan.Phase
-			plan = c.Step(instant(at), o, plan, Gather(o.ID, counts[k-5]), sees)
+			plan = c.Step(instant(at), o, plan, CollectEvidence(o.ID, counts[k-5]), sees)
 			if plan.Phase != was && plan.Phase.Final() {
 				out.ended = at
 			}
@@ -194,7 +194,7 @@
 // active reports whether the target gives additional bad answers.
 func (d *drawn) active(at time.Duration, p Plan, route string) bool {
 	used := 1.0
-	if p.Phase == Canary {
+	if p.Phase == PhaseCanary {
 		used = math.Max(leastUsed, math.Ceil(p.Share*float64(d.upstreams))) / float64(d.upstreams)
 	}
 	return d.bad > 0 && at >= d.from && (d.only == "" || d.only == route) && p.Share/used >= d.load
@@ -244,9 +244,9 @@
 			out.late++
 		}
 		switch {
-		case p.phase == Undone && p.ended <= d.whole:
+		case p.phase == PhaseRolledBack && p.ended <= d.whole:
 			out.undone++
-		case p.phase == Done && p.ended <= d.whole:
+		case p.phase == PhaseDone && p.ended <= d.whole:
 			out.completed++
 		}
 	}
@@ -268,12 +268,12 @@
 func weighThresholds(e Evidence) (Verdict, string) {
 	s := e.Sum()
 	if s.Target.Total() < 20 {
-		return Unknown, ""
+		return VerdictUnknown, ""
 	}
 	if rateOf(s.Target) > rateOf(s.Baseline)+0.1 {
-		return Bad, ""
+		return VerdictBad, ""
 	}
-	return Sound, ""
+	return VerdictSound, ""
 }
 
 // weighPosterior is the way with a posterior for each rate: bad if the target's is above the baseline's by a
@@ -287,17 +287,17 @@
 	}
 	switch {
 	case worst > 3.1:
-		return Bad, route
+		return VerdictBad, route
 	case worst > 1:
-		return Suspect, route
+		return VerdictSuspect, route
 	case e.Sum().Target.Total() < leastAnswers:
-		return Unknown, ""
+		return VerdictUnknown, ""
 	}
-	return Sound, ""
+	return VerdictSound, ""
 }
 
 // surety returns by how many standard deviations the target's rate is above the baseline's and a tenth.
-func surety(p Pair) float64 {
+func surety(p ArmCounts) float64 {
 	mean := func(c Count) (m, v float64) {
 		a, b := float64(c.Bad)+0.5, float64(c.Good)+10
 		n := a + b
--- a/pkg/sagerollout/order.go
+++ b/pkg/sagerollout/order.go
@@ -19,14 +19,14 @@
 
 // The states. The empty one is that of an order of which nothing was written.
 const (
-	Unstarted  State = ""
-	Running    State = "running"
-	Completed  State = "completed"
-	RolledBack State = "rolled_back"
+	StateUnstarted  State = ""
+	StateRunning    State = "running"
+	StateCompleted  State = "completed"
+	StateRolledBack State = "rolled_back"
 )
 
 // Final reports whether the state is the last one of its order.
-func (s State) Final() bool { return s == Completed || s == RolledBack }
+func (s State) Final() bool { return s == StateCompleted || s == StateRolledBack }
 
 // Order asks that a service's traffic be moved to a version.
 type Order struct {
@@ -35,10 +35,10 @@
 	// Name is the order's name in the store.
 	Name    string
 	Service string
-	// Target is the version that the traffic is to be moved to.
+	// ArmTarget is the version that the traffic is to be moved to.
 	Target string
 	// Given is when this node first saw the order, Deadline when it has to be completed or rolled back.
-	Given, Deadline sageclock.Instant
+	FirstSeen, Deadline sageclock.Instant
 	// Revision is that of the order's object; a status is written under the condition that it holds.
 	Revision uint64
 	// State is what the store shows.
@@ -65,5 +65,5 @@
 type Bounds struct {
 	// Share and Slack bound what a bad version gets: Share of the service's requests between order and
 	// deadline, and Slack requests.
-	Share, Slack float64
+	ExposedShare, ExposedSlack float64
 }
--- a/pkg/sagerollout/pace.go
+++ b/pkg/sagerollout/pace.go
@@ -17,25 +17,25 @@
 	mostTime = 15 * time.Second
 )
 
-// Times are how long an answer took; zero is a time that isn't known.
-type Times struct {
+// Latencies are how long an answer took; zero is a time that isn't known.
+type Latencies struct {
 	// First is the time to the first event of a stream, without the reading of the prompt.
-	First time.Duration
+	FirstEvent time.Duration
 	// Pause is the mean time between two events of a stream.
-	Pause time.Duration
+	EventInterval time.Duration
 	// Whole is the time to the whole of an answer that is no stream.
-	Whole time.Duration
+	Total time.Duration
 }
 
-// Paces follow how long the baseline's answers take by route. The zero value is ready; it is safe for
+// LatencyTracker follow how long the baseline's answers take by route. The zero value is ready; it is safe for
 // concurrent use.
-type Paces struct {
+type LatencyTracker struct {
 	mu     sync.Mutex
 	routes map[string]*[3]*sagepace.Mean
 }
 
 // Slow reports whether an answer took several times as long as the baseline's on its route.
-func (p *Paces) Slow(route string, t Times) bool {
+func (p *LatencyTracker) IsSlow(route string, t Latencies) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	means := p.routes[route]
@@ -51,7 +51,7 @@
 }
 
 // Add takes in how long an answer of the baseline took.
-func (p *Paces) Add(route string, t Times) {
+func (p *LatencyTracker) Add(route string, t Latencies) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.routes == nil {
@@ -73,4 +73,6 @@
 	}
 }
 
-func (t Times) list() [3]time.Duration { return [3]time.Duration{t.First, t.Pause, t.Whole} }
+func (t Latencies) list() [3]time.Duration {
+	return [3]time.Duration{t.FirstEvent, t.EventInterval, t.Total}
+}
--- a/pkg/sagerollout/plan.go
+++ b/pkg/sagerollout/plan.go
@@ -17,18 +17,18 @@
 
 // The phases, in order.
 const (
-	// Pending waits for upstreams of the target that can bear the traffic.
-	Pending Phase = iota
-	// Canary sends a small share to a few upstreams of the target.
-	Canary
-	// Ramp sends a larger share to all of them.
-	Ramp
-	// Full sends everything to the target and waits until the baseline is idle.
-	Full
-	// Done is full, with the baseline idle: the order can be completed.
-	Done
-	// Undone sends nothing to the target any more.
-	Undone
+	// PhasePending waits for upstreams of the target that can bear the traffic.
+	PhasePending Phase = iota
+	// PhaseCanary sends a small share to a few upstreams of the target.
+	PhaseCanary
+	// PhaseRamp sends a larger share to all of them.
+	PhaseRamp
+	// PhaseFull sends everything to the target and waits until the baseline is idle.
+	PhaseFull
+	// PhaseDone is full, with the baseline idle: the order can be completed.
+	PhaseDone
+	// PhaseRolledBack sends nothing to the target any more.
+	PhaseRolledBack
 )
 
 // String returns the phase's name for the log.
@@ -41,21 +41,21 @@
 }
 
 // Final reports whether no phase follows.
-func (p Phase) Final() bool { return p == Done || p == Undone }
+func (p Phase) Final() bool { return p == PhaseDone || p == PhaseRolledBack }
 
 // Plan is what the controller has all nodes do for an order.
 type Plan struct {
 	// Order is the order's ID.
-	Order uint64
-	Phase Phase
+	OrderID uint64
+	Phase   Phase
 	// Share is the part of the requests that goes to the target, 0 to 1.
 	Share float64
 	// Version counts the controller's steps, also those of the controllers before it. By is the
 	// controller's name; of two plans of equal version the one with the greater name counts.
-	Version uint64
-	By      string
+	Sequence   uint64
+	Controller string
 	// Issued is when the controller made this version; Since is when its phase began.
-	Issued, Since sageclock.Instant
+	IssuedAt, PhaseSince sageclock.Instant
 }
 
 // supersedes reports whether a plan counts more than another of the same order.
@@ -67,21 +67,21 @@
 	case p.Phase.Final() != o.Phase.Final():
 		return p.Phase.Final()
 	case p.Phase.Final() && p.Phase != o.Phase:
-		return p.Phase == Undone
-	case p.Version != o.Version:
-		return p.Version > o.Version
+		return p.Phase == PhaseRolledBack
+	case p.Sequence != o.Sequence:
+		return p.Sequence > o.Sequence
 	}
-	return p.By > o.By
+	return p.Controller > o.Controller
 }
 
 // share returns the part of the requests that goes to the target now.
 func (p *Plan) share(now sageclock.Instant) float64 {
 	switch {
-	case p.Phase == Undone:
+	case p.Phase == PhaseRolledBack:
 		return 0
-	case p.Phase == Done:
+	case p.Phase == PhaseDone:
 		return 1
-	case now.Sub(p.Issued) > lease:
+	case now.Sub(p.IssuedAt) > lease:
 		return 0
 	}
 	return p.Share
--- a/pkg/sagerollout/rollout_test.go
+++ b/pkg/sagerollout/rollout_test.go
@@ -17,14 +17,14 @@
 }
 
 func TestKeysAreRead(t *testing.T) {
-	for _, k := range []Key{{1 << 63, Baseline, true, "r"}, {7, Target, false, "a/b/c"}, {0, Target, true, ""}} {
-		back, err := ParseKey(k.String())
+	for _, k := range []CountKey{{1 << 63, ArmBaseline, true, "r"}, {7, ArmTarget, false, "a/b/c"}, {0, ArmTarget, true, ""}} {
+		back, err := ParseCountKey(k.String())
 		require.NoError(t, err)
 		require.Equal(t, k, back)
 	}
 	for _, s := range []string{"", "1/1/0", "!/1/0/r", "1/0/0/r", "1/3/0/r", "1/x/0/r", "1/1/2/r"} {
-		_, err := ParseKey(s)
-		require.ErrorIs(t, err, ErrKey, s)
+		_, err := ParseCountKey(s)
+		require.ErrorIs(t, err, ErrCountKey, s)
 	}
 }
 
@@ -59,63 +59,63 @@
 
 // A node that is cut off goes on sending to a version that the others took back.
 func TestPlanIsALease(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	require.True(t, b.Put(order(1, "v2")))
-	require.Equal(t, Baseline, b.Arm(at(0), "chat", "r"), "before the first plan")
-	require.True(t, b.Learn(Plan{Order: 1, Phase: Full, Share: 1, Version: 3, Issued: at(100)}))
-	require.Equal(t, Target, b.Arm(at(2000), "chat", "r"))
-	require.Equal(t, Target, b.Repeat(at(2000), "chat"))
-	require.Equal(t, Baseline, b.Arm(at(2200), "chat", "r"))
-	require.Equal(t, Baseline, b.Repeat(at(2200), "chat"))
-	require.Equal(t, Any, b.Arm(at(2200), "other", "r"))
+	require.Equal(t, ArmBaseline, b.Arm(at(0), "chat", "r"), "before the first plan")
+	require.True(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseFull, Share: 1, Sequence: 3, IssuedAt: at(100)}))
+	require.Equal(t, ArmTarget, b.Arm(at(2000), "chat", "r"))
+	require.Equal(t, ArmTarget, b.RetryArm(at(2000), "chat"))
+	require.Equal(t, ArmBaseline, b.Arm(at(2200), "chat", "r"))
+	require.Equal(t, ArmBaseline, b.RetryArm(at(2200), "chat"))
+	require.Equal(t, ArmAny, b.Arm(at(2200), "other", "r"))
 }
 
 // A version that was taken back gets requests again: another node takes itself for the controller, knows less,
 // and issues a newer plan.
 func TestFinalPhaseStands(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	b.Put(order(1, "v2"))
-	b.Learn(Plan{Order: 1, Phase: Undone, Version: 3, Issued: at(0)})
-	require.False(t, b.Learn(Plan{Order: 1, Phase: Ramp, Share: 0.25, Version: 9, Issued: at(0)}))
-	require.False(t, b.Learn(Plan{Order: 1, Phase: Done, Share: 1, Version: 10, Issued: at(0)}))
-	require.Equal(t, Baseline, b.Arm(at(10), "chat", "r"))
+	b.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 3, IssuedAt: at(0)})
+	require.False(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseRamp, Share: 0.25, Sequence: 9, IssuedAt: at(0)}))
+	require.False(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseDone, Share: 1, Sequence: 10, IssuedAt: at(0)}))
+	require.Equal(t, ArmBaseline, b.Arm(at(10), "chat", "r"))
 	require.False(t, b.Running("chat"))
 	o := order(1, "v2")
-	o.State = Completed
+	o.State = StateCompleted
 	require.True(t, b.Put(o), "upstreams act on what the store shows")
-	require.Equal(t, Target, b.Arm(at(10), "chat", "r"))
+	require.Equal(t, ArmTarget, b.Arm(at(10), "chat", "r"))
 	require.Empty(t, b.Plans())
 }
 
 // Versions of orders that were withdrawn or replaced get their share by load as if nothing had been ordered.
 func TestTargetOfAnOrderThatEndedGetsNothing(t *testing.T) {
-	b := new(Book)
-	require.Nil(t, b.Filter("chat", Any))
+	b := new(Tracker)
+	require.Nil(t, b.VersionFilter("chat", ArmAny))
 	b.Put(order(1, "v2"))
-	target, base := b.Filter("chat", Target), b.Filter("chat", Baseline)
+	target, base := b.VersionFilter("chat", ArmTarget), b.VersionFilter("chat", ArmBaseline)
 	require.True(t, target("v2") && base("v1") && !target("v1") && !base("v2"))
 	b.Delete("chat")
-	require.False(t, b.Filter("chat", Any)("v2"))
+	require.False(t, b.VersionFilter("chat", ArmAny)("v2"))
 	b.Put(order(2, "v3"))
-	base = b.Filter("chat", Baseline)
+	base = b.VersionFilter("chat", ArmBaseline)
 	require.True(t, base("v1") && !base("v2") && !base("v3"))
 	b.Put(order(3, "v2"))
-	require.True(t, b.Filter("chat", Target)("v2"), "ordered again")
-	require.False(t, b.Filter("chat", Baseline)("v3"))
+	require.True(t, b.VersionFilter("chat", ArmTarget)("v2"), "ordered again")
+	require.False(t, b.VersionFilter("chat", ArmBaseline)("v3"))
 }
 
 func TestCountsAreOfRunningOrders(t *testing.T) {
-	b := new(Book)
+	b := new(Tracker)
 	b.Put(order(1, "v2"))
-	b.Note("chat", "v2", "r", true)
-	b.Note("chat", "v1", "r", false)
-	b.Note("other", "v1", "r", false)
+	b.RecordAnswer("chat", "v2", "r", true)
+	b.RecordAnswer("chat", "v1", "r", false)
+	b.RecordAnswer("other", "v1", "r", false)
 	counts := b.Counts()
-	require.Equal(t, map[string]int{Key{1, Target, true, "r"}.String(): 1, Key{1, Baseline, false, "r"}.String(): 1}, counts)
+	require.Equal(t, map[string]int{CountKey{1, ArmTarget, true, "r"}.String(): 1, CountKey{1, ArmBaseline, false, "r"}.String(): 1}, counts)
 	counts["damaged"] = 3
-	require.Equal(t, Evidence{"r": {Baseline: Count{Good: 1}, Target: Count{Bad: 1}}}, Gather(1, counts))
-	require.Empty(t, Gather(2, counts))
-	b.Learn(Plan{Order: 1, Phase: Undone, Version: 1})
+	require.Equal(t, Evidence{"r": {Baseline: Count{Good: 1}, Target: Count{Bad: 1}}}, CollectEvidence(1, counts))
+	require.Empty(t, CollectEvidence(2, counts))
+	b.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 1})
 	require.Empty(t, b.Counts())
 }
 
@@ -127,14 +127,14 @@
 		want  Verdict
 		route string
 	}{
-		{"nothing", Evidence{}, Unknown, ""},
-		{"too little", Evidence{"r": {many, Count{Good: 5}}}, Unknown, ""},
-		{"as good", Evidence{"r": {many, Count{Good: 40}}}, Sound, ""},
-		{"fails by itself as often", Evidence{"r": {Count{86, 14}, Count{43, 7}}}, Sound, ""},
-		{"one route fails", Evidence{"r": {many, Count{40, 0}}, "q": {many, Count{6, 4}}}, Bad, "q"},
-		{"may be worse", Evidence{"r": {many, Count{0, 2}}}, Suspect, ""},
+		{"nothing", Evidence{}, VerdictUnknown, ""},
+		{"too little", Evidence{"r": {many, Count{Good: 5}}}, VerdictUnknown, ""},
+		{"as good", Evidence{"r": {many, Count{Good: 40}}}, VerdictSound, ""},
+		{"fails by itself as often", Evidence{"r": {Count{86, 14}, Count{43, 7}}}, VerdictSound, ""},
+		{"one route fails", Evidence{"r": {many, Count{40, 0}}, "q": {many, Count{6, 4}}}, VerdictBad, "q"},
+		{"may be worse", Evidence{"r": {many, Count{0, 2}}}, VerdictSuspect, ""},
 	} {
-		j := new(Judge)
+		j := new(SequentialTest)
 		j.Add(tt.e)
 		v, route := j.Verdict()
 		require.Equal(t, tt.want, v, tt.name)
@@ -146,7 +146,7 @@
 
 // Trouble that hits both versions counts against the target, which gets most of its requests meanwhile.
 func TestTroubleOfBothVersionsIsNotTheTargets(t *testing.T) {
-	j := new(Judge)
+	j := new(SequentialTest)
 	e := Evidence{"r": {Count{10000, 50}, Count{20, 0}}}
 	j.Add(e)
 	for range 10 {
@@ -156,22 +156,22 @@
 		e = Evidence{"r": p}
 		j.Add(e)
 		v, _ := j.Verdict()
-		require.NotEqual(t, Bad, v)
+		require.NotEqual(t, VerdictBad, v)
 	}
 }
 
 func TestPhasesFollowEachOther(t *testing.T) {
-	c := &Controller{Self: "vm1", Bounds: Bounds{Share: 0.1, Slack: 50}}
+	c := &Controller{Self: "vm1", Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	o := order(1, "v2")
 	e := Evidence{"r": {Count{Good: 100}, Count{}}}
 	var p Plan
 	var seen []Phase
 	for ms := 0; ms <= 20000; ms += 200 {
-		f := Fleet{BaselineSlots: 100, InFlight: 20, BaselineInFlight: 20}
+		f := ServiceLoad{BaselineSlots: 100, InFlight: 20, BaselineInFlight: 20}
 		if ms > 1000 {
 			f.TargetSlots = 100
 		}
-		if p.Phase == Full && at(ms).Sub(p.Since) > time.Second {
+		if p.Phase == PhaseFull && at(ms).Sub(p.PhaseSince) > time.Second {
 			f.BaselineInFlight = 0
 		}
 		if p.Share > 0 {
@@ -184,65 +184,65 @@
 		if len(seen) == 0 || seen[len(seen)-1] != p.Phase {
 			seen = append(seen, p.Phase)
 		}
-		require.Equal(t, uint64(ms/200+1), p.Version)
+		require.Equal(t, uint64(ms/200+1), p.Sequence)
 	}
-	require.Equal(t, []Phase{Pending, Canary, Ramp, Full, Done}, seen)
+	require.Equal(t, []Phase{PhasePending, PhaseCanary, PhaseRamp, PhaseFull, PhaseDone}, seen)
 	v, _ := c.Verdict(1)
-	require.Equal(t, Sound, v)
-	c.Keep(func(uint64) bool { return false })
+	require.Equal(t, VerdictSound, v)
+	c.Retain(func(uint64) bool { return false })
 	v, _ = c.Verdict(1)
-	require.Equal(t, Unknown, v)
+	require.Equal(t, VerdictUnknown, v)
 }
 
 // An order whose new upstreams can't take the traffic moves it all the same, and they are overrun.
 func TestTargetThatIsTooSmallIsRolledBackAtTheDeadline(t *testing.T) {
-	c := &Controller{Bounds: Bounds{Share: 0.1, Slack: 50}}
+	c := &Controller{Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	var p Plan
 	for ms := 0; ms <= 20000; ms += 200 {
-		p = c.Step(at(ms), order(1, "v2"), p, Evidence{}, Fleet{TargetSlots: 10, BaselineSlots: 100, InFlight: 60, BaselineInFlight: 60})
+		p = c.Step(at(ms), order(1, "v2"), p, Evidence{}, ServiceLoad{TargetSlots: 10, BaselineSlots: 100, InFlight: 60, BaselineInFlight: 60})
 		if ms < 20000 {
-			require.Equal(t, Pending, p.Phase)
+			require.Equal(t, PhasePending, p.Phase)
 		}
 	}
-	require.Equal(t, Undone, p.Phase)
+	require.Equal(t, PhaseRolledBack, p.Phase)
 }
 
 // The fleet's controller is lost in the middle: the next one goes on from the plan that it knows.
 func TestAnotherControllerGoesOn(t *testing.T) {
-	p := Plan{Order: 1, Phase: Ramp, Share: 0.25, Version: 40, By: "vm1", Issued: at(9000), Since: at(8500)}
-	c := &Controller{Self: "vm2", Bounds: Bounds{Share: 0.1, Slack: 50}}
+	p := Plan{OrderID: 1, Phase: PhaseRamp, Share: 0.25, Sequence: 40, Controller: "vm1", IssuedAt: at(9000), PhaseSince: at(8500)}
+	c := &Controller{Self: "vm2", Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	e := Evidence{"r": {Count{Good: 3000}, Count{Good: 300}}}
-	next := c.Step(at(9600), order(1, "v2"), p, e, Fleet{TargetSlots: 100, InFlight: 5})
-	require.Equal(t, Full, next.Phase)
-	require.Equal(t, uint64(41), next.Version)
-	require.Equal(t, "vm2", next.By)
+	next := c.Step(at(9600), order(1, "v2"), p, e, ServiceLoad{TargetSlots: 100, InFlight: 5})
+	require.Equal(t, PhaseFull, next.Phase)
+	require.Equal(t, uint64(41), next.Sequence)
+	require.Equal(t, "vm2", next.Controller)
 }
 
 func TestSlowAnswers(t *testing.T) {
-	var p Paces
-	require.False(t, p.Slow("r", Times{Whole: time.Minute}), "nothing to compare with")
+	var p LatencyTracker
+	require.False(t, p.IsSlow("r", Latencies{Total: time.Minute}), "nothing to compare with")
 	for range 50 {
-		p.Add("r", Times{Whole: 40 * time.Millisecond, Pause: 20 * time.Millisecond})
+		p.Add("r", Latencies{Total: 40 * time.Millisecond, EventInterval: 20 * time.Millisecond})
 	}
 	for _, tt := range []struct {
-		t    Times
+		t    Latencies
 		want bool
 	}{
-		{Times{Whole: 80 * time.Millisecond}, false},
-		{Times{Whole: 160 * time.Millisecond}, true},
-		{Times{Pause: 30 * time.Millisecond}, false},
-		{Times{Pause: 90 * time.Millisecond}, true},
-		{Times{First: time.Minute}, false},
-		{Times{}, false},
+		{Latencies{Total: 80 * time.Millisecond}, false},
+		{Latencies{Total: 160 * time.Millisecond}, true},
+		{Latencies{EventInterval: 30 * time.Millisecond}, false},
+		{Latencies{EventInterval: 90 * time.Millisecond}, true},
+		{Latencies{FirstEvent: time.Minute}, false},
+		{Latencies{}, false},
 	} {
-		require.Equal(t, tt.want, p.Slow("r", tt.t), "%+v", tt.t)
+		require.Equal(t, tt.want, p.IsSlow("r", tt.t), "%+v", tt.t)
 	}
 }
 
 func BenchmarkArm(b *testing.B) {
-	k := new(Book)
+	k := new(Tracker)
 	k.Put(order(1, "v2"))
-	k.Learn(Plan{Order: 1, Phase: Canary, Share: 0.04, Version: 1, Issued: at(0)})
+	k.MergePlan(Plan{OrderID: 1, Phase: PhaseCanary, Share: 0.04, Sequence: 1, IssuedAt: at(0)})
 	b.ReportAllocs()
 	for b.Loop() {
 		k.Arm(at(10), "chat", "r")
@@ -250,9 +250,9 @@
 }
 
 func ExampleController() {
-	c := &Controller{Self: "vm1", Bounds: Bounds{Share: 0.1, Slack: 50}}
+	c := &Controller{Self: "vm1", Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	o := Order{ID: 1, Service: "chat", Target: "v2", Deadline: at(20000)}
-	p := c.Step(at(0), o, Plan{}, Evidence{}, Fleet{TargetSlots: 64, BaselineSlots: 64, InFlight: 9, BaselineInFlight: 9})
-	fmt.Println(p.Phase, p.Version, p.Share < 0.1)
+	p := c.Step(at(0), o, Plan{}, Evidence{}, ServiceLoad{TargetSlots: 64, BaselineSlots: 64, InFlight: 9, BaselineInFlight: 9})
+	fmt.Println(p.Phase, p.Sequence, p.Share < 0.1)
 	// Output: canary 1 true
 }
--- a/pkg/sagerollout/splitter.go
+++ b/pkg/sagerollout/splitter.go
@@ -11,7 +11,7 @@
 	// Begin is where this node begins between two requests for the target, a random part of 1: of many nodes
 	// that see a few requests each some send one there, and the share holds for all of them together. It is
 	// set before use.
-	Begin float64
+	InitialCredit float64
 
 	credit float64
 	sent   map[string]int
@@ -23,7 +23,7 @@
 		return true
 	}
 	if s.sent == nil {
-		s.sent, s.credit = make(map[string]int), s.Begin
+		s.sent, s.credit = make(map[string]int), s.InitialCredit
 	}
 	n := s.sent[route]
 	s.sent[route] = n // a route counts from its first request on
