--- a/pkg/sagelease/keeper_test.go
+++ b/pkg/sagelease/keeper_test.go
@@ -190,7 +190,7 @@
 	})
 }
 
-func ExampleKeeper() {
+func ExampleElector() {
 	k := keeper(&sageobject.Memory{}, "vm1")
 	_, err := k.Permit(time.Now(), true)
 	fmt.Println(err)
--- a/pkg/sagesync/example_test.go
+++ b/pkg/sagesync/example_test.go
@@ -7,7 +7,7 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-func ExampleRule_Judge() {
+func ExampleRule_Evaluate() {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 	r := sagesync.Rule{Isolated: sagesync.IsolatedIdempotent, Freshness: 10 * time.Second, CatchUp: 3 * time.Second}
 	s := sagesync.Standing{Revision: 7, Heard: 7, ConfirmedAt: now.Add(-time.Minute)}
