--- a/internal/sageconn/conn.go
+++ b/internal/sageconn/conn.go
@@ -39,15 +39,15 @@
 	return c.Conn.Write(b)
 }
 
-// Booted is a connection that knows which boot of an upstream it leads to.
-type Booted interface {
+// BootIdentifier is a connection that knows which boot of an upstream it leads to.
+type BootIdentifier interface {
 	BootID() string
 }
 
 // Wrap returns c as a connection that a [Tracker] can follow.
 func Wrap(c net.Conn) *Conn {
 	w := &Conn{Conn: c}
-	if b, ok := c.(Booted); ok {
+	if b, ok := c.(BootIdentifier); ok {
 		w.boot = b.BootID()
 	}
 	return w
--- a/internal/sageconn/tracker.go
+++ b/internal/sageconn/tracker.go
@@ -16,7 +16,7 @@
 }
 
 // Got is the GotConn hook of the round trip.
-func (t *Tracker) Got(info httptrace.GotConnInfo) {
+func (t *Tracker) GotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*Conn)
 	if !ok {
 		return
--- a/internal/sagedispatch/dispatcher.go
+++ b/internal/sagedispatch/dispatcher.go
@@ -209,7 +209,7 @@
 	}
 	u.Scheme, u.Host = "http", address
 	if sent != nil {
-		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: sent.Got})
+		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: sent.GotConn})
 	}
 	req, err := http.NewRequestWithContext(ctx, method, u.String(), onceBody{bytes.NewReader(body)})
 	if err != nil {
--- a/internal/sagedispatch/stream.go
+++ b/internal/sagedispatch/stream.go
@@ -32,7 +32,7 @@
 const doneData = "[DONE]"
 
 // done reports the event that ends a stream.
-func done(e *sagesse.Event) bool { return e.Name == "" && string(e.Data) == doneData }
+func done(e *sagesse.Event) bool { return e.Type == "" && string(e.Data) == doneData }
 
 // final reports an error after which resuming is of no use.
 func final(err error) bool {
@@ -92,7 +92,7 @@
 
 // events passes on the events of one connection; nil means that the end mark was passed on.
 func (x *exchange) events(res *http.Response, sent *sageconn.Tracker, last *uint64) error {
-	r := &sagesse.Reader{R: bufio.NewReader(res.Body), Max: orInt(x.d.MaxEvent, DefaultMaxEvent)}
+	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: orInt(x.d.MaxEvent, DefaultMaxEvent)}
 	// A connection that is cut without a word brings no error. The timer closes it, and the read
 	// then fails; it is stopped while the caller is written to, whose slowness isn't the upstream's.
 	stall := orDuration(x.d.StallTimeout, DefaultStallTimeout)
@@ -115,8 +115,8 @@
 		if err := x.pass(res, e); err != nil {
 			return err
 		}
-		if e.Position > 0 {
-			*last = e.Position
+		if e.ID > 0 {
+			*last = e.ID
 		}
 		if done(e) {
 			return nil
@@ -129,17 +129,17 @@
 // answer with missing words for a whole one.
 func (x *exchange) judge(e *sagesse.Event, last uint64) (bool, error) {
 	switch {
-	case e.Idle():
+	case e.IsKeepAlive():
 		return x.res.Started, nil
-	case e.Name == "error":
+	case e.Type == "error":
 		return false, fmt.Errorf("%q: %w", e.Data, errUpstreamEnd)
-	case e.Position == 0:
+	case e.ID == 0:
 		return false, errNoPosition
-	case e.Position <= last:
+	case e.ID <= last:
 		x.res.Duplicates++
 		return false, nil
-	case e.Position > last+1:
-		return false, fmt.Errorf("position %d after %d: %w", e.Position, last, errGap)
+	case e.ID > last+1:
+		return false, fmt.Errorf("position %d after %d: %w", e.ID, last, errGap)
 	}
 	return true, nil
 }
--- a/internal/sagemeasure/retry.go
+++ b/internal/sagemeasure/retry.go
@@ -94,7 +94,7 @@
 func newRetryWorld(c retryCase, rule retryRule, seed uint64) *retryWorld {
 	w := &retryWorld{rand: rand.New(rand.NewPCG(seed, 17)), c: c, rule: rule}
 	for i := range retryRouters {
-		w.policies = append(w.policies, &sageretry.Policy{Source: rand.New(rand.NewPCG(seed, uint64(i)))})
+		w.policies = append(w.policies, &sageretry.Policy{Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
 	}
 	w.arrive()
 	w.after(retryFailFrom, func() { w.every(time.Second, time.Second, w.endSecond) })
@@ -111,7 +111,7 @@
 			w.second[0]++
 		}
 		if w.rule.own {
-			w.policies[q.router].First()
+			w.policies[q.router].RecordFirstAttempt()
 		}
 		w.try(q)
 		if w.rule.hedge {
@@ -133,7 +133,7 @@
 	}
 	p := w.policies[q.router]
 	if w.rule.own {
-		p.Sent(name)
+		p.RecordAttempt(name)
 	}
 	q.tried = append(q.tried, name)
 	q.flying++
@@ -169,7 +169,7 @@
 
 func (w *retryWorld) answer(q *retryRequest, name string) {
 	if w.rule.own {
-		w.policies[q.router].Succeeded(name)
+		w.policies[q.router].RecordSuccess(name)
 	}
 	q.flying--
 	if q.done || w.now-q.came > retryPatience {
@@ -185,7 +185,7 @@
 func (w *retryWorld) failed(q *retryRequest, name string) {
 	q.flying--
 	if w.rule.own {
-		w.policies[q.router].Failed(w.instant(), name)
+		w.policies[q.router].RecordFailure(w.instant(), name)
 	}
 	if q.done || q.flying > 0 {
 		return
@@ -201,7 +201,7 @@
 		}
 		return
 	}
-	d := w.policies[q.router].Retry(w.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Others: 1, Deadline: epoch.Add(q.came + retryPatience)})
+	d := w.policies[q.router].Retry(w.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Untried: 1, Deadline: epoch.Add(q.came + retryPatience)})
 	if d.OK {
 		w.after(d.At.Sub(w.instant()), func() {
 			if !q.done {
--- a/internal/sagenode/load.go
+++ b/internal/sagenode/load.go
@@ -53,8 +53,8 @@
 func (n *Node) retryService() *sageretryd.Service {
 	r := n.Settings.Retry
 	return &sageretryd.Service{Policy: sageretry.Policy{
-		Budget: sageretry.Budget{Ratio: r.Ratio}, Attempts: r.Attempts,
-		Source: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Budget: sageretry.Budget{Ratio: r.Ratio}, MaxAttempts: r.Attempts,
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}}
 }
 
--- a/internal/sagerelay/bench_test.go
+++ b/internal/sagerelay/bench_test.go
@@ -17,7 +17,7 @@
 	event := "id: 1\ndata: " + strings.Repeat("x", 52) + "\n\n"
 	b.ReportAllocs()
 	for b.Loop() {
-		r := &sagesse.Reader{R: bufio.NewReaderSize(strings.NewReader(event), readAhead), Max: maxEvent}
+		r := &sagesse.Reader{R: bufio.NewReaderSize(strings.NewReader(event), readAhead), MaxEventBytes: maxEvent}
 		e, err := r.Next()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/sagerelay/crash.go
+++ b/internal/sagerelay/crash.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return false
 	}
-	if j.s.Trials() && j.s.Quarantine.AllowTrial(now, j.fingerprint()) {
+	if j.s.SendsTrials() && j.s.Quarantine.AllowTrial(now, j.fingerprint()) {
 		j.s.Log.Info("Trial of a quarantined request.", "id", j.call.ID, "fingerprint", j.fingerprint().String())
 		return false
 	}
--- a/internal/sagerelay/exchange.go
+++ b/internal/sagerelay/exchange.go
@@ -71,12 +71,12 @@
 // better than none.
 func (x *exchange) watchSilence() *time.Timer {
 	j := x.j
-	if !j.route.Repeatable() || j.runs+1 >= j.route.Attempts || j.sends >= maxSends {
+	if !j.route.Repeatable() || j.runs+1 >= j.route.MaxAttempts || j.sends >= maxSends {
 		return nil
 	}
 	within := j.silence()
 	return time.AfterFunc(within, func() {
-		if j.s.Fleet.Again(j.target) {
+		if j.s.Fleet.AllowRetry(j.target) {
 			j.granted.Store(true)
 			x.cancel(errSilent)
 		}
@@ -90,13 +90,13 @@
 // stays in the cache, the same prompt fails again and again.
 func (j *job) silence() time.Duration {
 	within := max(silentLeast, time.Duration(silentShare*float64(j.route.Objective)))
-	return within + time.Duration(silentReads*float64(j.s.Fleet.Reads(j.target, j.call.Chain.Tokens())))
+	return within + time.Duration(silentReads*float64(j.s.Fleet.PrefillTime(j.target, j.call.Chain.Tokens())))
 }
 
 // send makes the round trip up to the header of the answer.
 func (x *exchange) send(ctx context.Context) (*http.Response, error) {
 	j := x.j
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.sent.Got})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.sent.GotConn})
 	u := *j.r.URL
 	u.Scheme, u.Host = "http", x.p.Upstream.Address
 	req := (&http.Request{Method: j.r.Method, URL: &u, Host: j.r.Host, Header: sageheader.EndToEnd(j.r.Header), ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
@@ -104,16 +104,16 @@
 		req.Body = io.NopCloser(onceReader{bytes.NewReader(j.bytes)})
 		req.ContentLength = int64(len(j.bytes))
 	}
-	s := Send{Upstream: x.p.Upstream, Deadline: j.until, Priority: j.priority(), From: x.p.From, LastEvent: j.lastEvent}
+	s := ForwardMetadata{Upstream: x.p.Upstream, Deadline: j.until, Priority: j.priority(), CacheSource: x.p.CacheSource, LastEventID: j.lastEvent}
 	if j.account != nil {
 		s.Account = j.account.Name
 	}
-	j.s.Dialect.Send(req.Header, &s)
+	j.s.Dialect.SetForwardHeader(req.Header, &s)
 	if req.Header.Get("User-Agent") == "" {
 		req.Header["User-Agent"] = []string{""} // no name that the caller didn't give
 	}
 	if len(j.call.Chain) > 0 {
-		j.s.Fleet.Read(x.p.Upstream, j.call.Chain)
+		j.s.Fleet.RecordPrompt(x.p.Upstream, j.call.Chain)
 	}
 	return j.s.upstreams.of(j.route.Repeatable()).RoundTrip(req)
 }
@@ -154,7 +154,7 @@
 	}
 	if silent || timedOut {
 		x.abandon()
-		x.answered(Answer{Failed: true})
+		x.answered(ResponseResult{Failed: true})
 	} else {
 		x.checkCrash()
 	}
@@ -165,9 +165,9 @@
 // reply judges the header of an answer and passes the rest on.
 func (x *exchange) reply(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
 	j := x.j
-	rep := j.s.Dialect.Reply(res)
-	if rep.OtherUpstream {
-		j.s.Fleet.Gone(x.p.Upstream)
+	rep := j.s.Dialect.ParseResponse(res)
+	if rep.Misdirected {
+		j.s.Fleet.RecordMisdirected(x.p.Upstream)
 		j.cause = "the address belongs to another upstream"
 		return notRun
 	}
@@ -193,7 +193,7 @@
 }
 
 // answered reports to the fleet how the upstream answered.
-func (x *exchange) answered(a Answer) { x.j.s.Fleet.Answered(x.p, x.j.route.Name, a) }
+func (x *exchange) answered(a ResponseResult) { x.j.s.Fleet.RecordResponse(x.p, x.j.route.Name, a) }
 
 // spoilt settles an exchange whose answer can't be trusted.
 func (x *exchange) spoilt(cause string) verdict {
@@ -214,7 +214,7 @@
 	}
 	j.runs++
 	j.ended(x.p, sagehealth.Failed)
-	x.answered(Answer{Failed: true})
+	x.answered(ResponseResult{Failed: true})
 	j.cause = "upstream status " + strconv.Itoa(res.StatusCode)
 	if !j.started {
 		j.held = h
@@ -229,7 +229,7 @@
 		return v
 	}
 	x.j.ended(x.p, sagehealth.OK)
-	x.answered(Answer{Whole: time.Since(x.began)})
+	x.answered(ResponseResult{Duration: time.Since(x.began)})
 	h.pass(x.j)
 	return answered
 }
--- a/internal/sagerelay/fakes_test.go
+++ b/internal/sagerelay/fakes_test.go
@@ -40,8 +40,8 @@
 
 type testDialect struct{}
 
-func (testDialect) Call(r *http.Request) (Call, error) {
-	c := Call{ID: r.Header.Get(testID), Key: r.Header.Get(testKey), LastEvent: r.Header.Get(testLast)}
+func (testDialect) ParseRequest(r *http.Request) (RequestMetadata, error) {
+	c := RequestMetadata{ID: r.Header.Get(testID), Key: r.Header.Get(testKey), LastEventID: r.Header.Get(testLast)}
 	if c.ID == "" {
 		return c, errors.New("no id")
 	}
@@ -54,24 +54,24 @@
 	return c, nil
 }
 
-func (testDialect) Send(h http.Header, s *Send) {
+func (testDialect) SetForwardHeader(h http.Header, s *ForwardMetadata) {
 	h.Set("Test-Instance", s.Upstream.ID)
 	h.Set("Test-Account", s.Account)
 	h.Del(testKey)
-	if s.LastEvent != "" {
-		h.Set(testLast, s.LastEvent)
+	if s.LastEventID != "" {
+		h.Set(testLast, s.LastEventID)
 	}
 }
 
-func (testDialect) Reply(res *http.Response) Reply {
-	return Reply{
+func (testDialect) ParseResponse(res *http.Response) ResponseMetadata {
+	return ResponseMetadata{
 		ID: res.Header.Get(testID), Sealed: res.Header.Get(testSeal) != "",
-		NotRun:        res.Header.Get(testNotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest,
-		OtherUpstream: res.StatusCode == http.StatusMisdirectedRequest,
+		NotRun:      res.Header.Get(testNotRun) != "" || res.StatusCode == http.StatusMisdirectedRequest,
+		Misdirected: res.StatusCode == http.StatusMisdirectedRequest,
 	}
 }
 
-func (testDialect) Refuse(h http.Header, _ string, after time.Duration) {
+func (testDialect) SetRefusalHeader(h http.Header, _ string, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
@@ -105,8 +105,8 @@
 func (f *world) Table() *sageroute.Table { return f.table }
 func (f *world) ProofAge() time.Duration { return 0 }
 func (f *world) Fresh() bool             { return !f.unfresh }
-func (f *world) First(string)            {}
-func (f *world) Again(string) bool {
+func (f *world) RecordFirstSend(string)  {}
+func (f *world) AllowRetry(string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.budget--
@@ -128,25 +128,29 @@
 func (f *world) Usable(*sageupstream.Entry) bool  { return true }
 func (f *world) Leaving(*sageupstream.Entry) bool { return f.leaving }
 
-func (f *world) Read(*sageupstream.Entry, sagechain.Chain) {}
-func (f *world) Gone(u *sageupstream.Entry)                { f.gone = append(f.gone, u.ID) }
-func (f *world) Began(p *Pick, _ time.Duration)            { f.begun = append(f.begun, p.Unread) }
+func (f *world) RecordPrompt(*sageupstream.Entry, sagechain.Chain) {}
+func (f *world) RecordMisdirected(u *sageupstream.Entry)           { f.gone = append(f.gone, u.ID) }
+func (f *world) RecordFirstEvent(p *Pick, _ time.Duration) {
+	f.begun = append(f.begun, p.UncachedTokens)
+}
 
-func (f *world) Ran(string, time.Duration) { f.ran++ }
+func (f *world) RecordServiceTime(string, time.Duration) { f.ran++ }
 
-func (f *world) Reads(_ string, tokens int) time.Duration {
+func (f *world) PrefillTime(_ string, tokens int) time.Duration {
 	return time.Duration(tokens) * 18 * time.Microsecond
 }
 
-func (f *world) Await(context.Context, string, sagechain.Chain) {}
+func (f *world) AwaitCacheSync(context.Context, string, sagechain.Chain) {}
 
-func (f *world) Answered(_ *Pick, route string, a Answer) {
+func (f *world) RecordResponse(_ *Pick, route string, a ResponseResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answers = append(f.answers, noted{route, a})
 }
 
-func (f *world) Ended(_ *sageupstream.Entry, r sagehealth.Result) { f.results = append(f.results, r) }
+func (f *world) RecordExchange(_ *sageupstream.Entry, r sagehealth.Result) {
+	f.results = append(f.results, r)
+}
 
 func (f *world) dial(_ context.Context, _, address string) (net.Conn, error) {
 	name := strings.TrimSuffix(address, ":80")
@@ -177,15 +181,15 @@
 // noted is an answer that was reported to the fleet.
 type noted struct {
 	route string
-	Answer
+	ResponseResult
 }
 
 // route is a route with usual figures; kinds differ per test.
 func route(kind sageroute.Kind) sageroute.Route {
 	return sageroute.Route{
-		Name: "r", Host: "h.example", Prefix: "/", Kind: kind, Attempts: 2, Timeout: 4 * time.Second,
-		Objective: 300 * time.Millisecond, Gap: 500 * time.Millisecond, Resumable: kind == sageroute.Stream,
-		Services: []sageroute.Weighted{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h.example", Prefix: "/", Kind: kind, MaxAttempts: 2, Timeout: 4 * time.Second,
+		Objective: 300 * time.Millisecond, MaxEventGap: 500 * time.Millisecond, Resumable: kind == sageroute.Stream,
+		Services: []sageroute.WeightedService{{Service: "s", Weight: 1}},
 	}
 }
 
@@ -213,7 +217,7 @@
 
 func (f *world) service() *Service {
 	s := &Service{Dialect: testDialect{}, Fleet: f, Metrics: metrics.NewSet(), Log: sagelog.Logger{}, Closing: func() bool { return false }, Quarantine: new(sagequarantine.Tracker),
-		Trials: func() bool { return f.trials }}
+		SendsTrials: func() bool { return f.trials }}
 	s.upstreams.dial = f.dial
 	return s
 }
--- a/internal/sagerelay/job.go
+++ b/internal/sagerelay/job.go
@@ -47,7 +47,7 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	began   time.Time
-	call    Call
+	call    RequestMetadata
 	route   *sageroute.Route
 	version uint64 // of the configuration
 	account *sageroute.Account
@@ -75,14 +75,14 @@
 // serve sends the request until it is answered or nothing more may be tried.
 func (j *job) serve() {
 	j.until = j.deadline()
-	j.lastEvent = j.call.LastEvent
-	j.lastPosition, _ = strconv.ParseUint(j.call.LastEvent, 10, 64) // one that isn't a number is passed on as it is
+	j.lastEvent = j.call.LastEventID
+	j.lastPosition, _ = strconv.ParseUint(j.call.LastEventID, 10, 64) // one that isn't a number is passed on as it is
 	j.target = j.service()
 	ctx, cancel := context.WithDeadline(j.r.Context(), j.until)
 	defer cancel()
 	j.writeUntil()
-	j.s.Fleet.First(j.target)
-	j.s.Fleet.Await(ctx, j.target, j.call.Chain)
+	j.s.Fleet.RecordFirstSend(j.target)
+	j.s.Fleet.AwaitCacheSync(ctx, j.target, j.call.Chain)
 	if j.quarantined() {
 		j.finish(ctx, Quarantined)
 		return
@@ -99,7 +99,7 @@
 		j.s.countSend(j.target, v)
 		if v == answered {
 			j.succeeded()
-			j.s.Fleet.Ran(j.target, time.Since(began))
+			j.s.Fleet.RecordServiceTime(j.target, time.Since(began))
 			j.s.count(Answered)
 			j.s.observe(j)
 			j.logServed(p)
@@ -120,7 +120,7 @@
 // note logs an exchange that brought no final answer.
 func (j *job) note(p *Pick, v verdict) {
 	j.s.Log.Limited(sagelog.KindExchange, "Exchange failed.", "id", j.call.ID, "upstream", p.Upstream.ID, "verdict", v.String(),
-		"cause", j.cause, "send", j.sends, "why", p.Why, "load", p.Load, "fingerprint", j.fingerprint().String(), "age_ms", time.Since(j.began).Milliseconds())
+		"cause", j.cause, "send", j.sends, "why", p.Rule, "load", p.Load, "fingerprint", j.fingerprint().String(), "age_ms", time.Since(j.began).Milliseconds())
 }
 
 // String returns the verdict's name for the log.
@@ -146,9 +146,9 @@
 		return Quarantined, false
 	case v == notSent:
 		return "", true
-	case v != notRun && !(j.route.Repeatable() && j.runs < j.route.Attempts):
+	case v != notRun && !(j.route.Repeatable() && j.runs < j.route.MaxAttempts):
 		return reason, false
-	case !j.granted.Swap(false) && !j.s.Fleet.Again(j.target):
+	case !j.granted.Swap(false) && !j.s.Fleet.AllowRetry(j.target):
 		return reason, false
 	}
 	return "", true
@@ -184,7 +184,7 @@
 
 // logServed tells of an answered request; most of these lines are left out and counted.
 func (j *job) logServed(p *Pick) {
-	j.s.Log.Limited(sagelog.KindServed, "Request answered.", "id", j.call.ID, "route", j.route.Name, "upstream", p.Upstream.ID, "why", p.Why,
+	j.s.Log.Limited(sagelog.KindServed, "Request answered.", "id", j.call.ID, "route", j.route.Name, "upstream", p.Upstream.ID, "why", p.Rule,
 		"load", p.Load, "sends", j.sends, "config_version", j.version, "age_ms", time.Since(j.began).Milliseconds())
 }
 
@@ -196,7 +196,7 @@
 			"config_version", j.version, "proof_age_ms", j.s.Fleet.ProofAge().Milliseconds(), "age_ms", time.Since(j.began).Milliseconds())
 	}
 	h := j.w.Header()
-	j.s.Dialect.Refuse(h, j.call.ID, after)
+	j.s.Dialect.SetRefusalHeader(h, j.call.ID, after)
 	body := `{"reason":` + strconv.Quote(string(reason)) + `}`
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -211,4 +211,4 @@
 }
 
 // ended tells the fleet how an exchange ended, unless it was this side that ended it.
-func (j *job) ended(p *Pick, res sagehealth.Result) { j.s.Fleet.Ended(p.Upstream, res) }
+func (j *job) ended(p *Pick, res sagehealth.Result) { j.s.Fleet.RecordExchange(p.Upstream, res) }
--- a/internal/sagerelay/relay_test.go
+++ b/internal/sagerelay/relay_test.go
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": after(time.Second, reply(200, seal, "fine"))})
 		s := w.service()
-		s.BodyBytes = 100
+		s.MaxBufferedBytes = 100
 		first := make(chan outcome)
 		go func() { first <- w.callOn(t.Context(), s, nil, strings.Repeat("x", 60)) }()
 		synctest.Wait()
--- a/internal/sagerelay/service.go
+++ b/internal/sagerelay/service.go
@@ -44,9 +44,9 @@
 	// Quarantine keeps the requests that crash upstreams.
 	Quarantine *sagequarantine.Tracker
 	// Trials reports whether this node is the one that sends trials of quarantined requests.
-	Trials func() bool
+	SendsTrials func() bool
 	// BodyBytes bounds the bodies that are held at a time; 0 means no bound.
-	BodyBytes int64
+	MaxBufferedBytes int64
 
 	bodies    atomic.Int64 // bytes reserved for bodies
 	upstreams transports
@@ -73,7 +73,7 @@
 
 // accept decodes and checks a request, and refuses it unless it may go on.
 func (s *Service) accept(j *job) bool {
-	call, err := s.Dialect.Call(j.r)
+	call, err := s.Dialect.ParseRequest(j.r)
 	if err != nil {
 		j.refuse(http.StatusBadRequest, BadRequest, 0)
 		return false
@@ -111,7 +111,7 @@
 // It guards against a key that was taken away while this node could not hear of it: without a proof
 // that the configuration is fresh, no key is trusted, and the caller is sent elsewhere at once.
 func (j *job) authorize(t *sageroute.Table) bool {
-	if j.route.Public || !t.Keyed() {
+	if j.route.Public || !t.RequiresKey() {
 		return true
 	}
 	if !j.s.Fleet.Fresh() {
@@ -163,7 +163,7 @@
 	if n < 0 {
 		n = limits.BodyBytes // sent in chunks: it may be as large as allowed
 	}
-	if sum := s.bodies.Add(n); s.BodyBytes > 0 && sum > s.BodyBytes && sum > n {
+	if sum := s.bodies.Add(n); s.MaxBufferedBytes > 0 && sum > s.MaxBufferedBytes && sum > n {
 		s.bodies.Add(-n)
 		return false
 	}
@@ -188,7 +188,7 @@
 	if len(j.route.Services) == 1 {
 		return j.route.Services[0].Service
 	}
-	return j.route.Pick(rand.Float64())
+	return j.route.PickService(rand.Float64())
 }
 
 // count counts the end of a request.
--- a/internal/sagerelay/steps.go
+++ b/internal/sagerelay/steps.go
@@ -11,8 +11,8 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// Call is what a caller's headers say.
-type Call struct {
+// RequestMetadata is what a caller's headers say.
+type RequestMetadata struct {
 	// ID names this attempt of the caller.
 	ID string
 	// Key is the caller's key; empty if it gave none.
@@ -22,24 +22,24 @@
 	// Chain are the parts of the prompt.
 	Chain sagechain.Chain
 	// LastEvent is the id of the event after which the caller wants a stream to go on.
-	LastEvent string
+	LastEventID string
 }
 
-// Send is what the headers to an upstream say beside the caller's own.
-type Send struct {
+// ForwardMetadata is what the headers to an upstream say beside the caller's own.
+type ForwardMetadata struct {
 	Upstream *sageupstream.Entry
 	// Account is the client account; empty on public routes.
 	Account  string
 	Deadline time.Time
 	Priority int
 	// From is the address of an upstream that holds more of the prompt; empty if none does.
-	From string
+	CacheSource string
 	// LastEvent is the id of the event after which a stream goes on; empty from its start.
-	LastEvent string
+	LastEventID string
 }
 
-// Reply is what the headers of an upstream's answer say.
-type Reply struct {
+// ResponseMetadata is what the headers of an upstream's answer say.
+type ResponseMetadata struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// Sealed says that the answer bears the upstream's seal.
@@ -47,21 +47,21 @@
 	// NotRun says that the upstream did not execute the request and won't.
 	NotRun bool
 	// OtherUpstream says that the address belongs to another upstream by now.
-	OtherUpstream bool
+	Misdirected bool
 	// Leaving says that the upstream is about to stop.
 	Leaving bool
 }
 
 // Dialect reads and writes the headers of callers and upstreams.
 type Dialect interface {
-	// Call decodes a caller's request.
-	Call(r *http.Request) (Call, error)
-	// Send sets the headers of a request to an upstream; h holds the caller's end-to-end headers.
-	Send(h http.Header, s *Send)
-	// Reply decodes the headers of an upstream's answer.
-	Reply(res *http.Response) Reply
+	// RequestMetadata decodes a caller's request.
+	ParseRequest(r *http.Request) (RequestMetadata, error)
+	// ForwardMetadata sets the headers of a request to an upstream; h holds the caller's end-to-end headers.
+	SetForwardHeader(h http.Header, s *ForwardMetadata)
+	// ResponseMetadata decodes the headers of an upstream's answer.
+	ParseResponse(res *http.Response) ResponseMetadata
 	// Refuse sets the headers of an answer that this node gives itself.
-	Refuse(h http.Header, id string, retryAfter time.Duration)
+	SetRefusalHeader(h http.Header, id string, retryAfter time.Duration)
 }
 
 // Reason is how or why a request ended.
@@ -92,13 +92,13 @@
 type Pick struct {
 	Upstream *sageupstream.Entry
 	// From is the address of an upstream that holds more of the prompt.
-	From string
+	CacheSource string
 	// Why is what decided, for the log.
-	Why  string
+	Rule string
 	Load int
 	// Unread are the tokens of the prompt that the upstream has to read.
-	Unread int
-	Done   func()
+	UncachedTokens int
+	Done           func()
 }
 
 // Query is a request for an upstream.
@@ -111,14 +111,14 @@
 	Tried []string
 }
 
-// Answer is how an upstream answered; zero is a time that isn't known.
-type Answer struct {
+// ResponseResult is how an upstream answered; zero is a time that isn't known.
+type ResponseResult struct {
 	// Failed says that it answered with a failure, or not in time.
 	Failed bool
 	// First is the time to the first event of a stream, Pause the mean time between two of them.
-	First, Pause time.Duration
+	TimeToFirstEvent, MeanEventGap time.Duration
 	// Whole is the time to the whole of an answer that is no stream.
-	Whole time.Duration
+	Duration time.Duration
 }
 
 // Fleet is what the node knows of configuration and upstreams.
@@ -130,7 +130,7 @@
 	// ProofAge is the age of the configuration's proof, for the log.
 	ProofAge() time.Duration
 	// Await waits a moment for knowledge of who holds a chain, on a node that has just started.
-	Await(ctx context.Context, service string, c sagechain.Chain)
+	AwaitCacheSync(ctx context.Context, service string, c sagechain.Chain)
 	// Pick chooses an upstream, or nil if none may be used.
 	Pick(q *Query) *Pick
 	// Usable reports whether a picked upstream may still be sent to.
@@ -138,20 +138,20 @@
 	// Leaving reports whether an upstream is about to stop, or has left.
 	Leaving(u *sageupstream.Entry) bool
 	// First notes the first send of a request to a service, Again asks for one more.
-	First(service string)
-	Again(service string) bool
+	RecordFirstSend(service string)
+	AllowRetry(service string) bool
 	// Began notes how long the first event of a stream took.
-	Began(p *Pick, took time.Duration)
+	RecordFirstEvent(p *Pick, took time.Duration)
 	// Ran notes how long an exchange took that was answered to the end.
-	Ran(service string, took time.Duration)
+	RecordServiceTime(service string, took time.Duration)
 	// Reads is how long engines of a service read that many tokens when nothing else waits.
-	Reads(service string, tokens int) time.Duration
+	PrefillTime(service string, tokens int) time.Duration
 	// Ended notes how an exchange with an upstream ended.
-	Ended(u *sageupstream.Entry, res sagehealth.Result)
+	RecordExchange(u *sageupstream.Entry, res sagehealth.Result)
 	// Answered notes how an upstream answered a request of a route.
-	Answered(p *Pick, route string, a Answer)
+	RecordResponse(p *Pick, route string, a ResponseResult)
 	// Read notes that an upstream reads a chain.
-	Read(u *sageupstream.Entry, c sagechain.Chain)
+	RecordPrompt(u *sageupstream.Entry, c sagechain.Chain)
 	// Gone notes that another upstream has the address by now.
-	Gone(u *sageupstream.Entry)
+	RecordMisdirected(u *sageupstream.Entry)
 }
--- a/internal/sagerelay/stream.go
+++ b/internal/sagerelay/stream.go
@@ -33,13 +33,13 @@
 // elsewhere may repeat some, and an event that is missing would join two answers.
 func (x *exchange) stream(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
 	j := x.j
-	r := &sagesse.Reader{R: bufio.NewReaderSize(res.Body, readAhead), Max: maxEvent}
+	r := &sagesse.Reader{R: bufio.NewReaderSize(res.Body, readAhead), MaxEventBytes: maxEvent}
 	flush := http.NewResponseController(j.w)
 	stall := x.stallAfter()
 	var seen eventTimes
 	for {
 		e, err := r.Next()
-		if err != nil && r.Ended() {
+		if err != nil && r.CleanEOF() {
 			x.answered(seen.answer(x.began))
 			return x.ended(res)
 		}
@@ -47,16 +47,16 @@
 			return x.cutOff(ctx, err)
 		}
 		if seen.add(time.Now()); seen.n == 1 {
-			j.s.Fleet.Began(x.p, seen.first.Sub(x.began))
+			j.s.Fleet.RecordFirstEvent(x.p, seen.first.Sub(x.began))
 		}
 		if silent != nil {
 			silent.Reset(stall)
 		}
-		if e.Position > 0 && e.Position <= j.lastPosition {
+		if e.ID > 0 && e.ID <= j.lastPosition {
 			continue
 		}
-		if e.Position > 0 && j.lastPosition > 0 && e.Position != j.lastPosition+1 {
-			return x.cutOff(ctx, fmt.Errorf("event %d follows %d", e.Position, j.lastPosition))
+		if e.ID > 0 && j.lastPosition > 0 && e.ID != j.lastPosition+1 {
+			return x.cutOff(ctx, fmt.Errorf("event %d follows %d", e.ID, j.lastPosition))
 		}
 		x.begin(res)
 		if err := j.passEvent(e, flush); err != nil {
@@ -82,20 +82,20 @@
 }
 
 // answer returns the times of a whole stream that was sent for at an instant.
-func (t *eventTimes) answer(began time.Time) Answer {
-	var a Answer
+func (t *eventTimes) answer(began time.Time) ResponseResult {
+	var a ResponseResult
 	if t.n > 0 {
-		a.First = t.first.Sub(began)
+		a.TimeToFirstEvent = t.first.Sub(began)
 	}
 	if t.n > 1 {
-		a.Pause = t.last.Sub(t.first) / time.Duration(t.n-1)
+		a.MeanEventGap = t.last.Sub(t.first) / time.Duration(t.n-1)
 	}
 	return a
 }
 
 // stallAfter is how long a stream may pause before it is taken up elsewhere.
 func (x *exchange) stallAfter() time.Duration {
-	return max(silentLeast, time.Duration(stallGaps*float64(x.j.route.Gap)))
+	return max(silentLeast, time.Duration(stallGaps*float64(x.j.route.MaxEventGap)))
 }
 
 // begin passes the header on, once for all exchanges of a request.
@@ -116,9 +116,9 @@
 	if err := flush.Flush(); err != nil {
 		return fmt.Errorf("flush: %v: %w", err, errCallerGone)
 	}
-	if e.Position > 0 {
-		j.lastPosition = e.Position
-		j.lastEvent = fmt.Sprint(e.Position)
+	if e.ID > 0 {
+		j.lastPosition = e.ID
+		j.lastEvent = fmt.Sprint(e.ID)
 	}
 	return nil
 }
--- a/internal/sageretryd/sageretryd.go
+++ b/internal/sageretryd/sageretryd.go
@@ -35,14 +35,14 @@
 func (s *Service) First(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Policy.First()
+	s.Policy.RecordFirstAttempt()
 }
 
 // Allow implements [sageentry.Retries].
 func (s *Service) Allow(now time.Time, r *sageentry.Request, tried []string, notRun bool) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.Policy.Retry(now, sageretry.Attempt{Idempotent: r.Idempotent, NotRun: notRun, Tried: tried, Others: 1, Deadline: r.Deadline})
+	d := s.Policy.Retry(now, sageretry.Attempt{Idempotent: r.Idempotent, NotRun: notRun, Tried: tried, Untried: 1, Deadline: r.Deadline})
 	return d.At, d.OK
 }
 
@@ -53,7 +53,7 @@
 	if !s.Policy.Allow(now, upstream, deadline) {
 		return false
 	}
-	s.Policy.Sent(upstream)
+	s.Policy.RecordAttempt(upstream)
 	return true
 }
 
@@ -65,9 +65,9 @@
 	switch {
 	case res == nil || res.CallerGone:
 	case res.Outcome == sagewire.Complete, res.Reason == sagewire.ReasonUpstreamRefused:
-		s.Policy.Succeeded(upstream)
+		s.Policy.RecordSuccess(upstream)
 	default:
-		s.Policy.Failed(now, upstream)
+		s.Policy.RecordFailure(now, upstream)
 	}
 }
 
@@ -76,6 +76,6 @@
 	set.NewGauge("sagestand_circuits_open", func() float64 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return float64(s.Policy.Open())
+		return float64(s.Policy.OpenCircuits())
 	})
 }
--- a/internal/sageretryd/sageretryd_test.go
+++ b/internal/sageretryd/sageretryd_test.go
@@ -28,7 +28,7 @@
 		{"answer lost", &sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}, false},
 		{"not reached", &sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamFailed}, false},
 	} {
-		s := &Service{Policy: sageretry.Policy{Source: rand.New(rand.NewPCG(1, 1))}}
+		s := &Service{Policy: sageretry.Policy{Rand: rand.New(rand.NewPCG(1, 1))}}
 		for range 10 {
 			s.Lets(now, "engine1", later)
 			s.Ended(now, "engine1", c.res)
--- a/internal/sagerouter/await.go
+++ b/internal/sagerouter/await.go
@@ -16,11 +16,11 @@
 // It guards against prompts that are read again after all nodes were stopped: the first requests come before the
 // engines have listed what they hold. A request waits for that at most as long as an engine needs to read its
 // shared parts, so that it loses no more than it may save, and only until the recall is over.
-func (f *fleet) Await(ctx context.Context, service string, c sagechain.Chain) {
+func (f *fleet) AwaitCacheSync(ctx context.Context, service string, c sagechain.Chain) {
 	if f.recalled() || f.placer.HasHolder(sageclock.Now(), c) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.Reads(service, c.Shared().Tokens()))
+	ctx, cancel := context.WithTimeout(ctx, f.PrefillTime(service, c.Shared().Tokens()))
 	defer cancel()
 	t := time.NewTicker(awaitPoll)
 	defer t.Stop()
--- a/internal/sagerouter/await_test.go
+++ b/internal/sagerouter/await_test.go
@@ -39,7 +39,7 @@
 			if tt.waits {
 				time.AfterFunc(50*time.Millisecond, cancel)
 			}
-			f.Await(ctx, "s", tt.chain)
+			f.AwaitCacheSync(ctx, "s", tt.chain)
 			require.Equal(t, tt.waits, ctx.Err() != nil)
 		})
 	}
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -45,8 +45,8 @@
 	answers      sageflight.Counter
 
 	mu      sync.Mutex
-	cold    sageshare.Cold
-	retries sageshare.Retries
+	cold    sageshare.ColdLimiter
+	retries sageshare.RetryLimiter
 }
 
 // bounds sets the bounds that settings may change.
@@ -177,10 +177,10 @@
 
 func (f *fleet) picked(set *sageupstream.Set, e *sageupstream.Entry, c sagechain.Choice, loads map[string]int, q *sagerelay.Query) *sagerelay.Pick {
 	p := &sagerelay.Pick{
-		Upstream: e, Why: string(c.Reason), Load: loads[e.ID], Unread: q.Chain.Tokens() - max(c.HeldTokens, c.CopyTokens), Done: f.flights.Start(e.ID),
+		Upstream: e, Rule: string(c.Reason), Load: loads[e.ID], UncachedTokens: q.Chain.Tokens() - max(c.HeldTokens, c.CopyTokens), Done: f.flights.Start(e.ID),
 	}
 	if from := set.Reachable(sageclock.Now(), c.CopyFrom); from != nil {
-		p.From = from.Address
+		p.CacheSource = from.Address
 	}
 	return p
 }
@@ -213,14 +213,14 @@
 }
 
 // First implements [sagerelay.Fleet].
-func (f *fleet) First(service string) {
+func (f *fleet) RecordFirstSend(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retries.First(sageclock.Now(), service)
+	f.retries.RecordFirstSend(sageclock.Now(), service)
 }
 
 // Again implements [sagerelay.Fleet].
-func (f *fleet) Again(service string) bool {
+func (f *fleet) AllowRetry(service string) bool {
 	nodes := len(f.known())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,22 +228,24 @@
 }
 
 // Began implements [sagerelay.Fleet].
-func (f *fleet) Began(p *sagerelay.Pick, took time.Duration) {
-	if p.Unread > 0 {
-		f.paces.of(p.Upstream.Service).read.Add(float64(p.Unread), took)
+func (f *fleet) RecordFirstEvent(p *sagerelay.Pick, took time.Duration) {
+	if p.UncachedTokens > 0 {
+		f.paces.of(p.Upstream.Service).read.Add(float64(p.UncachedTokens), took)
 	}
 }
 
 // Ran implements [sagerelay.Fleet].
-func (f *fleet) Ran(service string, took time.Duration) { f.paces.of(service).run.Add(took) }
+func (f *fleet) RecordServiceTime(service string, took time.Duration) {
+	f.paces.of(service).run.Add(took)
+}
 
 // Reads implements [sagerelay.Fleet].
-func (f *fleet) Reads(service string, tokens int) time.Duration {
+func (f *fleet) PrefillTime(service string, tokens int) time.Duration {
 	return time.Duration(tokens) * f.paces.of(service).read.Slope()
 }
 
 // Ended implements [sagerelay.Fleet].
-func (f *fleet) Ended(u *sageupstream.Entry, res sagehealth.Result) {
+func (f *fleet) RecordExchange(u *sageupstream.Entry, res sagehealth.Result) {
 	f.health.Note(sageclock.Now(), u.Service, u.ID, res)
 }
 
@@ -271,12 +273,12 @@
 }
 
 // Read implements [sagerelay.Fleet].
-func (f *fleet) Read(u *sageupstream.Entry, c sagechain.Chain) {
+func (f *fleet) RecordPrompt(u *sageupstream.Entry, c sagechain.Chain) {
 	f.placer.Record(sageclock.Now(), u.ID, c)
 }
 
 // Gone implements [sagerelay.Fleet].
-func (f *fleet) Gone(u *sageupstream.Entry) {
+func (f *fleet) RecordMisdirected(u *sageupstream.Entry) {
 	f.health.Note(sageclock.Now(), u.Service, u.ID, sagehealth.Broken)
 	f.placer.Forget(u.ID)
 }
--- a/internal/sagerouter/fleet_test.go
+++ b/internal/sagerouter/fleet_test.go
@@ -34,8 +34,8 @@
 	v.applyUpstreams(nil, false)
 	return &fleet{
 		view: v, keyProof: new(sagefresh.Proof), placer: v.placer, lag: func() time.Duration { return 0 },
-		known: func() []string { return []string{"vm1"} }, cold: sageshare.Cold{Self: "vm1"},
-		retries: sageshare.Retries{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
+		known: func() []string { return []string{"vm1"} }, cold: sageshare.ColdLimiter{Self: "vm1"},
+		retries: sageshare.RetryLimiter{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	}
 }
 
@@ -65,8 +65,8 @@
 // although one might work.
 func TestBrokenUpstreamsAreSecondChoice(t *testing.T) {
 	f := newFleet(t, 3, 0)
-	f.Ended(f.view.set.Load().Get("u0"), sagehealth.Broken)
-	f.Ended(f.view.set.Load().Get("u1"), sagehealth.Broken)
+	f.RecordExchange(f.view.set.Load().Get("u0"), sagehealth.Broken)
+	f.RecordExchange(f.view.set.Load().Get("u1"), sagehealth.Broken)
 	for thing := range uint64(10) {
 		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(thing)})
 		require.Equal(t, "u2", p.Upstream.ID)
@@ -94,12 +94,12 @@
 func TestPickNamesTheSourceToCopyFrom(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7)})
-	f.Read(p.Upstream, chain(7))
+	f.RecordPrompt(p.Upstream, chain(7))
 	other := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7), Tried: []string{p.Upstream.ID}})
-	require.Equal(t, p.Upstream.Address, other.From)
-	f.Gone(p.Upstream)
+	require.Equal(t, p.Upstream.Address, other.CacheSource)
+	f.RecordMisdirected(p.Upstream)
 	again := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7), Tried: []string{p.Upstream.ID}})
-	require.Empty(t, again.From, "another upstream has that address")
+	require.Empty(t, again.CacheSource, "another upstream has that address")
 }
 
 // A key is trusted for as long as its removal could not have taken effect, and no longer.
@@ -119,7 +119,7 @@
 	f := newFleet(&testing.T{}, 64, 0)
 	for thing := range uint64(200) {
 		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(thing)})
-		f.Read(p.Upstream, chain(thing))
+		f.RecordPrompt(p.Upstream, chain(thing))
 		p.Done()
 	}
 	b.ReportAllocs()
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -180,8 +180,8 @@
 	n.spreadFirstListing()
 	n.fleet = &fleet{
 		view: n.view, keyProof: &n.copies[n.Kinds.Config].Proof,
-		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.Cold{Self: cfg.Node},
-		retries: sageshare.Retries{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
+		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.ColdLimiter{Self: cfg.Node},
+		retries: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.fleet.rollouts = new(sagerollout.Tracker)
@@ -191,8 +191,8 @@
 	n.fleet.bounds(&cfg.Bounds)
 	n.relay = &sagerelay.Service{
 		Dialect: n.Dialect, Fleet: n.fleet, Metrics: n.metrics, Log: n.Log.Part("relay"), Closing: n.leaving.Load, Quarantine: &n.quarantine,
-		Trials:    func() bool { return n.quarantineRank() == 0 },
-		BodyBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
+		SendsTrials:      func() bool { return n.quarantineRank() == 0 },
+		MaxBufferedBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
 	}
 }
 
@@ -229,7 +229,7 @@
 	var out []*sageupstream.Entry
 	for name, s := range table.Services {
 		if s.Engine {
-			out = append(out, set.Of(name)...)
+			out = append(out, set.Available(name)...)
 		}
 	}
 	return out, true
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -156,7 +156,7 @@
 	set := f.view.set.Load()
 	loads := f.flights.Sum(now)
 	var out sagerollout.ServiceLoad
-	for _, e := range set.Of(o.Service) {
+	for _, e := range set.Available(o.Service) {
 		switch {
 		case e.Version != o.Target:
 			out.BaselineSlots += e.Slots
@@ -175,7 +175,7 @@
 
 // versionsOf returns the upstreams of a service that an arm of its rollout may use.
 func (f *fleet) versionsOf(set *sageupstream.Set, service string, arm sagerollout.Arm) []*sageupstream.Entry {
-	all := set.Of(service)
+	all := set.Available(service)
 	if f.rollouts == nil {
 		return all
 	}
@@ -233,14 +233,14 @@
 // Answered implements [sagerelay.Fleet].
 //
 // Answers of cold upstreams are slow for another reason than their version, and count only if they fail.
-func (f *fleet) Answered(p *sagerelay.Pick, route string, a sagerelay.Answer) {
+func (f *fleet) RecordResponse(p *sagerelay.Pick, route string, a sagerelay.ResponseResult) {
 	if f.rollouts == nil {
 		return
 	}
 	u := p.Upstream
-	t := sagerollout.Latencies{EventInterval: a.Pause, Total: a.Whole}
-	if a.First > 0 {
-		t.FirstEvent = max(1, a.First-f.Reads(u.Service, p.Unread))
+	t := sagerollout.Latencies{EventInterval: a.MeanEventGap, Total: a.Duration}
+	if a.TimeToFirstEvent > 0 {
+		t.FirstEvent = max(1, a.TimeToFirstEvent-f.PrefillTime(u.Service, p.UncachedTokens))
 	}
 	cold := u.ColdUntil > sageclock.Now()
 	if cold && !a.Failed {
--- a/internal/sagerouter/rollouts_test.go
+++ b/internal/sagerouter/rollouts_test.go
@@ -19,7 +19,7 @@
 
 func usable(v *view) []string {
 	var out []string
-	for _, e := range v.set.Load().Of("s") {
+	for _, e := range v.set.Load().Available("s") {
 		out = append(out, e.ID)
 	}
 	return out
@@ -53,7 +53,7 @@
 func newRollout(t *testing.T, p sagerollout.Plan) *fleet {
 	t.Helper()
 	f := newFleet(t, 10, 0)
-	for _, e := range f.view.set.Load().Of("s") {
+	for _, e := range f.view.set.Load().Available("s") {
 		e.Version = "v1"
 		if e.ID >= "u5" {
 			e.Version = "v2"
@@ -104,7 +104,7 @@
 // A service whose upstreams all run the target already is refused for the time of the order.
 func TestTargetAloneServes(t *testing.T) {
 	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhasePending})
-	for _, e := range f.view.set.Load().Of("s") {
+	for _, e := range f.view.set.Load().Available("s") {
 		e.Version = "v2"
 	}
 	require.Len(t, pickMany(f, 500), 10)
@@ -116,11 +116,11 @@
 	set := f.view.set.Load()
 	old, fresh := &sagerelay.Pick{Upstream: set.Get("u0")}, &sagerelay.Pick{Upstream: set.Get("u5")}
 	for range 20 {
-		f.Answered(old, "r", sagerelay.Answer{Pause: 20 * time.Millisecond})
+		f.RecordResponse(old, "r", sagerelay.ResponseResult{MeanEventGap: 20 * time.Millisecond})
 	}
-	f.Answered(fresh, "r", sagerelay.Answer{Pause: 90 * time.Millisecond})
-	f.Answered(fresh, "r", sagerelay.Answer{Pause: 25 * time.Millisecond})
-	f.Answered(fresh, "r", sagerelay.Answer{Failed: true})
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{MeanEventGap: 90 * time.Millisecond})
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{MeanEventGap: 25 * time.Millisecond})
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{Failed: true})
 	sum := sagerollout.CollectEvidence(1, f.rollouts.Counts())["r"]
 	require.Equal(t, sagerollout.Count{Good: 1, Bad: 2}, sum.Target)
 	require.Equal(t, sagerollout.Count{Good: 20}, sum.Baseline)
--- a/internal/sagerouter/versions.go
+++ b/internal/sagerouter/versions.go
@@ -44,7 +44,7 @@
 		}
 	})
 	v.holding = len(held) > 0
-	v.registry.Hold(held)
+	v.registry.SetExcluded(held)
 }
 
 // mostCommon returns the key with the greatest count, of several the first in order.
--- a/internal/sagerouter/view.go
+++ b/internal/sagerouter/view.go
@@ -87,8 +87,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if returned {
-		v.registry.Away()
-		v.registry.Back(now)
+		v.registry.StoreUnreachable()
+		v.registry.StoreReachable(now)
 	}
 	v.listed = true
 	for _, c := range changes {
@@ -151,7 +151,7 @@
 		v.log.Info("Data centre.", "data_centre", c.Object.Name, "in_service", c.Deleted, "revision", c.Object.Revision)
 	}
 	v.closed = closed
-	v.registry.Close(closed)
+	v.registry.SetClosedDataCentres(closed)
 	v.publish()
 }
 
@@ -165,14 +165,14 @@
 	defer v.mu.Unlock()
 	now := sageclock.Now()
 	if away {
-		v.registry.Away()
+		v.registry.StoreUnreachable()
 	} else {
-		v.registry.Back(now)
+		v.registry.StoreReachable(now)
 	}
-	if v.registry.Settle(now) || v.holding {
+	if v.registry.ExpireLapsed(now) || v.holding {
 		v.publish()
 	}
-	for _, id := range v.registry.Ended(now) {
+	for _, id := range v.registry.TakeStopped(now) {
 		v.placer.Forget(id)
 	}
 }
@@ -184,6 +184,6 @@
 func (v *view) publish() {
 	if v.listed && v.closed != nil {
 		v.hold()
-		v.set.Store(v.registry.Set())
+		v.set.Store(v.registry.Snapshot())
 	}
 }
--- a/internal/sagerouter/view_test.go
+++ b/internal/sagerouter/view_test.go
@@ -65,7 +65,7 @@
 	require.Nil(t, v.set.Load())
 	v.applyClosed([]sagefollow.Change{put("north", 6, `{}`)}, false)
 	require.NotNil(t, v.set.Load())
-	require.Empty(t, v.set.Load().Of("s"))
+	require.Empty(t, v.set.Load().Available("s"))
 }
 
 func put(name string, revision uint64, spec string) sagefollow.Change {
@@ -89,7 +89,7 @@
 	// The while in which a deletion may be a lapse is over when that much time has passed.
 	require.Eventually(t, func() bool {
 		v.applyUpstreams([]sagefollow.Change{put("e1", 2, `{"Service":"s","Address":"a:1"}`), gone("e1", 3)}, false)
-		return len(v.set.Load().Of("s")) == 0
+		return len(v.set.Load().Available("s")) == 0
 	}, 10*time.Second, 50*time.Millisecond)
 }
 
@@ -116,9 +116,9 @@
 	v := newView()
 	v.applyUpstreams([]sagefollow.Change{put("e1", 5, `{"Service":"s","Address":"a:1","DataCentre":"north"}`)}, false)
 	v.applyClosed([]sagefollow.Change{put("north", 6, `{}`)}, false)
-	require.Empty(t, v.set.Load().Of("s"))
+	require.Empty(t, v.set.Load().Available("s"))
 	v.applyClosed([]sagefollow.Change{gone("north", 7)}, false)
-	require.Len(t, v.set.Load().Of("s"), 1)
+	require.Len(t, v.set.Load().Available("s"), 1)
 }
 
 // A started node hears from its peers what engines hold before it has listed the engines. The first
--- a/internal/sagesse/event.go
+++ b/internal/sagesse/event.go
@@ -21,27 +21,27 @@
 	// Raw is the event as it came, with its closing blank line.
 	Raw []byte
 	// Position is the event's id; 0 if it has none.
-	Position uint64
-	Name     string
-	Data     []byte
+	ID   uint64
+	Type string
+	Data []byte
 }
 
 // Idle reports an event that carries nothing of the answer, as keep-alives do.
-func (e *Event) Idle() bool { return e.Data == nil && e.Name == "" && e.Position == 0 }
+func (e *Event) IsKeepAlive() bool { return e.Data == nil && e.Type == "" && e.ID == 0 }
 
 // Reader splits a stream into events. An event counts only once its blank line has come, so a
 // cut stream never yields half an event.
 type Reader struct {
 	R *bufio.Reader
 	// Max is the greatest event in bytes.
-	Max int
+	MaxEventBytes int
 
 	ended bool
 }
 
 // Ended reports, after an error of [Reader.Next], that the input ended regularly and between two
 // events. Whether a stream may end there is for the caller to know.
-func (r *Reader) Ended() bool { return r.ended }
+func (r *Reader) CleanEOF() bool { return r.ended }
 
 // Next returns the next event.
 func (r *Reader) Next() (*Event, error) {
@@ -72,8 +72,8 @@
 	for {
 		part, err := r.R.ReadSlice('\n')
 		line = append(line, part...)
-		if used+len(line) > r.Max {
-			return nil, fmt.Errorf("more than %d bytes: %w", r.Max, ErrTooLarge)
+		if used+len(line) > r.MaxEventBytes {
+			return nil, fmt.Errorf("more than %d bytes: %w", r.MaxEventBytes, ErrTooLarge)
 		}
 		if err == nil {
 			return line, nil
@@ -100,9 +100,9 @@
 		if err != nil || n == 0 {
 			return fmt.Errorf("event id %q: %w", value, ErrMalformed)
 		}
-		e.Position = n
+		e.ID = n
 	case "event":
-		e.Name = string(value)
+		e.Type = string(value)
 	case "data":
 		if e.Data == nil {
 			e.Data = make([]byte, 0, len(value))
--- a/internal/sagesse/event_test.go
+++ b/internal/sagesse/event_test.go
@@ -26,12 +26,12 @@
 		{"broken", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(io.ErrUnexpectedEOF)), false},
 		{"reset", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(errors.New("reset"))), false},
 	} {
-		r := &Reader{R: bufio.NewReader(c.in), Max: 64}
+		r := &Reader{R: bufio.NewReader(c.in), MaxEventBytes: 64}
 		var err error
 		for err == nil {
 			_, err = r.Next()
 		}
-		require.Equal(t, c.ended, r.Ended(), c.name)
+		require.Equal(t, c.ended, r.CleanEOF(), c.name)
 	}
 }
 
@@ -39,7 +39,7 @@
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: [DONE]\n\n"))
 	f.Add([]byte(": c\n\nid: 0\n\nid: x\r\ndata: a\ndata\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := &Reader{R: bufio.NewReaderSize(bytes.NewReader(b), 16), Max: 64}
+		r := &Reader{R: bufio.NewReaderSize(bytes.NewReader(b), 16), MaxEventBytes: 64}
 		var passed []byte
 		for {
 			e, err := r.Next()
--- a/pkg/sagelocate/rank.go
+++ b/pkg/sagelocate/rank.go
@@ -32,13 +32,13 @@
 	// Count is how many addresses an answer names, at most.
 	Count int
 	// Bound is the multiple of the mean load above which a VM goes behind the others; 0 means none.
-	Bound float64
+	LoadBound float64
 	// Floor is a load up to which the bound doesn't apply: a mean of almost nothing says nothing.
-	Floor uint32
+	LoadFloor uint32
 }
 
 // DefaultRanker returns the values used when the settings name none.
-func DefaultRanker() Ranker { return Ranker{Slots: 8, Count: 3, Bound: 1.5, Floor: 16} }
+func DefaultRanker() Ranker { return Ranker{Slots: 8, Count: 3, LoadBound: 1.5, LoadFloor: 16} }
 
 // hashed is a VM with the hash of its address.
 type hashed struct {
@@ -91,10 +91,10 @@
 		sum += float64(v.Load)
 	}
 	const unlimited = 1 << 33
-	if r.Bound <= 0 || len(vms) == 0 {
+	if r.LoadBound <= 0 || len(vms) == 0 {
 		return unlimited
 	}
-	return max(float64(r.Floor), r.Bound*sum/float64(len(vms)))
+	return max(float64(r.LoadFloor), r.LoadBound*sum/float64(len(vms)))
 }
 
 // fill appends the winners of the account's slots, from the chat's own slot on, until the list holds
--- a/pkg/sagelocate/rank_test.go
+++ b/pkg/sagelocate/rank_test.go
@@ -84,7 +84,7 @@
 		}
 	}
 	require.NotContains(t, r.Rank(q, vms), first)
-	r.Bound = 0
+	r.LoadBound = 0
 	require.Equal(t, first, r.Rank(q, vms)[0])
 	for i := range vms {
 		vms[i].Suspect = vms[i].Address == first
--- a/pkg/sageretry/budget.go
+++ b/pkg/sageretry/budget.go
@@ -22,9 +22,9 @@
 func (b *Budget) Deposit() { b.spent = max(0, b.spent-b.ratio()) }
 
 // Has reports whether a retry is covered.
-func (b *Budget) Has() bool { return b.burst()-b.spent >= 1 }
+func (b *Budget) CanWithdraw() bool { return b.burst()-b.spent >= 1 }
 
-// Withdraw counts a retry, which [Budget.Has] said is covered.
+// Withdraw counts a retry, which [Budget.CanWithdraw] said is covered.
 func (b *Budget) Withdraw() { b.spent++ }
 
 func (b *Budget) ratio() float64 {
--- a/pkg/sageretry/circuit.go
+++ b/pkg/sageretry/circuit.go
@@ -22,9 +22,9 @@
 // count, at least half failed; each time that the trial request fails it stays open for longer.
 type Circuit struct {
 	// Min is the least number of results before it may open; zero means 5.
-	Min int
+	MinResults int
 	// First and Longest bound the time it stays open; zero means 500 ms and 15 s.
-	First, Longest time.Duration
+	MinOpen, MaxOpen time.Duration
 
 	state    State
 	results  int
@@ -62,7 +62,7 @@
 }
 
 // Succeeded counts a request that the upstream served, or refused in order.
-func (c *Circuit) Succeeded() {
+func (c *Circuit) RecordSuccess() {
 	switch c.state {
 	case Open:
 		return // sent before it opened
@@ -73,7 +73,7 @@
 }
 
 // Failed counts a request that failed and opens the circuit where that is due.
-func (c *Circuit) Failed(now time.Time, r *rand.Rand) {
+func (c *Circuit) RecordFailure(now time.Time, r *rand.Rand) {
 	c.count(1)
 	switch c.state {
 	case Open:
@@ -109,22 +109,22 @@
 }
 
 func (c *Circuit) min() int {
-	if c.Min > 0 {
-		return c.Min
+	if c.MinResults > 0 {
+		return c.MinResults
 	}
 	return 5
 }
 
 func (c *Circuit) first() time.Duration {
-	if c.First > 0 {
-		return c.First
+	if c.MinOpen > 0 {
+		return c.MinOpen
 	}
 	return 500 * time.Millisecond
 }
 
 func (c *Circuit) longest() time.Duration {
-	if c.Longest > 0 {
-		return c.Longest
+	if c.MaxOpen > 0 {
+		return c.MaxOpen
 	}
 	return 15 * time.Second
 }
--- a/pkg/sageretry/policy.go
+++ b/pkg/sageretry/policy.go
@@ -13,20 +13,20 @@
 	// Tried lists the upstreams that had it, at least one, the last one last.
 	Tried []string
 	// Others is the number of upstreams that could still take it.
-	Others   int
+	Untried  int
 	Deadline time.Time
 }
 
-// Why says why a request is not sent again.
-type Why string
+// Reason says why a request is not sent again.
+type Reason string
 
 // The reasons.
 const (
-	WhyNotIdempotent Why = "not_idempotent"
-	WhyNoOther       Why = "no_other_upstream"
-	WhyAttempts      Why = "attempts"
-	WhyDeadline      Why = "deadline"
-	WhyBudget        Why = "budget"
+	ReasonNotIdempotent   Reason = "not_idempotent"
+	ReasonNoOtherUpstream Reason = "no_other_upstream"
+	ReasonMaxAttempts     Reason = "attempts"
+	ReasonDeadline        Reason = "deadline"
+	ReasonBudget          Reason = "budget"
 )
 
 // Decision is the answer of [Policy.Retry].
@@ -34,8 +34,8 @@
 	OK bool
 	// At is when to send again.
 	At time.Time
-	// Why is set unless OK.
-	Why Why
+	// Reason is set unless OK.
+	Reason Reason
 }
 
 // Policy holds the budgets and circuits of one router.
@@ -43,11 +43,11 @@
 	// Budget is the router's own; each upstream has another with the same Ratio and Burst.
 	Budget Budget
 	// Attempts is the greatest number of attempts of one request; zero means 3.
-	Attempts int
+	MaxAttempts int
 	// Backoff is the mean wait before the first retry; it doubles. Zero means 10 ms.
 	Backoff time.Duration
 	// Source gives the jitter.
-	Source *rand.Rand
+	Rand *rand.Rand
 
 	upstreams map[string]*upstream
 }
@@ -58,16 +58,18 @@
 }
 
 // First counts the first attempt of a request.
-func (p *Policy) First() { p.Budget.Deposit() }
+func (p *Policy) RecordFirstAttempt() { p.Budget.Deposit() }
 
 // Sent counts an attempt at an upstream.
-func (p *Policy) Sent(name string) { p.at(name).budget.Deposit() }
+func (p *Policy) RecordAttempt(name string) { p.at(name).budget.Deposit() }
 
 // Succeeded counts an answer of an upstream, also a refusal that says that it did not execute.
-func (p *Policy) Succeeded(name string) { p.at(name).circuit.Succeeded() }
+func (p *Policy) RecordSuccess(name string) { p.at(name).circuit.RecordSuccess() }
 
 // Failed counts a failure of an upstream.
-func (p *Policy) Failed(now time.Time, name string) { p.at(name).circuit.Failed(now, p.Source) }
+func (p *Policy) RecordFailure(now time.Time, name string) {
+	p.at(name).circuit.RecordFailure(now, p.Rand)
+}
 
 // Allow reports whether the circuit of an upstream lets a request with that deadline through.
 func (p *Policy) Allow(now time.Time, name string, deadline time.Time) bool {
@@ -78,7 +80,7 @@
 func (p *Policy) Circuit(name string) State { return p.at(name).circuit.State() }
 
 // Open returns the number of circuits that are not closed.
-func (p *Policy) Open() int {
+func (p *Policy) OpenCircuits() int {
 	n := 0
 	for _, u := range p.upstreams {
 		if u.circuit.State() != Closed {
@@ -97,19 +99,19 @@
 	n := len(a.Tried)
 	switch {
 	case !a.Idempotent && !a.NotRun:
-		return Decision{Why: WhyNotIdempotent}
+		return Decision{Reason: ReasonNotIdempotent}
 	case n == 0, n >= p.attempts():
-		return Decision{Why: WhyAttempts}
-	case a.Others < 1:
-		return Decision{Why: WhyNoOther}
+		return Decision{Reason: ReasonMaxAttempts}
+	case a.Untried < 1:
+		return Decision{Reason: ReasonNoOtherUpstream}
 	}
 	at := now.Add(p.wait(n))
 	if !at.Before(a.Deadline) {
-		return Decision{Why: WhyDeadline}
+		return Decision{Reason: ReasonDeadline}
 	}
 	u := &p.at(a.Tried[n-1]).budget
-	if !p.Budget.Has() || !u.Has() {
-		return Decision{Why: WhyBudget}
+	if !p.Budget.CanWithdraw() || !u.CanWithdraw() {
+		return Decision{Reason: ReasonBudget}
 	}
 	p.Budget.Withdraw()
 	u.Withdraw()
@@ -117,7 +119,7 @@
 }
 
 // Keep drops the state of every upstream that is not among names.
-func (p *Policy) Keep(names map[string]bool) {
+func (p *Policy) Retain(names map[string]bool) {
 	for n := range p.upstreams {
 		if !names[n] {
 			delete(p.upstreams, n)
@@ -144,12 +146,12 @@
 		d = 10 * time.Millisecond
 	}
 	d = 2 * d << min(max(n-1, 0), maxOpenings)
-	return time.Duration(p.Source.Int64N(int64(d)))
+	return time.Duration(p.Rand.Int64N(int64(d)))
 }
 
 func (p *Policy) attempts() int {
-	if p.Attempts > 0 {
-		return p.Attempts
+	if p.MaxAttempts > 0 {
+		return p.MaxAttempts
 	}
 	return 3
 }
--- a/pkg/sageretry/policy_test.go
+++ b/pkg/sageretry/policy_test.go
@@ -24,7 +24,7 @@
 
 var start = time.Unix(1000, 0)
 
-func newPolicy(seed uint64) *Policy { return &Policy{Source: rand.New(rand.NewPCG(seed, 0))} }
+func newPolicy(seed uint64) *Policy { return &Policy{Rand: rand.New(rand.NewPCG(seed, 0))} }
 
 // Story: a third of the engines fail, each failed request is sent three more times, and the load
 // that this adds fails the rest too. Over any run, retries stay within the budget.
@@ -34,13 +34,13 @@
 		first, retries := 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			u := fmt.Sprintf("u%d", rapid.IntRange(0, 3).Draw(t, "upstream"))
-			p.First()
-			p.Sent(u)
+			p.RecordFirstAttempt()
+			p.RecordAttempt(u)
 			first++
 			if !rapid.Bool().Draw(t, "fails") {
 				continue
 			}
-			if p.Retry(start, Attempt{Idempotent: true, Tried: []string{u}, Others: 2, Deadline: start.Add(time.Minute)}).OK {
+			if p.Retry(start, Attempt{Idempotent: true, Tried: []string{u}, Untried: 2, Deadline: start.Add(time.Minute)}).OK {
 				retries++
 			}
 			require.LessOrEqual(t, float64(retries), DefaultRatio*float64(first)+DefaultBurst+1e-9)
@@ -49,23 +49,23 @@
 }
 
 func TestRetryRefusals(t *testing.T) {
-	ok := Attempt{Idempotent: true, Tried: []string{"a"}, Others: 1, Deadline: start.Add(time.Minute)}
+	ok := Attempt{Idempotent: true, Tried: []string{"a"}, Untried: 1, Deadline: start.Add(time.Minute)}
 	for _, c := range []struct {
 		name   string
 		change func(*Attempt)
-		want   Why
+		want   Reason
 	}{
 		{"sent again to another", func(*Attempt) {}, ""},
-		{"a booking is never sent twice", func(a *Attempt) { a.Idempotent = false }, WhyNotIdempotent},
+		{"a booking is never sent twice", func(a *Attempt) { a.Idempotent = false }, ReasonNotIdempotent},
 		{"unless the upstream says that it did not run", func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, ""},
-		{"no other upstream", func(a *Attempt) { a.Others = 0 }, WhyNoOther},
-		{"attempts", func(a *Attempt) { a.Tried = []string{"a", "b", "c"} }, WhyAttempts},
-		{"deadline", func(a *Attempt) { a.Deadline = start }, WhyDeadline},
+		{"no other upstream", func(a *Attempt) { a.Untried = 0 }, ReasonNoOtherUpstream},
+		{"attempts", func(a *Attempt) { a.Tried = []string{"a", "b", "c"} }, ReasonMaxAttempts},
+		{"deadline", func(a *Attempt) { a.Deadline = start }, ReasonDeadline},
 	} {
 		a := ok
 		c.change(&a)
 		d := newPolicy(1).Retry(start, a)
-		require.Equal(t, c.want, d.Why, c.name)
+		require.Equal(t, c.want, d.Reason, c.name)
 		require.Equal(t, c.want == "", d.OK, c.name)
 	}
 }
@@ -76,49 +76,49 @@
 	p := newPolicy(1)
 	p.Budget = Budget{Ratio: 0.1, Burst: 4}
 	for range 300 {
-		p.First()
-		p.Sent("bad")
+		p.RecordFirstAttempt()
+		p.RecordAttempt("bad")
 		for _, n := range []string{"b", "c", "d", "e"} {
-			p.First()
-			p.Sent(n)
+			p.RecordFirstAttempt()
+			p.RecordAttempt(n)
 		}
-		p.Retry(start, Attempt{Idempotent: true, Tried: []string{"bad"}, Others: 1, Deadline: start.Add(time.Hour)})
+		p.Retry(start, Attempt{Idempotent: true, Tried: []string{"bad"}, Untried: 1, Deadline: start.Add(time.Hour)})
 	}
-	require.True(t, p.Retry(start, Attempt{Idempotent: true, Tried: []string{"b"}, Others: 1, Deadline: start.Add(time.Hour)}).OK)
+	require.True(t, p.Retry(start, Attempt{Idempotent: true, Tried: []string{"b"}, Untried: 1, Deadline: start.Add(time.Hour)}).OK)
 }
 
 func TestCircuitOpensTriesOnceAndCloses(t *testing.T) {
 	p := newPolicy(1)
 	later := start.Add(time.Minute)
 	for range 4 {
-		p.Failed(start, "u")
+		p.RecordFailure(start, "u")
 	}
 	require.Equal(t, Closed, p.Circuit("u"), "four are too few to judge")
-	p.Failed(start, "u")
+	p.RecordFailure(start, "u")
 	require.Equal(t, Open, p.Circuit("u"))
 	require.False(t, p.Allow(start, "u", later))
-	require.Equal(t, 1, p.Open())
+	require.Equal(t, 1, p.OpenCircuits())
 	now := start.Add(time.Second)
 	require.True(t, p.Allow(now, "u", later), "one trial")
 	require.False(t, p.Allow(now, "u", later), "and no second")
 	require.True(t, p.Allow(later, "u", later.Add(time.Second)), "a trial that never ends is replaced")
-	p.Failed(later, "u")
+	p.RecordFailure(later, "u")
 	require.Equal(t, Open, p.Circuit("u"))
 	require.False(t, p.Allow(later.Add(499*time.Millisecond), "u", later), "open for longer than the first time")
 	require.True(t, p.Allow(later.Add(time.Second), "u", later.Add(time.Minute)))
-	p.Succeeded("u")
+	p.RecordSuccess("u")
 	require.Equal(t, Closed, p.Circuit("u"))
-	p.Keep(map[string]bool{})
+	p.Retain(map[string]bool{})
 	require.Empty(t, p.upstreams)
 }
 
 func BenchmarkRetry(b *testing.B) {
 	p := newPolicy(1)
-	a := Attempt{Idempotent: true, Tried: []string{"a"}, Others: 1, Deadline: start.Add(time.Minute)}
+	a := Attempt{Idempotent: true, Tried: []string{"a"}, Untried: 1, Deadline: start.Add(time.Minute)}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.First()
-		p.Sent("a")
+		p.RecordFirstAttempt()
+		p.RecordAttempt("a")
 		p.Retry(start, a)
 	}
 }
@@ -126,13 +126,13 @@
 func ExamplePolicy() {
 	p := newPolicy(1)
 	now, tried := time.Unix(0, 0), []string{"engine1"}
-	p.First()
-	p.Sent("engine1")
-	p.Failed(now, "engine1")
-	d := p.Retry(now, Attempt{Idempotent: true, Tried: tried, Others: 2, Deadline: now.Add(time.Second)})
+	p.RecordFirstAttempt()
+	p.RecordAttempt("engine1")
+	p.RecordFailure(now, "engine1")
+	d := p.Retry(now, Attempt{Idempotent: true, Tried: tried, Untried: 2, Deadline: now.Add(time.Second)})
 	fmt.Println(d.OK, d.At.Sub(now) < 20*time.Millisecond)
-	d = p.Retry(now, Attempt{Tried: tried, Others: 2, Deadline: now.Add(time.Second)})
-	fmt.Println(d.OK, d.Why)
+	d = p.Retry(now, Attempt{Tried: tried, Untried: 2, Deadline: now.Add(time.Second)})
+	fmt.Println(d.OK, d.Reason)
 	// Output:
 	// true true
 	// false not_idempotent
--- a/pkg/sageroute/table.go
+++ b/pkg/sageroute/table.go
@@ -11,9 +11,9 @@
 
 // Errors of a configuration.
 var (
-	ErrPrefix = errors.New("path prefix does not begin and end with a slash")
-	ErrKind   = errors.New("unknown kind of route")
-	ErrSplit  = errors.New("route without a service")
+	ErrPrefix    = errors.New("path prefix does not begin and end with a slash")
+	ErrKind      = errors.New("unknown kind of route")
+	ErrNoService = errors.New("route without a service")
 )
 
 // Kind says how often a request of a route may be executed.
@@ -26,8 +26,8 @@
 	Stream     Kind = "stream"
 )
 
-// Weighted is one service of a split route.
-type Weighted struct {
+// WeightedService is one service of a split route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -39,15 +39,15 @@
 	Prefix string
 	Kind   Kind
 	// Services has at least one entry; weights are relative.
-	Services []Weighted
+	Services []WeightedService
 	// Attempts is the greatest number of upstreams that may execute one request.
-	Attempts int
+	MaxAttempts int
 	// Timeout is the longest time from request to final answer.
 	Timeout time.Duration
 	// Objective is the time to the first byte that callers expect.
 	Objective time.Duration
 	// Gap is the longest pause between two events that callers expect of a stream.
-	Gap time.Duration
+	MaxEventGap time.Duration
 	// Priority is the urgency, 0 the highest.
 	Priority int
 	// Public routes need no key.
@@ -64,7 +64,7 @@
 }
 
 // Pick returns the service for a draw from [0, 1).
-func (r *Route) Pick(draw float64) string {
+func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, w := range r.Services {
 		total += w.Weight
@@ -155,7 +155,7 @@
 		return fmt.Errorf("%q: %w", r.Kind, ErrKind)
 	}
 	if len(r.Services) == 0 {
-		return ErrSplit
+		return ErrNoService
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 }
 
 // Keyed reports whether requests need a key, unless their route is public.
-func (t *Table) Keyed() bool { return t.byKey != nil }
+func (t *Table) RequiresKey() bool { return t.byKey != nil }
 
 // Account returns the account that holds the key, or nil.
 func (t *Table) Account(key string) *Account { return t.byKey[key] }
--- a/pkg/sageroute/table_test.go
+++ b/pkg/sageroute/table_test.go
@@ -8,7 +8,7 @@
 )
 
 func route(name, prefix string) Route {
-	return Route{Name: name, Host: "Chat.example", Prefix: prefix, Kind: Idempotent, Services: []Weighted{{Service: "s", Weight: 1}}}
+	return Route{Name: name, Host: "Chat.example", Prefix: prefix, Kind: Idempotent, Services: []WeightedService{{Service: "s", Weight: 1}}}
 }
 
 func TestMatchTakesTheLongestPrefix(t *testing.T) {
@@ -38,7 +38,7 @@
 		{func(r *Route) { r.Prefix = "a/" }, ErrPrefix},
 		{func(r *Route) { r.Prefix = "/a" }, ErrPrefix},
 		{func(r *Route) { r.Kind = "often" }, ErrKind},
-		{func(r *Route) { r.Services = nil }, ErrSplit},
+		{func(r *Route) { r.Services = nil }, ErrNoService},
 	} {
 		r := route("r", "/a/")
 		c.change(&r)
@@ -50,21 +50,21 @@
 func TestAccountsByKey(t *testing.T) {
 	tab, err := New(1, nil, nil, []Account{{Name: "a", Keys: []string{"k1", "k2"}}}, Limits{})
 	require.NoError(t, err)
-	require.True(t, tab.Keyed())
+	require.True(t, tab.RequiresKey())
 	require.Equal(t, "a", tab.Account("k2").Name)
 	require.Nil(t, tab.Account(""))
 	open, err := New(1, nil, nil, nil, Limits{})
 	require.NoError(t, err)
-	require.False(t, open.Keyed())
+	require.False(t, open.RequiresKey())
 }
 
 func TestPickFollowsWeights(t *testing.T) {
-	r := Route{Services: []Weighted{{"a", 90}, {"b", 10}, {"c", 0}}}
+	r := Route{Services: []WeightedService{{"a", 90}, {"b", 10}, {"c", 0}}}
 	for _, c := range []struct {
 		draw float64
 		want string
 	}{{0, "a"}, {0.899, "a"}, {0.9, "b"}, {0.9999, "b"}} {
-		require.Equal(t, c.want, r.Pick(c.draw))
+		require.Equal(t, c.want, r.PickService(c.draw))
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 func ExampleTable_Match() {
-	t, err := New(1, []Route{{Name: "orders", Host: "shop.example", Prefix: "/orders/", Kind: Once, Services: []Weighted{{"app", 1}}}}, nil, nil, Limits{})
+	t, err := New(1, []Route{{Name: "orders", Host: "shop.example", Prefix: "/orders/", Kind: Once, Services: []WeightedService{{"app", 1}}}}, nil, nil, Limits{})
 	fmt.Println(err, t.Match("shop.example", "/orders/7").Name)
 	// Output: <nil> orders
 }
--- a/pkg/sageshare/cold.go
+++ b/pkg/sageshare/cold.go
@@ -14,12 +14,12 @@
 // platform's bounds grant beyond the rate.
 const coldSenders = 5
 
-// Cold lets requests through to cold upstreams. It is not safe for concurrent use.
+// ColdLimiter lets requests through to cold upstreams. It is not safe for concurrent use.
 //
 // It guards against a cold upstream that falls over under the traffic of many nodes, each of which
 // keeps to the bound by itself. Only a few nodes send to one cold upstream, chosen by rendezvous
 // hashing, each at an equal part of the rate with bursts of one.
-type Cold struct {
+type ColdLimiter struct {
 	// Self is this node's name.
 	Self string
 
@@ -28,7 +28,7 @@
 
 // Allow reports whether one request may go to a cold upstream that bears perSecond requests a
 // second from all nodes together, and counts it. Nodes are the names of all known nodes.
-func (c *Cold) Allow(now sageclock.Instant, nodes []string, upstream string, perSecond float64) bool {
+func (c *ColdLimiter) Allow(now sageclock.Instant, nodes []string, upstream string, perSecond float64) bool {
 	if perSecond <= 0 {
 		return true
 	}
@@ -44,7 +44,7 @@
 }
 
 // sender reports whether this node is among the first n in the upstream's order of nodes.
-func (c *Cold) sender(nodes []string, upstream string, n int) bool {
+func (c *ColdLimiter) sender(nodes []string, upstream string, n int) bool {
 	if len(nodes) <= n {
 		return true
 	}
@@ -58,7 +58,7 @@
 }
 
 // Keep forgets all upstreams but those named.
-func (c *Cold) Keep(upstreams []string) {
+func (c *ColdLimiter) Retain(upstreams []string) {
 	for u := range c.next {
 		if !slices.Contains(upstreams, u) {
 			delete(c.next, u)
--- a/pkg/sageshare/retries.go
+++ b/pkg/sageshare/retries.go
@@ -13,16 +13,16 @@
 	slackUsed = 0.7
 )
 
-// buckets is into how many parts the window of a [Retries] is divided.
+// buckets is into how many parts the window of a [RetryLimiter] is divided.
 const buckets = 20
 
-// Retries bounds sends beyond the first of each request, by service. It is not safe for concurrent
+// RetryLimiter bounds sends beyond the first of each request, by service. It is not safe for concurrent
 // use.
 //
 // It guards against retries that multiply the load of upstreams that already fail: in any window a
 // service gets at most Ratio times its requests plus Slack such sends from all nodes together. A node
 // spends that ratio of its own requests and an equal part of the slack.
-type Retries struct {
+type RetryLimiter struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -31,11 +31,13 @@
 }
 
 // First notes a request for a service.
-func (r *Retries) First(now sageclock.Instant, service string) { r.at(now, service).first[0]++ }
+func (r *RetryLimiter) RecordFirstSend(now sageclock.Instant, service string) {
+	r.at(now, service).first[0]++
+}
 
 // Allow reports whether one more send may go to a service, and counts it. Nodes is the number of all
 // known nodes, this one included.
-func (r *Retries) Allow(now sageclock.Instant, service string, nodes int) bool {
+func (r *RetryLimiter) Allow(now sageclock.Instant, service string, nodes int) bool {
 	w := r.at(now, service)
 	first, again := w.sums()
 	limit := ratioUsed*r.Ratio*float64(first) + slackUsed*r.Slack/float64(max(1, nodes))
@@ -46,7 +48,7 @@
 	return true
 }
 
-func (r *Retries) at(now sageclock.Instant, service string) *window {
+func (r *RetryLimiter) at(now sageclock.Instant, service string) *window {
 	if r.services == nil {
 		r.services = make(map[string]*window)
 	}
--- a/pkg/sageshare/share_test.go
+++ b/pkg/sageshare/share_test.go
@@ -29,7 +29,7 @@
 		all := names(n)
 		var sent []int
 		for _, name := range all {
-			c := &Cold{Self: name}
+			c := &ColdLimiter{Self: name}
 			for ms := range 4000 {
 				if c.Allow(at(ms+1), all, "engine", perSecond) {
 					sent = append(sent, ms)
@@ -50,12 +50,12 @@
 }
 
 func TestWarmUpstreamsHaveNoBound(t *testing.T) {
-	c := &Cold{Self: "a"}
+	c := &ColdLimiter{Self: "a"}
 	require.True(t, c.Allow(at(1), nil, "u", 0))
 	require.True(t, c.Allow(at(1), nil, "u", 0))
 	require.True(t, c.Allow(at(1), nil, "u", 1))
 	require.False(t, c.Allow(at(2), nil, "u", 1))
-	c.Keep(nil)
+	c.Retain(nil)
 	require.True(t, c.Allow(at(3), nil, "u", 1))
 }
 
@@ -70,12 +70,12 @@
 	var sent []send
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range n {
-		r := &Retries{Ratio: ratio, Slack: slack, Window: window * time.Millisecond}
+		r := &RetryLimiter{Ratio: ratio, Slack: slack, Window: window * time.Millisecond}
 		for ms := 0; ms < 40_000; ms++ {
 			if rnd.IntN(100) > 0 {
 				continue
 			}
-			r.First(at(ms), "s")
+			r.RecordFirstSend(at(ms), "s")
 			sent = append(sent, send{ms, false})
 			if r.Allow(at(ms), "s", n) {
 				sent = append(sent, send{ms, true})
@@ -100,16 +100,16 @@
 }
 
 func BenchmarkRetries(b *testing.B) {
-	r := &Retries{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
+	r := &RetryLimiter{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		r.First(at(i), "s")
+		r.RecordFirstSend(at(i), "s")
 		r.Allow(at(i), "s", 8)
 	}
 }
 
 func ExampleCold() {
-	c := &Cold{Self: "vm1"}
+	c := &ColdLimiter{Self: "vm1"}
 	fmt.Println(c.Allow(at(1000), []string{"vm1"}, "engine", 2), c.Allow(at(1100), []string{"vm1"}, "engine", 2))
 	// Output: true false
 }
--- a/pkg/sageupstream/registry.go
+++ b/pkg/sageupstream/registry.go
@@ -17,9 +17,9 @@
 // lapsed when it comes back, and a watch may deliver that somewhat later.
 const returnWindow = 1500 * time.Millisecond
 
-// Lingers is how long an upstream whose entry is gone usually goes on running: the shortest time for
+// LingerTime is how long an upstream whose entry is gone usually goes on running: the shortest time for
 // which the platform keeps leaving upstreams up.
-const Lingers = 2 * time.Second
+const LingerTime = 2 * time.Second
 
 // Entry is what an upstream says of itself.
 type Entry struct {
@@ -57,7 +57,7 @@
 }
 
 // Of returns the entries of a service that may get new requests, ordered by ID.
-func (s *Set) Of(service string) []*Entry {
+func (s *Set) Available(service string) []*Entry {
 	if s == nil {
 		return nil
 	}
@@ -172,7 +172,7 @@
 		r.left = make(map[string]departed)
 	}
 	r.sweep(now)
-	r.left[e.ID] = departed{entry: e, until: now.Add(Lingers)}
+	r.left[e.ID] = departed{entry: e, until: now.Add(LingerTime)}
 }
 
 // sweep takes note of the departed upstreams that have stopped.
@@ -189,7 +189,7 @@
 }
 
 // Ended returns the IDs of departed upstreams that have stopped since it was last called.
-func (r *Registry) Ended(now sageclock.Instant) []string {
+func (r *Registry) TakeStopped(now sageclock.Instant) []string {
 	r.sweep(now)
 	out := r.ended
 	r.ended = nil
@@ -197,7 +197,7 @@
 }
 
 // Keep deletes every entry whose ID the complete listing does not hold.
-func (r *Registry) Keep(now sageclock.Instant, listed map[string]bool) {
+func (r *Registry) Retain(now sageclock.Instant, listed map[string]bool) {
 	for id := range r.entries {
 		if !listed[id] {
 			r.Delete(now, id)
@@ -206,10 +206,10 @@
 }
 
 // Away notes that the store does not answer.
-func (r *Registry) Away() { r.away = true }
+func (r *Registry) StoreUnreachable() { r.away = true }
 
 // Back notes that the store answers. Lapsed entries get their grace from here on.
-func (r *Registry) Back(now sageclock.Instant) {
+func (r *Registry) StoreReachable(now sageclock.Instant) {
 	if !r.away {
 		return
 	}
@@ -220,7 +220,7 @@
 }
 
 // Settle drops the lapsed entries whose grace is over, and reports whether there were any.
-func (r *Registry) Settle(now sageclock.Instant) bool {
+func (r *Registry) ExpireLapsed(now sageclock.Instant) bool {
 	if r.away {
 		return false
 	}
@@ -235,10 +235,10 @@
 }
 
 // Close takes data centres out of service; those not named are in service.
-func (r *Registry) Close(dataCentres map[string]bool) { r.closed = dataCentres }
+func (r *Registry) SetClosedDataCentres(dataCentres map[string]bool) { r.closed = dataCentres }
 
 // Hold keeps the upstreams of some IDs without requests; those not named may get some.
-func (r *Registry) Hold(ids map[string]bool) { r.held = ids }
+func (r *Registry) SetExcluded(ids map[string]bool) { r.held = ids }
 
 // Each calls visit for each entry.
 func (r *Registry) Each(visit func(e *Entry)) {
@@ -248,7 +248,7 @@
 }
 
 // Set returns the present view.
-func (r *Registry) Set() *Set {
+func (r *Registry) Snapshot() *Set {
 	s := &Set{
 		services: make(map[string][]*Entry),
 		all:      make(map[string][]*Entry),
--- a/pkg/sageupstream/registry_test.go
+++ b/pkg/sageupstream/registry_test.go
@@ -18,7 +18,7 @@
 
 func ids(s *Set) []string {
 	var out []string
-	for _, e := range s.Of("s") {
+	for _, e := range s.Available("s") {
 		out = append(out, e.ID)
 	}
 	return out
@@ -30,15 +30,15 @@
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Put(entry("b"))
-	r.Away()
-	r.Back(at(5000))
+	r.StoreUnreachable()
+	r.StoreReachable(at(5000))
 	r.Delete(at(5010), "a")
 	r.Delete(at(5010), "b")
-	require.Equal(t, []string{"a", "b"}, ids(r.Set()))
+	require.Equal(t, []string{"a", "b"}, ids(r.Snapshot()))
 	r.Put(entry("a"))
-	require.False(t, r.Settle(at(6900)))
-	require.True(t, r.Settle(at(7100)))
-	require.Equal(t, []string{"a"}, ids(r.Set()), "b stayed missing and is gone")
+	require.False(t, r.ExpireLapsed(at(6900)))
+	require.True(t, r.ExpireLapsed(at(7100)))
+	require.Equal(t, []string{"a"}, ids(r.Snapshot()), "b stayed missing and is gone")
 }
 
 // An engine that left gets work for two more seconds after the next outage, or for ever, if its
@@ -46,10 +46,10 @@
 func TestDeletionWithoutOutageTakesEffectAtOnce(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
-	r.Away()
-	r.Back(at(1000))
+	r.StoreUnreachable()
+	r.StoreReachable(at(1000))
 	r.Delete(at(2600), "a")
-	require.Empty(t, ids(r.Set()))
+	require.Empty(t, ids(r.Snapshot()))
 }
 
 // A drained engine whose entry goes during an outage has left; it isn't a lapse.
@@ -58,9 +58,9 @@
 	e := entry("a")
 	e.Draining = true
 	r.Put(e)
-	r.Away()
+	r.StoreUnreachable()
 	r.Delete(at(0), "a")
-	require.Zero(t, r.Set().Len())
+	require.Zero(t, r.Snapshot().Len())
 }
 
 // A request picked an engine, then the address went to another service or the data centre was taken
@@ -68,29 +68,29 @@
 func TestUsableLooksAtTheVeryEntry(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
-	old := r.Set().Get("a")
-	require.True(t, r.Set().Usable(old))
+	old := r.Snapshot().Get("a")
+	require.True(t, r.Snapshot().Usable(old))
 	moved := entry("a")
 	moved.Address = "other:80"
 	r.Put(moved)
-	require.False(t, r.Set().Usable(old))
+	require.False(t, r.Snapshot().Usable(old))
 	again := entry("a")
 	again.Born = 7
 	r.Put(again)
-	require.False(t, r.Set().Usable(old), "a new start under the same id")
+	require.False(t, r.Snapshot().Usable(old), "a new start under the same id")
 	r.Put(entry("a"))
-	r.Close(map[string]bool{"north": true})
-	require.False(t, r.Set().Usable(old))
-	require.Empty(t, ids(r.Set()))
-	r.Close(nil)
-	require.Equal(t, []string{"a"}, ids(r.Set()))
+	r.SetClosedDataCentres(map[string]bool{"north": true})
+	require.False(t, r.Snapshot().Usable(old))
+	require.Empty(t, ids(r.Snapshot()))
+	r.SetClosedDataCentres(nil)
+	require.Equal(t, []string{"a"}, ids(r.Snapshot()))
 }
 
 func ExampleRegistry() {
 	r := new(Registry)
 	r.Put(Entry{ID: "e1", Service: "chat", Address: "10.0.0.1:80"})
 	r.Put(Entry{ID: "e2", Service: "chat", Address: "10.0.0.2:80", Draining: true})
-	for _, e := range r.Set().Of("chat") {
+	for _, e := range r.Snapshot().Available("chat") {
 		fmt.Println(e.ID)
 	}
 	// Output: e1
@@ -102,7 +102,7 @@
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Delete(at(100), "a")
-	s := r.Set()
+	s := r.Snapshot()
 	require.Nil(t, s.Get("a"))
 	require.NotNil(t, s.Reachable(at(2000), "a"))
 	require.Nil(t, s.Reachable(at(2200), "a"))
@@ -119,12 +119,12 @@
 	}
 	r.Delete(at(100), "a")
 	r.Delete(at(100), "b")
-	require.Empty(t, r.Ended(at(2000)), "they still run")
+	require.Empty(t, r.TakeStopped(at(2000)), "they still run")
 	r.Put(entry("b"))
 	r.Delete(at(2200), "c") // sweeps as well
-	require.Equal(t, []string{"a"}, r.Ended(at(2300)))
-	require.Empty(t, r.Ended(at(2400)))
-	require.Equal(t, []string{"c"}, r.Ended(at(9000)))
+	require.Equal(t, []string{"a"}, r.TakeStopped(at(2300)))
+	require.Empty(t, r.TakeStopped(at(2400)))
+	require.Equal(t, []string{"c"}, r.TakeStopped(at(9000)))
 }
 
 // A node was cut off from the store, which went on serving the others, and is back for more than a second
@@ -134,15 +134,15 @@
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Put(entry("b"))
-	r.Away()
+	r.StoreUnreachable()
 	r.Delete(at(900), "b")
-	r.Back(at(1000))
+	r.StoreReachable(at(1000))
 	r.Delete(at(2300), "a")
-	require.Equal(t, []string{"a", "b"}, ids(r.Set()), "both may only have lapsed")
-	require.False(t, r.Settle(at(2900)))
-	require.True(t, r.Settle(at(3000)), "what lapsed is back two seconds after the store's return")
-	require.Empty(t, ids(r.Set()))
+	require.Equal(t, []string{"a", "b"}, ids(r.Snapshot()), "both may only have lapsed")
+	require.False(t, r.ExpireLapsed(at(2900)))
+	require.True(t, r.ExpireLapsed(at(3000)), "what lapsed is back two seconds after the store's return")
+	require.Empty(t, ids(r.Snapshot()))
 	r.Put(entry("c"))
 	r.Delete(at(3100), "c")
-	require.Empty(t, ids(r.Set()))
+	require.Empty(t, ids(r.Snapshot()))
 }
