--- a/internal/sageconfigd/fake_test.go
+++ b/internal/sageconfigd/fake_test.go
@@ -96,9 +96,9 @@
 }
 
 // start runs a service until the test's end.
-func start(t *testing.T, p *platform, m Members, way sagesync.Isolated) *Service {
+func start(t *testing.T, p *platform, m Members, way sagesync.IsolationPolicy) *Service {
 	s := &Service{Node: "vm-0", Store: p, Members: m, Rule: sagesync.Rule{
-		Isolated: way, Freshness: sagesync.DefaultFreshness, CatchUp: sagesync.DefaultCatchUp,
+		Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout,
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/internal/sageconfigd/follow.go
+++ b/internal/sageconfigd/follow.go
@@ -20,8 +20,8 @@
 // starved reports whether this node must ask the store although it doesn't watch it: it has no
 // configuration, or its evidence has reached three quarters of the age at which it counts as isolated.
 func (s *Service) starved(now time.Time) bool {
-	st := s.replica.Standing()
-	return st.Revision == 0 || now.After(st.ConfirmedAt.Add(s.Rule.Freshness*3/4))
+	st := s.replica.Status()
+	return st.Revision == 0 || now.After(st.ConfirmedAt.Add(s.Rule.MaxEvidenceAge*3/4))
 }
 
 // pause waits after the n-th failure in a row, for a random part of a doubled period, so that nodes
@@ -93,13 +93,13 @@
 // take brings a head in. If its tail no longer reaches back to the own revision, as after a gap in
 // the watch, the whole configuration is read.
 func (s *Service) take(ctx context.Context, h *sageticket.Head, version int64, asked time.Time) error {
-	if !s.replica.TakeHead(h, asked) {
+	if !s.replica.ApplyHead(h, asked) {
 		asked = time.Now()
 		l, err := sageticket.Load(ctx, s.Store)
 		if err != nil {
 			return fmt.Errorf("load configuration: %w", err)
 		}
-		s.replica.TakeLoaded(l, asked)
+		s.replica.ApplyLoaded(l, asked)
 		h, version = l.Head, l.Version
 	}
 	s.mu.Lock()
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -126,22 +126,22 @@
 }
 
 // Standing returns what this node knows about its configuration.
-func (s *Service) Standing() sagesync.Standing {
+func (s *Service) Standing() sagesync.Status {
 	s.init()
-	return s.replica.Standing()
+	return s.replica.Status()
 }
 
 // noteQuorum takes over what the membership knows about contact to the roster.
 func (s *Service) noteQuorum(now time.Time) {
 	if s.Members != nil {
-		s.replica.NoteQuorum(s.Members.QuorumAt(now))
+		s.replica.RecordQuorum(s.Members.QuorumAt(now))
 	}
 }
 
 // Serving says why this node may not serve such a request now, or nil.
 func (s *Service) Serving(now time.Time, idempotent bool) *sagewire.Refusal {
-	v := s.Rule.Judge(now, s.Standing())
-	if v.May == sagesync.ServeAll || v.May == sagesync.ServeIdempotent && idempotent {
+	v := s.Rule.Evaluate(now, s.Standing())
+	if v.Level == sagesync.ServeAll || v.Level == sagesync.ServeIdempotent && idempotent {
 		return nil
 	}
 	return v.Refusal
@@ -233,8 +233,8 @@
 		now := time.Now()
 		s.noteQuorum(now)
 		s.track(now)
-		if v := s.Rule.Judge(now, s.Standing()); v.May != may {
-			may = v.May
+		if v := s.Rule.Evaluate(now, s.Standing()); v.Level != may {
+			may = v.Level
 			if may == sagesync.ServeAll {
 				s.Log.Info("Serving.", "revision", s.Revision())
 			} else {
@@ -256,9 +256,9 @@
 		return
 	}
 	s.Metrics.NewGauge("sagestand_config_revision", func() float64 { return float64(s.Revision()) })
-	s.Metrics.NewGauge("sagestand_config_heard_revision", func() float64 { return float64(s.replica.Standing().Heard) })
+	s.Metrics.NewGauge("sagestand_config_heard_revision", func() float64 { return float64(s.replica.Status().Observed) })
 	s.Metrics.NewGauge("sagestand_config_confirmed_age_seconds", func() float64 {
-		at := s.replica.Standing().ConfirmedAt
+		at := s.replica.Status().ConfirmedAt
 		if at.IsZero() {
 			return -1
 		}
--- a/internal/sageconfigd/service_test.go
+++ b/internal/sageconfigd/service_test.go
@@ -51,7 +51,7 @@
 	lost := &members{live: []string{"vm-0"}, quorum: func(time.Time) time.Time { return time.Time{} }}
 	for _, c := range []struct {
 		name              string
-		way               sagesync.Isolated
+		way               sagesync.IsolationPolicy
 		m                 Members
 		idempotent, other bool
 	}{
--- a/internal/sageconfigd/status.go
+++ b/internal/sageconfigd/status.go
@@ -54,7 +54,7 @@
 // nodes lists all known nodes, this one by its own word.
 func (s *Service) nodes(now time.Time) []NodeRevision {
 	c := s.replica.Current()
-	ns := []NodeRevision{{Node: s.Node, DataCentre: s.DataCentre, Revision: c.Revision, Since: c.At, HeardAt: now}}
+	ns := []NodeRevision{{Node: s.Node, DataCentre: s.DataCentre, Revision: c.Revision, Since: c.AppliedAt, HeardAt: now}}
 	if s.Members != nil {
 		for _, n := range s.Members.Nodes() {
 			if n.Node != s.Node {
--- a/internal/sagegossipd/service_test.go
+++ b/internal/sagegossipd/service_test.go
@@ -27,7 +27,7 @@
 	tab := &sagemember.Table{Self: sagemember.Node{Address: addr, DataCentre: "derby"}, Limits: sagemember.DefaultLimits()}
 	require.NoError(t, tab.Start())
 	if hint != "" {
-		tab.Hint(hint)
+		tab.AddSeeds(hint)
 	}
 	client := &sagepeer.Client{Key: key}
 	s := &sagegossipd.Service{
@@ -49,8 +49,8 @@
 
 func TestNodesFindEachOtherOverTheWire(t *testing.T) {
 	a, _, client := start(t, "")
-	b, _, _ := start(t, a.Me().Address)
-	c, _, _ := start(t, a.Me().Address)
+	b, _, _ := start(t, a.LocalNode().Address)
+	c, _, _ := start(t, a.LocalNode().Address)
 	require.Eventually(t, func() bool {
 		for _, tab := range []*sagemember.Table{a, b, c} {
 			tab.Tick()
@@ -64,7 +64,7 @@
 // go on.
 func TestGarbageOverTheWireIsRefused(t *testing.T) {
 	a, s, client := start(t, "")
-	ex := exchange.NewExchangeProtobufClient(client.URL(a.Me().Address), client.HTTP())
+	ex := exchange.NewExchangeProtobufClient(client.URL(a.LocalNode().Address), client.HTTP())
 	_, err := ex.Push(t.Context(), &exchange.PushRequest{Deltas: []*exchange.Part{nil, {Section: sagemember.SectionName, Data: []byte{0xff}}}})
 	require.ErrorContains(t, err, "deltas")
 	require.EqualValues(t, 1, s.Engine.Bad())
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -40,8 +40,8 @@
 		if tr.name != "far region cut off, exit" {
 			continue
 		}
-		for way, sends := range map[sagesync.Isolated]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
-			s, err := isolate(1, tr, sagesync.Rule{Isolated: way, Freshness: sagesync.DefaultFreshness, CatchUp: sagesync.DefaultCatchUp})
+		for way, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
+			s, err := isolate(1, tr, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			require.NoError(t, err)
 			assert.Equal(t, sends, value(t, s, "work sent to the data centre that was out") > 0, way)
 			assert.Equal(t, sends, value(t, s, "service lost") == 0, way)
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -125,14 +125,14 @@
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
-	if n.replica.TakeHead(h, f.Now) {
+	if n.replica.ApplyHead(h, f.Now) {
 		return nil
 	}
 	l, err := sageticket.Load(context.Background(), &f.store)
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
 	}
-	n.replica.TakeLoaded(l, f.Now)
+	n.replica.ApplyLoaded(l, f.Now)
 	return nil
 }
 
@@ -200,7 +200,7 @@
 
 // feedStarved lets a node that doesn't watch ask the store when its evidence has grown old.
 func (f *configFleet) feedStarved(n *configNode) {
-	starved := f.Now.After(n.replica.Standing().ConfirmedAt.Add(sagesync.DefaultFreshness * 3 / 4))
+	starved := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
 	if !starved || (f.round+n.index)%confirmRounds != 0 {
 		return
 	}
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -32,11 +32,11 @@
 				f.step()
 				for _, n := range f.nodes {
 					heartbeats = max(heartbeats, f.Now.Sub(n.contact(f.Now, roster)))
-					digests = max(digests, f.Now.Sub(n.replica.Standing().QuorumAt))
+					digests = max(digests, f.Now.Sub(n.replica.Status().QuorumAt))
 				}
 			}
 			name := fmt.Sprintf("%d nodes, %g%% lost", size.nodes, 100*loss)
-			limit := &Target{Comparison: AtMost, Limit: sagesync.DefaultFreshness.Seconds()}
+			limit := &Target{Comparison: AtMost, Limit: sagesync.DefaultMaxEvidenceAge.Seconds()}
 			perNode := float64(f.bytesOut()-bytes) / rounds / float64(len(f.nodes))
 			out = append(out,
 				Sample{Scenario: name, Policy: "heartbeats", Metric: "oldest contact to most of the roster", Unit: "s", Value: heartbeats.Seconds()},
@@ -63,8 +63,8 @@
 func (n *configNode) contact(now time.Time, roster []*configNode) time.Time {
 	latest := map[string]time.Time{n.Table.Self.Address: now}
 	for _, m := range n.Table.Live() {
-		if m.Heard.After(latest[m.Address]) {
-			latest[m.Address] = m.Heard
+		if m.LastContact.After(latest[m.Address]) {
+			latest[m.Address] = m.LastContact
 		}
 	}
 	heard := make([]time.Time, len(roster))
--- a/internal/sagemeasure/inforce.go
+++ b/internal/sagemeasure/inforce.go
@@ -128,7 +128,7 @@
 func (f *configFleet) oldestEvidence() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
-		oldest = max(oldest, f.Now.Sub(n.replica.Standing().ConfirmedAt))
+		oldest = max(oldest, f.Now.Sub(n.replica.Status().ConfirmedAt))
 	}
 	return oldest
 }
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -66,8 +66,8 @@
 func Isolated(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, t := range troubles() {
-		for _, way := range []sagesync.Isolated{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
-			s, err := isolate(seed, t, sagesync.Rule{Isolated: way, Freshness: sagesync.DefaultFreshness, CatchUp: sagesync.DefaultCatchUp})
+		for _, way := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
+			s, err := isolate(seed, t, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			if err != nil {
 				return nil, fmt.Errorf("%s, %s: %w", t.name, way, err)
 			}
@@ -109,7 +109,7 @@
 		for _, n := range f.nodes {
 			n.noteQuorum(f.Now)
 		}
-		if round >= isoExitAt && !accepted && rule.MayAccept(f.Now, f.nodes[t.by].replica.Standing()) {
+		if round >= isoExitAt && !accepted && rule.MayAccept(f.Now, f.nodes[t.by].replica.Status()) {
 			if err := f.accept(f.nodes[t.by], fmt.Sprintf("dc%d", t.exit), false); err != nil {
 				return nil, err
 			}
@@ -117,7 +117,7 @@
 		}
 		for _, n := range f.nodes {
 			share, toOut := n.load(f, t, exitedAt > 0 && round > exitedAt+isoGrace)
-			served := servedPart(rule.Judge(f.Now, n.replica.Standing()).May)
+			served := servedPart(rule.Evaluate(f.Now, n.replica.Status()).Level)
 			offered++
 			lost += 1 - served
 			sent += served * share * toOut
@@ -137,7 +137,7 @@
 	return out, nil
 }
 
-func servedPart(m sagesync.May) float64 {
+func servedPart(m sagesync.ServiceLevel) float64 {
 	switch m {
 	case sagesync.ServeAll:
 		return 1
@@ -172,9 +172,9 @@
 func (n *configNode) noteQuorum(now time.Time) {
 	heard := []time.Time{now}
 	for _, m := range n.Table.All() {
-		if m.Incarnation != n.Table.Me().Incarnation && m.Phase != sagemember.Gone {
-			heard = append(heard, m.Heard)
+		if m.Incarnation != n.Table.LocalNode().Incarnation && m.Phase != sagemember.Gone {
+			heard = append(heard, m.LastContact)
 		}
 	}
-	n.replica.NoteQuorum(sagesync.QuorumAt(now, heard))
+	n.replica.RecordQuorum(sagesync.QuorumAt(now, heard))
 }
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -83,7 +83,7 @@
 		return nil, fmt.Errorf("start %s: %w", addr, err)
 	}
 	if len(f.Nodes) > 0 {
-		t.Hint(f.Nodes[0].Table.Me().Address)
+		t.AddSeeds(f.Nodes[0].Table.LocalNode().Address)
 	}
 	n := &MemberNode{
 		Table:   t,
@@ -205,7 +205,7 @@
 	there := make(map[uint64]bool)
 	for _, n := range f.Nodes {
 		if !n.Stopped {
-			there[n.Table.Me().Incarnation] = true
+			there[n.Table.LocalNode().Incarnation] = true
 		}
 	}
 	for _, n := range f.Running() {
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	id := n.Table.Me().Incarnation
+	id := n.Table.LocalNode().Incarnation
 	knows := func(ok func(sagemember.Node) bool) func() bool {
 		return func() bool {
 			for _, m := range f.Running() {
@@ -93,7 +93,7 @@
 		}
 	}
 	join = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
-	n.Table.Advance(sagemember.Leaving)
+	n.Table.AdvancePhase(sagemember.Leaving)
 	leave = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
 	n.Stopped = true
 	death = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
@@ -139,9 +139,9 @@
 func (l *brokenLink) run(seed uint64) ([]Sample, error) {
 	const metric = "nodes wrongly taken for dead in 300 s"
 	var samples []Sample
-	for _, checks := range []int{sagemember.DefaultLimits().Checks, 0} {
+	for _, checks := range []int{sagemember.DefaultLimits().IndirectChecks, 0} {
 		limits := sagemember.DefaultLimits()
-		limits.Checks = checks
+		limits.IndirectChecks = checks
 		f := NewMemberFleet(seed)
 		if err := f.Add(l.nodes, 4, limits); err != nil {
 			return nil, err
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -60,7 +60,7 @@
 // Run ticks until ctx ends, and then announces that the process is gone.
 func (s *Service) Run(ctx context.Context) error {
 	s.register()
-	s.Table.Hint(s.Seeds...)
+	s.Table.AddSeeds(s.Seeds...)
 	t := time.NewTicker(s.Every)
 	defer t.Stop()
 	start := time.NewTicker(startEvery)
@@ -77,7 +77,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			s.Table.Advance(sagemember.Gone)
+			s.Table.AdvancePhase(sagemember.Gone)
 			s.Nudge()
 			return nil
 		case now := <-t.C:
@@ -101,7 +101,7 @@
 	if !s.Ready() {
 		return false
 	}
-	s.Table.Advance(sagemember.Serving)
+	s.Table.AdvancePhase(sagemember.Serving)
 	s.Nudge()
 	s.Log.Info("Announced as serving.")
 	return true
@@ -110,7 +110,7 @@
 // list takes the VM list as hints. Its addresses may lack a port: all VMs are alike, so the own one
 // is taken.
 func (s *Service) list(ctx context.Context) {
-	_, port, err := net.SplitHostPort(s.Table.Me().Address)
+	_, port, err := net.SplitHostPort(s.Table.LocalNode().Address)
 	if err != nil {
 		return
 	}
@@ -124,7 +124,7 @@
 			host = h
 		}
 		if net.ParseIP(host) != nil {
-			s.Table.Hint(net.JoinHostPort(host, port))
+			s.Table.AddSeeds(net.JoinHostPort(host, port))
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	s.Drain.Leave(now)
 	until := s.Drain.HonourUntil()
 	s.mu.Unlock()
-	s.Table.Advance(sagemember.Leaving)
+	s.Table.AdvancePhase(sagemember.Leaving)
 	s.Nudge()
 	s.Log.Info("Announced as leaving.", "serve_until", until)
 	return until
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -66,9 +66,9 @@
 func (n *Node) orderService(store sageobject.Store, conf sageentry.Config) *sageorders.Service {
 	return &sageorders.Service{
 		Config: conf,
-		Lease: &sagelease.Keeper{
+		Lease: &sagelease.Elector{
 			Store: store, Key: ordersLease, Holder: n.Settings.Node.Name + "/" + uuid.NewString(),
-			Term: orderTerm, Margin: orderMargin, LongestDelay: orderDelay,
+			Term: orderTerm, Margin: orderMargin, MaxDeliveryDelay: orderDelay,
 		},
 		Candidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
 		HTTP:      &http.Client{Timeout: orderTimeout},
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -70,7 +70,7 @@
 
 // livePeers returns the addresses of the other live nodes.
 func (n *Node) livePeers() []string {
-	me := n.table.Me().Address
+	me := n.table.LocalNode().Address
 	var out []string
 	for _, m := range n.table.Live() {
 		if m.Address != me {
@@ -89,7 +89,7 @@
 
 // Live implements [sageconfigd.Members].
 func (m *configMembers) Live() []string {
-	me := m.members.Table.Me()
+	me := m.members.Table.LocalNode()
 	names := []string{me.Name}
 	for _, n := range m.members.Table.Live() {
 		if n.DataCentre == me.DataCentre && n.Name != me.Name && n.Phase != sagemember.Leaving {
@@ -103,11 +103,11 @@
 func (m *configMembers) QuorumAt(now time.Time) time.Time {
 	latest := make(map[string]time.Time)
 	for _, n := range m.members.Table.Live() {
-		if n.Heard.After(latest[n.Address]) {
-			latest[n.Address] = n.Heard
+		if n.LastContact.After(latest[n.Address]) {
+			latest[n.Address] = n.LastContact
 		}
 	}
-	latest[m.members.Table.Me().Address] = now
+	latest[m.members.Table.LocalNode().Address] = now
 	heard := make([]time.Time, len(m.roster))
 	for i, a := range m.roster {
 		heard[i] = latest[a]
@@ -121,7 +121,7 @@
 	for _, n := range m.members.Table.Live() {
 		list = append(list, sageconfigd.NodeRevision{
 			Node: n.Name, DataCentre: n.DataCentre, Revision: n.Revision,
-			Since: m.members.RevisionSince(n.Incarnation), HeardAt: n.Heard,
+			Since: m.members.RevisionSince(n.Incarnation), HeardAt: n.LastContact,
 		})
 	}
 	return list
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -187,7 +187,7 @@
 		if ref := conf.Serving(time.Now(), true); ref != nil {
 			return ref
 		}
-		if n.table.Me().Phase == sagemember.Starting {
+		if n.table.LocalNode().Phase == sagemember.Starting {
 			return errStarting
 		}
 		return nil
@@ -212,7 +212,7 @@
 
 // rule takes the settings' rule for isolated nodes over.
 func rule(i sagesettings.Isolated) sagesync.Rule {
-	return sagesync.Rule{Isolated: sagesync.Isolated(i.Rule), Freshness: millis(i.AfterMillis), CatchUp: sagesync.DefaultCatchUp}
+	return sagesync.Rule{Isolated: sagesync.IsolationPolicy(i.Rule), MaxEvidenceAge: millis(i.AfterMillis), CatchUpTimeout: sagesync.DefaultCatchUpTimeout}
 }
 
 // objectives takes the settings' objectives over into the report's own type.
--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -39,7 +39,7 @@
 // Service applies orders. Its exported fields are set before Run.
 type Service struct {
 	Config Config
-	Lease  *sagelease.Keeper
+	Lease  *sagelease.Elector
 	// Candidate reports whether this node may take the lease; a few of all nodes suffice, and each
 	// candidate costs the store a read a step. Nil means yes.
 	Candidate func() bool
@@ -77,14 +77,14 @@
 func (s *Service) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if s.needed() {
-			if err := s.Lease.Step(ctx); err != nil && ctx.Err() == nil {
+			if err := s.Lease.AcquireOrRenew(ctx); err != nil && ctx.Err() == nil {
 				s.Log.Warn("Can't step the lease.", "err", err)
 			}
 			s.Apply(ctx, time.Now())
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.Lease.Pause()):
+		case <-time.After(s.Lease.RenewInterval()):
 		}
 	}
 	return nil
@@ -130,7 +130,7 @@
 		s.applied = nil
 	}
 	if ctx.Err() != nil {
-		s.Lease.Drop()
+		s.Lease.Relinquish()
 	}
 }
 
@@ -197,7 +197,7 @@
 	defer func() { _ = res.Body.Close() }()
 	switch {
 	case res.StatusCode == http.StatusConflict:
-		s.Lease.Drop()
+		s.Lease.Relinquish()
 		return errFenced
 	case res.StatusCode >= http.StatusMultipleChoices:
 		return fmt.Errorf("status %d: %w", res.StatusCode, errRefused)
--- a/internal/sageorders/service_test.go
+++ b/internal/sageorders/service_test.go
@@ -51,7 +51,7 @@
 func node(st sageobject.Store, name string, checks bool, engines roundTripper) *Service {
 	return &Service{
 		Config: &fixedConfig{testState(checks)}, HTTP: &http.Client{Transport: engines},
-		Lease: &sagelease.Keeper{Store: st, Key: "lease/orders", Holder: name, Term: 10 * time.Second, Margin: 3 * time.Second, LongestDelay: 5 * time.Second},
+		Lease: &sagelease.Elector{Store: st, Key: "lease/orders", Holder: name, Term: 10 * time.Second, Margin: 3 * time.Second, MaxDeliveryDelay: 5 * time.Second},
 	}
 }
 
@@ -64,14 +64,14 @@
 			engines := roundTripper{"e1:1": e.Handler()}
 			st := &sageobject.Memory{}
 			a, b := node(st, "a", checks, engines), node(st, "b", checks, engines)
-			require.NoError(t, a.Lease.Step(t.Context()))
-			require.NoError(t, b.Lease.Step(t.Context()))
+			require.NoError(t, a.Lease.AcquireOrRenew(t.Context()))
+			require.NoError(t, b.Lease.AcquireOrRenew(t.Context()))
 			a.Apply(t.Context(), time.Now())
 			wait := time.Duration(0)
 			if !checks {
 				_, log := e.CurrentOrder()
 				assert.Empty(t, log, "the first waits out an unknown predecessor")
-				wait = a.Lease.LongestDelay
+				wait = a.Lease.MaxDeliveryDelay
 			}
 			time.Sleep(wait)
 			a.Apply(t.Context(), time.Now())
@@ -82,8 +82,8 @@
 
 			paused := time.Now()
 			time.Sleep(11 * time.Second)
-			require.NoError(t, b.Lease.Step(t.Context()))
-			time.Sleep(b.Lease.LongestDelay)
+			require.NoError(t, b.Lease.AcquireOrRenew(t.Context()))
+			time.Sleep(b.Lease.MaxDeliveryDelay)
 			b.Apply(t.Context(), time.Now())
 			a.applied = nil
 			a.Apply(t.Context(), paused)
@@ -114,7 +114,7 @@
 		e := &sagestandin.Engine{Name: "e1", Slots: 1, ChecksFencing: true}
 		engines := roundTripper{}
 		s := node(&sageobject.Memory{}, "a", true, engines)
-		require.NoError(t, s.Lease.Step(t.Context()))
+		require.NoError(t, s.Lease.AcquireOrRenew(t.Context()))
 		s.Apply(t.Context(), time.Now())
 		engines["e1:1"] = e.Handler()
 		s.Apply(t.Context(), time.Now())
@@ -124,11 +124,11 @@
 		high.Lease.Store = &sageobject.Memory{}
 		_, err := high.Lease.Store.Put(t.Context(), "lease/orders", []byte(`{"holder":"z","fencing":8,"write":"z-1"}`), sageobject.NoVersion)
 		require.NoError(t, err)
-		require.NoError(t, high.Lease.Step(t.Context()))
+		require.NoError(t, high.Lease.AcquireOrRenew(t.Context()))
 		time.Sleep(11 * time.Second)
-		require.NoError(t, high.Lease.Step(t.Context()))
+		require.NoError(t, high.Lease.AcquireOrRenew(t.Context()))
 		high.Apply(t.Context(), time.Now())
-		require.NoError(t, s.Lease.Step(t.Context()))
+		require.NoError(t, s.Lease.AcquireOrRenew(t.Context()))
 		s.applied = nil
 		s.Apply(t.Context(), time.Now())
 		_, err = s.Lease.Permit(time.Now(), true)
--- a/pkg/sagelease/doc.go
+++ b/pkg/sagelease/doc.go
@@ -16,7 +16,7 @@
 //
 // # Usage
 //
-//	k := &sagelease.Keeper{Store: st, Key: "lease/orders", Holder: "vm1", Term: 10 * time.Second,
+//	k := &sagelease.Elector{Store: st, Key: "lease/orders", Holder: "vm1", Term: 10 * time.Second,
 //		Margin: 3 * time.Second, LongestDelay: 5 * time.Second}
 //	for ctx.Err() == nil {
 //		if err := k.Step(ctx); err != nil {
--- a/pkg/sagelease/keeper.go
+++ b/pkg/sagelease/keeper.go
@@ -31,14 +31,14 @@
 	// Fencing grows with each change of holder.
 	Fencing uint64 `json:"fencing"`
 	// Write names the write that made this value, so that its writer recognizes it.
-	Write string `json:"write"`
+	WriteID string `json:"write"`
 	// Until is the end of the lease by its writer's clock, for people to read.
 	Until time.Time `json:"until"`
 }
 
 // Check reports a missing field, wrapped around [ErrBadLease].
 func (l *Lease) Check() error {
-	if l.Holder == "" || l.Fencing == 0 || l.Write == "" {
+	if l.Holder == "" || l.Fencing == 0 || l.WriteID == "" {
 		return fmt.Errorf("lease without holder, fencing or write: %w", ErrBadLease)
 	}
 	return nil
@@ -56,8 +56,8 @@
 	return l, nil
 }
 
-// Keeper takes and keeps one lease for one process. Exported fields are set before first use.
-type Keeper struct {
+// Elector takes and keeps one lease for one process. Exported fields are set before first use.
+type Elector struct {
 	Store sageobject.Store
 	Key   string
 	// Holder is unique to this start of the process.
@@ -66,7 +66,7 @@
 	// Margin is how long before the end of the lease the holder stops acting.
 	Margin time.Duration
 	// LongestDelay is how long after it was sent an act may take effect at the latest.
-	LongestDelay time.Duration
+	MaxDeliveryDelay time.Duration
 
 	mu       sync.Mutex
 	writes   uint64
@@ -79,11 +79,11 @@
 }
 
 // Pause returns how long to wait between two steps.
-func (k *Keeper) Pause() time.Duration { return k.Term / 4 }
+func (k *Elector) RenewInterval() time.Duration { return k.Term / 4 }
 
 // Step renews the lease, or takes it if nobody renewed it for a term. It returns nil also when
 // another node holds the lease.
-func (k *Keeper) Step(ctx context.Context) error {
+func (k *Elector) AcquireOrRenew(ctx context.Context) error {
 	o, err := k.Store.Get(ctx, k.Key)
 	if errors.Is(err, sageobject.ErrNotFound) {
 		return k.write(ctx, sageobject.NoVersion, 1)
@@ -115,11 +115,11 @@
 //
 // The lease counts from before the write: the store may have taken it at any instant until the
 // answer, and a successor counts from when it sees it, which is later.
-func (k *Keeper) write(ctx context.Context, version int64, fencing uint64) error {
+func (k *Elector) write(ctx context.Context, version int64, fencing uint64) error {
 	now := time.Now()
 	k.mu.Lock()
 	k.writes++
-	l := Lease{Holder: k.Holder, Fencing: fencing, Write: fmt.Sprintf("%s-%d", k.Holder, k.writes), Until: now.Add(k.Term).UTC()}
+	l := Lease{Holder: k.Holder, Fencing: fencing, WriteID: fmt.Sprintf("%s-%d", k.Holder, k.writes), Until: now.Add(k.Term).UTC()}
 	k.mu.Unlock()
 	b, err := json.Marshal(&l)
 	if err != nil {
@@ -146,7 +146,7 @@
 
 // readBack settles a write whose answer was lost, by its own name. A write not found may still
 // arrive; then this process holds a lease that it doesn't act on, until the next step sees it.
-func (k *Keeper) readBack(ctx context.Context, l *Lease) error {
+func (k *Elector) readBack(ctx context.Context, l *Lease) error {
 	o, err := k.Store.Get(ctx, k.Key)
 	if err != nil {
 		return fmt.Errorf("read back: %w", err)
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	if got.Write != l.Write {
+	if got.WriteID != l.WriteID {
 		return fmt.Errorf("read back: %w", sageobject.ErrConflict)
 	}
 	return nil
@@ -168,7 +168,7 @@
 }
 
 // Permit returns the right to act at now towards one who checks fencing numbers or not.
-func (k *Keeper) Permit(now time.Time, checksFencing bool) (Permit, error) {
+func (k *Elector) Permit(now time.Time, checksFencing bool) (Permit, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	until := k.until.Add(-k.Margin)
@@ -177,14 +177,14 @@
 	}
 	// The earlier holder stopped sending a margin before its end; what it sent arrives at most
 	// LongestDelay later. Its end lies before the start of this lease, for it was waited out.
-	if !checksFencing && before(now, k.since.Add(k.LongestDelay)) {
+	if !checksFencing && before(now, k.since.Add(k.MaxDeliveryDelay)) {
 		return Permit{}, ErrTooEarly
 	}
 	return Permit{Fencing: k.held.Fencing, Until: until}, nil
 }
 
 // Drop gives up acting on the lease, as when a higher fencing number was met.
-func (k *Keeper) Drop() {
+func (k *Elector) Relinquish() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.held, k.until = Lease{}, time.Time{}
--- a/pkg/sagelease/keeper_test.go
+++ b/pkg/sagelease/keeper_test.go
@@ -13,16 +13,16 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-func keeper(st sageobject.Store, holder string) *Keeper {
-	return &Keeper{Store: st, Key: "lease/x", Holder: holder, Term: 10 * time.Second, Margin: 3 * time.Second, LongestDelay: 4 * time.Second}
+func keeper(st sageobject.Store, holder string) *Elector {
+	return &Elector{Store: st, Key: "lease/x", Holder: holder, Term: 10 * time.Second, Margin: 3 * time.Second, MaxDeliveryDelay: 4 * time.Second}
 }
 
-func step(t *testing.T, k *Keeper) {
+func step(t *testing.T, k *Elector) {
 	t.Helper()
-	require.NoError(t, k.Step(t.Context()))
+	require.NoError(t, k.AcquireOrRenew(t.Context()))
 }
 
-func holds(k *Keeper, checks bool) uint64 {
+func holds(k *Elector, checks bool) uint64 {
 	p, err := k.Permit(time.Now(), checks)
 	if err != nil {
 		return 0
@@ -53,11 +53,11 @@
 		assert.Zero(t, holds(b, false), "what the first sent may still be on its way")
 		step(t, a)
 		assert.Zero(t, holds(a, true))
-		time.Sleep(b.LongestDelay)
+		time.Sleep(b.MaxDeliveryDelay)
 		assert.EqualValues(t, 2, holds(b, false))
 		step(t, b)
 		assert.EqualValues(t, 2, holds(b, false), "renewing keeps the number")
-		b.Drop()
+		b.Relinquish()
 		assert.Zero(t, holds(b, true))
 	})
 }
@@ -81,7 +81,7 @@
 				Before: func(op sageobject.Op, _ string) error { return fault(op, 1, sageobject.ErrUnavailable) },
 				After:  func(op sageobject.Op, _ string) error { return fault(op, 2, sageobject.ErrUnknown) },
 			}
-			ks := []*Keeper{keeper(st, "a"), keeper(st, "b"), keeper(st, "c")}
+			ks := []*Elector{keeper(st, "a"), keeper(st, "b"), keeper(st, "c")}
 			paused := make([]int, len(ks))
 			var greatest uint64
 			acted := 0
@@ -95,7 +95,7 @@
 						continue
 					}
 					if i%2 == 0 {
-						_ = k.Step(t.Context())
+						_ = k.AcquireOrRenew(t.Context())
 					}
 				}
 				var actors []uint64
--- a/pkg/sagemember/fuzz_test.go
+++ b/pkg/sagemember/fuzz_test.go
@@ -23,7 +23,7 @@
 		const budget = 1 << 10
 		require.LessOrEqual(t, len(x.Delta(b, budget)), budget)
 		_ = x.Merge(b)
-		require.Equal(t, "a", x.Me().Name)
+		require.Equal(t, "a", x.LocalNode().Name)
 		require.NotEmpty(t, x.Live())
 	})
 }
--- a/pkg/sagemember/health.go
+++ b/pkg/sagemember/health.go
@@ -96,7 +96,7 @@
 }
 
 // Forget removes things that keep says are no longer configured.
-func (h *Health[K]) Forget(keep func(K) bool) {
+func (h *Health[K]) Retain(keep func(K) bool) {
 	for k := range h.things {
 		if !keep(k) {
 			delete(h.things, k)
--- a/pkg/sagemember/health_test.go
+++ b/pkg/sagemember/health_test.go
@@ -36,7 +36,7 @@
 
 	require.True(t, probe(true, "b"), "a restart between two probes")
 	require.False(t, h.Up("e1"))
-	h.Forget(func(string) bool { return false })
+	h.Retain(func(string) bool { return false })
 	require.True(t, h.Since("e1").IsZero())
 }
 
--- a/pkg/sagemember/judge.go
+++ b/pkg/sagemember/judge.go
@@ -5,7 +5,7 @@
 // judge moves one node through its states by its silence. The caller holds the lock.
 func (t *Table) judge(e *entry, now time.Time) {
 	suspectAfter, deadAfter := t.limits(e)
-	silent := now.Sub(e.Heard)
+	silent := now.Sub(e.LastContact)
 	switch e.State {
 	case Alive:
 		if silent > suspectAfter {
@@ -17,7 +17,7 @@
 	case Suspect:
 		// Without the check, a node behind one bad link, or whose heartbeats were lost on the way to
 		// this node only, would be dropped by this node while it serves everybody else.
-		checked := len(e.asked) >= t.checks(e) || silent > t.Limits.GiveUpAfter
+		checked := len(e.asked) >= t.checks(e) || silent > t.Limits.UncheckedDeadAfter
 		if silent > deadAfter && checked {
 			e.become(Dead, now)
 			e.damp.fell(now)
@@ -34,8 +34,8 @@
 
 func (t *Table) limits(e *entry) (suspectAfter, deadAfter time.Duration) {
 	f := time.Duration(1)
-	if e.DataCentre != t.Self.DataCentre && t.far > t.Limits.FarWindow {
-		f = time.Duration(max(1, t.Limits.FarFactor))
+	if e.DataCentre != t.Self.DataCentre && t.far > t.Limits.RemoteWindow {
+		f = time.Duration(max(1, t.Limits.RemoteFactor))
 	}
 	return f * t.Limits.SuspectAfter, f * t.Limits.DeadAfter
 }
@@ -49,7 +49,7 @@
 			others++
 		}
 	}
-	return min(t.Limits.Checks, others)
+	return min(t.Limits.IndirectChecks, others)
 }
 
 func (e *entry) become(s State, now time.Time) {
@@ -77,7 +77,7 @@
 			e.become(Alive, now)
 		}
 	}
-	e.Heard = now
+	e.LastContact = now
 }
 
 // hearSelf keeps the own counter above whatever others were told of it, so that a wrong report
@@ -95,7 +95,7 @@
 	now := t.now()
 	// The monotonic clock stands still while a VM is suspended, the wall clock doesn't.
 	gap := max(now.Sub(t.lastTick), now.Round(0).Sub(t.lastTick.Round(0)))
-	if gap <= t.Limits.PauseAfter {
+	if gap <= t.Limits.PauseThreshold {
 		return now
 	}
 	t.lastTick = now
@@ -107,7 +107,7 @@
 			continue
 		}
 		e.become(Unconfirmed, now)
-		e.Heard = now
+		e.LastContact = now
 		e.damp.distrust()
 	}
 	return now
@@ -125,7 +125,7 @@
 			others++
 		}
 	}
-	if len(t.met) >= min(t.Limits.Checks, others) {
+	if len(t.met) >= min(t.Limits.IndirectChecks, others) {
 		t.freshBy = now
 	}
 }
--- a/pkg/sagemember/node.go
+++ b/pkg/sagemember/node.go
@@ -93,7 +93,7 @@
 	Load  uint32 `json:"load"`
 	State State  `json:"state"`
 	// Heard is the local instant at which its heartbeat last advanced.
-	Heard time.Time `json:"heard,omitzero"`
+	LastContact time.Time `json:"heard,omitzero"`
 }
 
 // Check reports a node that can't be called, wrapped around [ErrBadNode].
@@ -121,33 +121,33 @@
 type Limits struct {
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
-	FarFactor    int
+	RemoteFactor int
 	// Checks is how many other nodes must have been asked before a suspect counts as dead; fewer
 	// when fewer are there.
-	Checks int
+	IndirectChecks int
 	// GiveUpAfter is when a suspect counts as dead although too few could be asked.
-	GiveUpAfter time.Duration
+	UncheckedDeadAfter time.Duration
 	// PauseAfter is the gap between two ticks from which on this process takes itself for paused.
-	PauseAfter time.Duration
+	PauseThreshold time.Duration
 	// ForgetAfter is how long a dead or gone node is remembered.
 	ForgetAfter time.Duration
 	// NearWindow and FarWindow bound how many heartbeats of the own and of other data centres one
 	// digest carries.
-	NearWindow int
-	FarWindow  int
+	LocalWindow  int
+	RemoteWindow int
 }
 
 // DefaultLimits returns the limits for one tick and one exchange a second.
 func DefaultLimits() Limits {
 	return Limits{
-		SuspectAfter: 6 * time.Second,
-		DeadAfter:    12 * time.Second,
-		FarFactor:    4,
-		Checks:       3,
-		GiveUpAfter:  2 * time.Minute,
-		PauseAfter:   4 * time.Second,
-		ForgetAfter:  15 * time.Minute,
-		NearWindow:   48,
-		FarWindow:    80,
+		SuspectAfter:       6 * time.Second,
+		DeadAfter:          12 * time.Second,
+		RemoteFactor:       4,
+		IndirectChecks:     3,
+		UncheckedDeadAfter: 2 * time.Minute,
+		PauseThreshold:     4 * time.Second,
+		ForgetAfter:        15 * time.Minute,
+		LocalWindow:        48,
+		RemoteWindow:       80,
 	}
 }
--- a/pkg/sagemember/section.go
+++ b/pkg/sagemember/section.go
@@ -112,8 +112,8 @@
 		}
 	}
 	list := leastSent(asked, maxSuspects)
-	list = append(list, leastSent(near, t.Limits.NearWindow)...)
-	return append(list, leastSent(far, t.Limits.FarWindow)...)
+	list = append(list, leastSent(near, t.Limits.LocalWindow)...)
+	return append(list, leastSent(far, t.Limits.RemoteWindow)...)
 }
 
 func leastSent(list []*entry, n int) []*entry {
@@ -305,7 +305,7 @@
 		if len(t.nodes) >= MaxNodes {
 			return fmt.Errorf("merge record of %s: %w", n.Address, ErrFull)
 		}
-		n.Heard = now
+		n.LastContact = now
 		e = &entry{Node: n, since: now}
 		t.nodes[n.Incarnation] = e
 		t.shorts[short(n.Incarnation)] = e
--- a/pkg/sagemember/table.go
+++ b/pkg/sagemember/table.go
@@ -89,7 +89,7 @@
 	now := t.wake()
 	t.lastTick = now
 	t.Self.Counter++
-	t.Self.Heard = now
+	t.Self.LastContact = now
 	t.far = 0
 	for _, e := range t.nodes {
 		if e.Phase != Gone && e.DataCentre != t.Self.DataCentre {
@@ -111,7 +111,7 @@
 }
 
 // Advance moves the own phase forward; a lower phase than the present one changes nothing.
-func (t *Table) Advance(p Phase) {
+func (t *Table) AdvancePhase(p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Self.Phase = max(t.Self.Phase, p)
@@ -127,7 +127,7 @@
 
 // Hint names addresses where nodes may be, from the settings or from the VM list. A hint only makes
 // this node try the address; it neither adds nor removes anybody.
-func (t *Table) Hint(addresses ...string) {
+func (t *Table) AddSeeds(addresses ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range addresses {
@@ -138,7 +138,7 @@
 }
 
 // Me returns this node.
-func (t *Table) Me() Node {
+func (t *Table) LocalNode() Node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Self
--- a/pkg/sagemember/table_test.go
+++ b/pkg/sagemember/table_test.go
@@ -40,8 +40,8 @@
 	require.True(t, f.Agreed(), "a node that starts later is known everywhere")
 
 	late.Table.Report(41, 7)
-	late.Table.Advance(sagemember.Leaving)
-	id := late.Table.Me().Incarnation
+	late.Table.AdvancePhase(sagemember.Leaving)
+	id := late.Table.LocalNode().Incarnation
 	rounds(f, 20)
 	for _, n := range f.Running() {
 		if n == late {
@@ -53,8 +53,8 @@
 		require.Equal(t, sagemember.Alive, x.State, "a leaving node still serves")
 		require.Equal(t, []uint64{41, 7}, []uint64{x.Revision, uint64(x.Load)})
 	}
-	late.Table.Advance(sagemember.Serving)
-	require.Equal(t, sagemember.Leaving, late.Table.Me().Phase, "leaving is never taken back")
+	late.Table.AdvancePhase(sagemember.Serving)
+	require.Equal(t, sagemember.Leaving, late.Table.LocalNode().Phase, "leaving is never taken back")
 
 	late.Stopped = true
 	f.Rounds(60, f.Agreed)
@@ -84,7 +84,7 @@
 		f := fleetOf(t, 24, 4)
 		f.Loss = 0.45
 		for _, n := range f.Nodes {
-			n.Table.Limits.Checks = checks
+			n.Table.Limits.IndirectChecks = checks
 			n.Table.Limits.SuspectAfter = 3 * time.Second
 			n.Table.Limits.DeadAfter = 6 * time.Second
 		}
@@ -120,11 +120,11 @@
 func TestSameAddressNewIncarnation(t *testing.T) {
 	f := fleetOf(t, 8, 4)
 	old := f.Nodes[4]
-	oldID := old.Table.Me().Incarnation
+	oldID := old.Table.LocalNode().Incarnation
 	late := old.Engine.Digests()[0].Data
-	fresh, err := f.Start(old.Table.Me().Address, "dc0", sagemember.DefaultLimits())
+	fresh, err := f.Start(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
 	require.NoError(t, err)
-	freshID := fresh.Table.Me().Incarnation
+	freshID := fresh.Table.LocalNode().Incarnation
 	require.NotEqual(t, oldID, freshID)
 	took := f.Rounds(60, f.Agreed)
 	require.Less(t, took, 12, "the old one goes by direct evidence, not by its silence")
@@ -150,7 +150,7 @@
 func TestLateHeartbeatDoesNotRevive(t *testing.T) {
 	f := fleetOf(t, 8, 4)
 	dead, paused := f.Nodes[4], f.Nodes[0]
-	id := dead.Table.Me().Incarnation
+	id := dead.Table.LocalNode().Incarnation
 	rounds(f, 3)
 	late := dead.Engine.Digests()[0].Data
 	dead.Stopped = true
@@ -194,7 +194,7 @@
 func TestFlappingNodeIsDamped(t *testing.T) {
 	f := fleetOf(t, 4, 1)
 	p, seer := f.Nodes[3], f.Nodes[0]
-	id := p.Table.Me().Incarnation
+	id := p.Table.LocalNode().Incarnation
 	back := make([]int, 0, 4)
 	for range 4 {
 		p.Paused = true
@@ -213,7 +213,7 @@
 func TestGarbageDoesNotTakeANodeOut(t *testing.T) {
 	f := fleetOf(t, 8, 4)
 	a, victim := f.Nodes[0], f.Nodes[4]
-	me := victim.Table.Me()
+	me := victim.Table.LocalNode()
 	d := new(member.Digest)
 	require.NoError(t, proto.Unmarshal(victim.Engine.Digests()[0].Data, d))
 	d.Counters[0] = 1 << 63
@@ -226,7 +226,7 @@
 	a.Table.Delta(b, 1000)
 	rounds(f, 60)
 	require.True(t, f.Agreed(), "the victim's heartbeats have overtaken the wrong one")
-	require.Equal(t, me.Incarnation, victim.Table.Me().Incarnation)
+	require.Equal(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
 	require.Zero(t, f.Evictions())
 
 	a.Table.Delta([]byte{0xff, 1, 2}, 1000)
@@ -238,7 +238,7 @@
 	require.ErrorIs(t, a.Table.Merge(b), sagemember.ErrBadNode)
 	f.Rounds(60, f.Agreed)
 	require.True(t, f.Agreed(), "the victim went on as another incarnation")
-	require.NotEqual(t, me.Incarnation, victim.Table.Me().Incarnation)
+	require.NotEqual(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
 }
 
 // What a node spends must stay within a part of 19 KB/s at 400 nodes.
--- a/pkg/sagesync/bench_test.go
+++ b/pkg/sagesync/bench_test.go
@@ -24,7 +24,7 @@
 		}})
 	}
 	r := &Replica{Now: c.Now}
-	r.TakeLoaded(&sageticket.Loaded{Head: &sageticket.Head{Revision: 1, Folded: 1}, State: s}, c.now)
+	r.ApplyLoaded(&sageticket.Loaded{Head: &sageticket.Head{Revision: 1, Folded: 1}, State: s}, c.now)
 	return r
 }
 
@@ -61,7 +61,7 @@
 	b.ReportAllocs()
 	size := 0
 	for rev := uint64(2); b.Loop(); rev++ {
-		peer.TakeHead(benchHead(rev), c.now)
+		peer.ApplyHead(benchHead(rev), c.now)
 		d := peer.Delta(n.Digest(), 16<<10)
 		size = len(d)
 		if err := n.Merge(d); err != nil {
--- a/pkg/sagesync/example_test.go
+++ b/pkg/sagesync/example_test.go
@@ -9,12 +9,12 @@
 
 func ExampleRule_Evaluate() {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	r := sagesync.Rule{Isolated: sagesync.IsolatedIdempotent, Freshness: 10 * time.Second, CatchUp: 3 * time.Second}
-	s := sagesync.Standing{Revision: 7, Heard: 7, ConfirmedAt: now.Add(-time.Minute)}
-	v := r.Judge(now, s)
-	fmt.Println(v.May == sagesync.ServeIdempotent, v.Refusal.Reason)
+	r := sagesync.Rule{Isolated: sagesync.IsolatedIdempotent, MaxEvidenceAge: 10 * time.Second, CatchUpTimeout: 3 * time.Second}
+	s := sagesync.Status{Revision: 7, Observed: 7, ConfirmedAt: now.Add(-time.Minute)}
+	v := r.Evaluate(now, s)
+	fmt.Println(v.Level == sagesync.ServeIdempotent, v.Refusal.Reason)
 	s.ConfirmedAt = now.Add(-time.Second)
-	fmt.Println(r.Judge(now, s).May == sagesync.ServeAll)
+	fmt.Println(r.Evaluate(now, s).Level == sagesync.ServeAll)
 	// Output:
 	// true stale_configuration
 	// true
--- a/pkg/sagesync/fake_test.go
+++ b/pkg/sagesync/fake_test.go
@@ -90,12 +90,12 @@
 func (s *source) feed(t require.TestingT, r *Replica, now time.Time) {
 	h, _, err := sageticket.ReadHead(ctx, &s.mem)
 	require.NoError(t, err)
-	if r.TakeHead(h, now) {
+	if r.ApplyHead(h, now) {
 		return
 	}
 	l, err := sageticket.Load(ctx, &s.mem)
 	require.NoError(t, err)
-	r.TakeLoaded(l, now)
+	r.ApplyLoaded(l, now)
 }
 
 // pull brings what b has to a in one exchange of at most budget bytes.
--- a/pkg/sagesync/property_test.go
+++ b/pkg/sagesync/property_test.go
@@ -33,7 +33,7 @@
 func (f *fleet) node(t *rapid.T) int { return rapid.IntRange(0, len(f.nodes)-1).Draw(t, "node") }
 
 func (f *fleet) restart(i int, t *rapid.T) {
-	f.nodes[i] = &Replica{Now: f.Now, Tail: rapid.IntRange(1, 4).Draw(t, "tail")}
+	f.nodes[i] = &Replica{Now: f.Now, MaxTail: rapid.IntRange(1, 4).Draw(t, "tail")}
 	f.seen[i] = sageconfig.NewState()
 }
 
@@ -68,11 +68,11 @@
 		for k, rec := range n.tail {
 			require.Equal(t, s.Revision, rec.revision+uint64(len(n.tail)-1-k), "the tail of node %d has no gap", i)
 		}
-		st := n.Standing()
+		st := n.Status()
 		if !st.ConfirmedAt.IsZero() {
 			require.GreaterOrEqual(t, s.Revision, f.acceptedBy(st.ConfirmedAt), "node %d counts as fresh", i)
 		}
-		require.Equal(t, st.Heard > st.Revision, !st.BehindSince.IsZero(), "node %d knows that it is behind", i)
+		require.Equal(t, st.Observed > st.Revision, !st.BehindSince.IsZero(), "node %d knows that it is behind", i)
 	}
 }
 
--- a/pkg/sagesync/replica.go
+++ b/pkg/sagesync/replica.go
@@ -19,10 +19,10 @@
 // would let nodes count as fresh for too long, so what exceeds it is not taken.
 const maxSkew = time.Second
 
-// DefaultTail and maxTailBytes bound the records kept for peers that are behind.
+// DefaultMaxTail and maxTailBytes bound the records kept for peers that are behind.
 const (
-	DefaultTail  = 128
-	maxTailBytes = 256 << 10
+	DefaultMaxTail = 128
+	maxTailBytes   = 256 << 10
 )
 
 // maxPending bounds the remembered revisions that were heard of and are still lacking. Beyond it the
@@ -34,7 +34,7 @@
 	Revision uint64
 	State    *sageconfig.State
 	// At is when this node took it into force.
-	At time.Time
+	AppliedAt time.Time
 }
 
 // record is a record with its encoding.
@@ -55,7 +55,7 @@
 type Replica struct {
 	Now func() time.Time
 	// Tail bounds the records kept for peers that are behind; 0 means DefaultTail.
-	Tail int
+	MaxTail int
 	// Roster names the nodes of which most must be in contact under the rule "quorum": the same on
 	// all nodes, some dozen at most, since their instants go with every digest. Self is this node's
 	// name. Without a roster only NoteQuorum counts.
@@ -86,12 +86,12 @@
 	return &Snapshot{State: sageconfig.NewState()}
 }
 
-// Standing returns what the node knows about its configuration, for [Rule.Judge].
-func (r *Replica) Standing() Standing {
+// Status returns what the node knows about its configuration, for [Rule.Evaluate].
+func (r *Replica) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Standing{
-		Revision: r.Current().Revision, Heard: r.heard, ConfirmedAt: r.confirmedAt, QuorumAt: r.quorumAt,
+	s := Status{
+		Revision: r.Current().Revision, Observed: r.heard, ConfirmedAt: r.confirmedAt, QuorumAt: r.quorumAt,
 	}
 	if at := r.contact(); at.After(s.QuorumAt) {
 		s.QuorumAt = at
@@ -113,7 +113,7 @@
 }
 
 // NoteQuorum notes an instant at which the node had contact to most of the roster.
-func (r *Replica) NoteQuorum(at time.Time) {
+func (r *Replica) RecordQuorum(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at.After(r.quorumAt) {
@@ -122,7 +122,7 @@
 }
 
 // Hear notes that a revision exists.
-func (r *Replica) Hear(revision uint64) {
+func (r *Replica) Observe(revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hear(revision)
@@ -145,7 +145,7 @@
 
 // TakeHead brings in a head that was read or watched, asked for at the instant at. It reports false
 // if the tail doesn't reach back to the own revision: the whole configuration must be loaded then.
-func (r *Replica) TakeHead(h *sageticket.Head, at time.Time) bool {
+func (r *Replica) ApplyHead(h *sageticket.Head, at time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hear(h.Revision)
@@ -164,7 +164,7 @@
 
 // TakeLoaded brings in a whole configuration that was read from the store, asked for at the
 // instant at.
-func (r *Replica) TakeLoaded(l *sageticket.Loaded, at time.Time) {
+func (r *Replica) ApplyLoaded(l *sageticket.Loaded, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hear(l.Head.Revision)
@@ -240,7 +240,7 @@
 	if revision <= r.Current().Revision {
 		return
 	}
-	r.current.Store(&Snapshot{Revision: revision, State: s, At: r.Now()})
+	r.current.Store(&Snapshot{Revision: revision, State: s, AppliedAt: r.Now()})
 	r.heard = max(r.heard, revision)
 	r.setTail(tail)
 	if r.copying != nil && revision >= r.copying.ceiling {
@@ -256,7 +256,7 @@
 // setTail keeps the newest records within the bounds.
 func (r *Replica) setTail(tail []record) {
 	size, keep := 0, 0
-	for i := len(tail) - 1; i >= 0 && keep < cmp.Or(r.Tail, DefaultTail); i-- {
+	for i := len(tail) - 1; i >= 0 && keep < cmp.Or(r.MaxTail, DefaultMaxTail); i-- {
 		size += len(tail[i].raw)
 		if size > maxTailBytes && keep > 0 {
 			break
--- a/pkg/sagesync/replica_test.go
+++ b/pkg/sagesync/replica_test.go
@@ -17,7 +17,7 @@
 func TestCopyIsAtomic(t *testing.T) {
 	c := &clock{start}
 	s, peer := filled(t, c, 12, 200)
-	peer.Tail = 2
+	peer.MaxTail = 2
 	s.accept(t, 0, "dc0", "zz") // touches the first and the last thing of the transfer
 	node := &Replica{Now: c.Now}
 	const budget = 1500
@@ -38,8 +38,8 @@
 	c := &clock{start}
 	s := newSource()
 	s.accept(t, 20_000, "big")
-	for _, tail := range []int{DefaultTail, 1} {
-		peer, node := &Replica{Now: c.Now, Tail: tail}, &Replica{Now: c.Now}
+	for _, tail := range []int{DefaultMaxTail, 1} {
+		peer, node := &Replica{Now: c.Now, MaxTail: tail}, &Replica{Now: c.Now}
 		s.feed(t, peer, c.now)
 		s.accept(t, 5, "small")
 		s.feed(t, peer, c.now)
@@ -59,33 +59,33 @@
 	s, watcher := filled(t, c, 1, 0)
 	node := &Replica{Now: c.Now}
 	pull(t, node, watcher, 4000)
-	require.Equal(t, start, node.Standing().ConfirmedAt)
+	require.Equal(t, start, node.Status().ConfirmedAt)
 
 	s.accept(t, 0, "next")
 	c.now = start.Add(2 * time.Second)
 	s.feed(t, watcher, c.now)
 	node.Delta(watcher.Digest(), 4000) // the digest arrives, the ticket doesn't
-	st := node.Standing()
+	st := node.Status()
 	assert.Equal(t, start, st.ConfirmedAt, "not fresh without the ticket")
-	assert.Equal(t, uint64(2), st.Heard)
+	assert.Equal(t, uint64(2), st.Observed)
 	assert.Equal(t, c.now, st.BehindSince)
 
 	pull(t, node, watcher, 4000)
-	st = node.Standing()
+	st = node.Status()
 	assert.Equal(t, c.now, st.ConfirmedAt)
 	assert.True(t, st.BehindSince.IsZero())
 
 	hearsay := &Replica{Now: c.Now}
-	hearsay.Hear(9)
+	hearsay.Observe(9)
 	watcher.Delta(hearsay.Digest(), 4000)
-	assert.Equal(t, uint64(9), watcher.Standing().Heard, "heard from a digest")
+	assert.Equal(t, uint64(9), watcher.Status().Observed, "heard from a digest")
 	hearsay.Confirm(11, c.now)
-	assert.Equal(t, uint64(11), hearsay.Standing().Heard, "heard from evidence")
+	assert.Equal(t, uint64(11), hearsay.Status().Observed, "heard from evidence")
 
 	node.Confirm(2, c.now.Add(time.Minute))
-	assert.Equal(t, c.now, node.Standing().ConfirmedAt, "evidence from a clock that runs ahead")
+	assert.Equal(t, c.now, node.Status().ConfirmedAt, "evidence from a clock that runs ahead")
 	node.Confirm(1, c.now.Add(time.Millisecond))
-	assert.Equal(t, c.now, node.Standing().ConfirmedAt, "evidence from a copy of the store that lags")
+	assert.Equal(t, c.now, node.Status().ConfirmedAt, "evidence from a copy of the store that lags")
 }
 
 // Far more tickets are accepted than a node that can't fetch them remembers; after it has caught up
@@ -96,18 +96,18 @@
 	node := &Replica{Now: c.Now}
 	for i := range 3 * maxPending {
 		s.accept(t, 0, fmt.Sprintf("dc%d", i))
-		node.Hear(uint64(i + 1))
+		node.Observe(uint64(i + 1))
 	}
 	full := &Replica{Now: c.Now}
 	s.feed(t, full, c.now)
 	pull(t, node, full, 100_000)
 	require.Equal(t, uint64(3*maxPending), node.Current().Revision)
-	assert.True(t, node.Standing().BehindSince.IsZero())
+	assert.True(t, node.Status().BehindSince.IsZero())
 
-	node.Hear(500)
+	node.Observe(500)
 	c.now = c.now.Add(time.Second)
 	for i := uint64(501); i < 501+2*maxPending; i++ {
-		node.Hear(i)
+		node.Observe(i)
 	}
 	require.Len(t, node.behind, maxPending)
 	node.behind = node.behind[1:] // all but the newest could be caught up with
@@ -128,7 +128,7 @@
 	s.feed(t, node, c.now)
 	require.NoError(t, node.Merge(delta), "an old delta arrives late")
 	assert.Equal(t, uint64(4), node.Current().Revision)
-	node.TakeLoaded(loaded, c.now)
+	node.ApplyLoaded(loaded, c.now)
 	assert.Equal(t, uint64(4), node.Current().Revision, "an old load ends late")
 	fresh := &Replica{Now: c.Now}
 	require.NoError(t, fresh.Merge(node.Delta(peer.Digest(), 100_000)))
@@ -150,7 +150,7 @@
 func TestStrayChunk(t *testing.T) {
 	c := &clock{start}
 	s, peer := filled(t, c, 60, 300)
-	peer.Tail = 1
+	peer.MaxTail = 1
 	s.accept(t, 0, "zz")
 	s.feed(t, peer, c.now)
 	before, after := &Replica{Now: c.Now}, &Replica{Now: c.Now}
@@ -221,18 +221,18 @@
 	roster := []string{"a", "b", "c"}
 	node := func(self string) *Replica { return &Replica{Now: c.Now, Roster: roster, Self: self} }
 	a, b, x, outside := node("a"), node("b"), node("x"), node("y")
-	assert.True(t, x.Standing().QuorumAt.IsZero())
+	assert.True(t, x.Status().QuorumAt.IsZero())
 	b.Delta(a.Digest(), 4000)
 	c.now = start.Add(2 * time.Second)
 	x.Delta(b.Digest(), 4000)
-	assert.True(t, x.Standing().QuorumAt.Equal(start), "two of three, the older one by way of b")
-	assert.True(t, b.Standing().QuorumAt.Equal(start), "itself and a")
+	assert.True(t, x.Status().QuorumAt.Equal(start), "two of three, the older one by way of b")
+	assert.True(t, b.Status().QuorumAt.Equal(start), "itself and a")
 
 	outside.Delta([]byte(`{"contacts":{"z":1,"w":1,"v":1}}`), 4000)
-	assert.True(t, outside.Standing().QuorumAt.IsZero())
+	assert.True(t, outside.Status().QuorumAt.IsZero())
 	ahead := c.now.Add(time.Hour).UnixMilli()
 	outside.Delta([]byte(fmt.Sprintf(`{"contacts":{"a":%d,"b":%d,"c":%d}}`, ahead, ahead, ahead)), 4000)
-	assert.True(t, outside.Standing().QuorumAt.IsZero())
+	assert.True(t, outside.Status().QuorumAt.IsZero())
 	x.Delta([]byte(`{"contacts":{"a":1,"b":1}}`), 4000)
-	assert.True(t, x.Standing().QuorumAt.Equal(start), "older instants arrive late")
+	assert.True(t, x.Status().QuorumAt.Equal(start), "older instants arrive late")
 }
--- a/pkg/sagesync/rule.go
+++ b/pkg/sagesync/rule.go
@@ -13,36 +13,36 @@
 // ErrBadRule reports settings of the freshness rule that can't be used.
 var ErrBadRule = errors.New("malformed freshness rule")
 
-// Isolated says what a node serves that can't know of new tickets any more.
-type Isolated string
+// IsolationPolicy says what a node serves that can't know of new tickets any more.
+type IsolationPolicy string
 
 // The ways. Which promise each keeps is set out in docs/design/distribution.md.
 const (
 	// IsolatedServe goes on with the newest known configuration.
-	IsolatedServe Isolated = "serve"
+	IsolatedServe IsolationPolicy = "serve"
 	// IsolatedIdempotent serves idempotent requests only.
-	IsolatedIdempotent Isolated = "idempotent_only"
+	IsolatedIdempotent IsolationPolicy = "idempotent_only"
 	// IsolatedFence refuses everything.
-	IsolatedFence Isolated = "fence"
+	IsolatedFence IsolationPolicy = "fence"
 	// IsolatedQuorum takes recent contact to most of the roster for freshness, in service and in the
 	// acceptance of tickets, and refuses everything without it.
-	IsolatedQuorum Isolated = "quorum"
+	IsolatedQuorum IsolationPolicy = "quorum"
 )
 
 // Rule decides what a node may serve from how fresh its configuration is.
 type Rule struct {
-	Isolated Isolated
+	Isolated IsolationPolicy
 	// Freshness is how old the newest evidence may be before the node counts as isolated.
-	Freshness time.Duration
+	MaxEvidenceAge time.Duration
 	// CatchUp is how long a node may serve the revision it has after it heard of a higher one.
-	CatchUp time.Duration
+	CatchUpTimeout time.Duration
 }
 
 // The defaults of the periods. Evidence is renewed every two seconds and reaches the last of 400
 // nodes some exchange rounds later; see docs/design/distribution.md.
 const (
-	DefaultFreshness = 10 * time.Second
-	DefaultCatchUp   = 3 * time.Second
+	DefaultMaxEvidenceAge = 10 * time.Second
+	DefaultCatchUpTimeout = 3 * time.Second
 )
 
 // Check reports an unknown way or a period that is not above zero.
@@ -52,18 +52,18 @@
 	default:
 		return fmt.Errorf("isolated %q (want serve, idempotent_only, fence or quorum): %w", r.Isolated, ErrBadRule)
 	}
-	if r.Freshness <= 0 || r.CatchUp <= 0 {
-		return fmt.Errorf("freshness %v, catch up %v (want above 0): %w", r.Freshness, r.CatchUp, ErrBadRule)
+	if r.MaxEvidenceAge <= 0 || r.CatchUpTimeout <= 0 {
+		return fmt.Errorf("freshness %v, catch up %v (want above 0): %w", r.MaxEvidenceAge, r.CatchUpTimeout, ErrBadRule)
 	}
 	return nil
 }
 
-// Standing is what a node knows about its configuration.
-type Standing struct {
+// Status is what a node knows about its configuration.
+type Status struct {
 	// Revision is that of the served state, 0 before there is one.
 	Revision uint64
 	// Heard is the highest revision heard of.
-	Heard uint64
+	Observed uint64
 	// BehindSince is when the node first heard of a revision that it still lacks; zero if none.
 	BehindSince time.Time
 	// ConfirmedAt is the latest instant at which the store is known to have had no higher revision.
@@ -72,19 +72,19 @@
 	QuorumAt time.Time
 }
 
-// May is the extent of service.
-type May int
+// ServiceLevel is the extent of service.
+type ServiceLevel int
 
 // The extents.
 const (
-	ServeNothing May = iota
+	ServeNothing ServiceLevel = iota
 	ServeIdempotent
 	ServeAll
 )
 
-// Verdict is what a node may serve and, if not everything, why.
-type Verdict struct {
-	May     May
+// Decision is what a node may serve and, if not everything, why.
+type Decision struct {
+	Level   ServiceLevel
 	Refusal *sagewire.Refusal
 }
 
@@ -94,34 +94,34 @@
 // its own only until CatchUp has passed: without this guard a node whose transfers keep failing
 // would send work to a data centre that it could know to be out of service. A node without fresh
 // evidence serves what Isolated says: it may have missed a ticket without hearing of it.
-func (r Rule) Judge(now time.Time, s Standing) Verdict {
-	retry := now.Add(r.CatchUp)
+func (r Rule) Evaluate(now time.Time, s Status) Decision {
+	retry := now.Add(r.CatchUpTimeout)
 	if s.Revision == 0 {
-		return Verdict{Refusal: sagewire.Refuse(sagewire.ReasonNoConfig, "no configuration yet", retry)}
+		return Decision{Refusal: sagewire.Refuse(sagewire.ReasonNoConfig, "no configuration yet", retry)}
 	}
-	if !s.BehindSince.IsZero() && now.After(s.BehindSince.Add(r.CatchUp)) {
-		detail := fmt.Sprintf("at revision %d, heard of %d", s.Revision, s.Heard)
-		return Verdict{Refusal: sagewire.Refuse(sagewire.ReasonStale, detail, retry)}
+	if !s.BehindSince.IsZero() && now.After(s.BehindSince.Add(r.CatchUpTimeout)) {
+		detail := fmt.Sprintf("at revision %d, heard of %d", s.Revision, s.Observed)
+		return Decision{Refusal: sagewire.Refuse(sagewire.ReasonStale, detail, retry)}
 	}
 	fresh := s.ConfirmedAt
 	if r.Isolated == IsolatedQuorum && s.QuorumAt.After(fresh) {
 		fresh = s.QuorumAt
 	}
-	if r.Isolated == IsolatedServe || !now.After(fresh.Add(r.Freshness)) {
-		return Verdict{May: ServeAll}
+	if r.Isolated == IsolatedServe || !now.After(fresh.Add(r.MaxEvidenceAge)) {
+		return Decision{Level: ServeAll}
 	}
 	ref := sagewire.Refuse(sagewire.ReasonStale, "no fresh evidence that this configuration is the newest", retry)
 	if r.Isolated == IsolatedIdempotent {
-		return Verdict{May: ServeIdempotent, Refusal: ref}
+		return Decision{Level: ServeIdempotent, Refusal: ref}
 	}
-	return Verdict{Refusal: ref}
+	return Decision{Refusal: ref}
 }
 
 // MayAccept reports whether a node with that standing may accept tickets at now. Under the quorum
 // rule an acceptor needs contact to most of the roster, as service without evidence does, so that
 // the two always share a node.
-func (r Rule) MayAccept(now time.Time, s Standing) bool {
-	return r.Isolated != IsolatedQuorum || !now.After(s.QuorumAt.Add(r.Freshness))
+func (r Rule) MayAccept(now time.Time, s Status) bool {
+	return r.Isolated != IsolatedQuorum || !now.After(s.QuorumAt.Add(r.MaxEvidenceAge))
 }
 
 // QuorumAt returns the latest instant since which this node has had contact to most of a roster,
--- a/pkg/sagesync/rule_test.go
+++ b/pkg/sagesync/rule_test.go
@@ -13,31 +13,31 @@
 func TestJudge(t *testing.T) {
 	now := start.Add(time.Hour)
 	ago := func(s int) time.Time { return now.Add(-time.Duration(s) * time.Second) }
-	fresh := Standing{Revision: 5, Heard: 5, ConfirmedAt: ago(2)}
-	old := Standing{Revision: 5, Heard: 5, ConfirmedAt: ago(60)}
-	met := Standing{Revision: 5, Heard: 5, ConfirmedAt: ago(60), QuorumAt: ago(1)}
-	lagging := Standing{Revision: 5, Heard: 6, ConfirmedAt: ago(2), BehindSince: ago(1)}
-	behind := Standing{Revision: 5, Heard: 6, ConfirmedAt: ago(2), BehindSince: ago(4)}
-	ways := []Isolated{IsolatedServe, IsolatedIdempotent, IsolatedFence, IsolatedQuorum}
+	fresh := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(2)}
+	old := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60)}
+	met := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60), QuorumAt: ago(1)}
+	lagging := Status{Revision: 5, Observed: 6, ConfirmedAt: ago(2), BehindSince: ago(1)}
+	behind := Status{Revision: 5, Observed: 6, ConfirmedAt: ago(2), BehindSince: ago(4)}
+	ways := []IsolationPolicy{IsolatedServe, IsolatedIdempotent, IsolatedFence, IsolatedQuorum}
 	for _, c := range []struct {
 		name   string
-		s      Standing
-		want   [4]May
+		s      Status
+		want   [4]ServiceLevel
 		reason sagewire.Reason
 	}{
-		{"fresh", fresh, [4]May{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
-		{"old", old, [4]May{ServeAll, ServeIdempotent, ServeNothing, ServeNothing}, sagewire.ReasonStale},
-		{"old, contact to most", met, [4]May{ServeAll, ServeIdempotent, ServeNothing, ServeAll}, sagewire.ReasonStale},
-		{"just heard of a newer one", lagging, [4]May{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
-		{"heard of a newer one", behind, [4]May{}, sagewire.ReasonStale},
-		{"none", Standing{Heard: 3, ConfirmedAt: now, QuorumAt: now}, [4]May{}, sagewire.ReasonNoConfig},
+		{"fresh", fresh, [4]ServiceLevel{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
+		{"old", old, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeNothing}, sagewire.ReasonStale},
+		{"old, contact to most", met, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeAll}, sagewire.ReasonStale},
+		{"just heard of a newer one", lagging, [4]ServiceLevel{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
+		{"heard of a newer one", behind, [4]ServiceLevel{}, sagewire.ReasonStale},
+		{"none", Status{Observed: 3, ConfirmedAt: now, QuorumAt: now}, [4]ServiceLevel{}, sagewire.ReasonNoConfig},
 	} {
 		for i, way := range ways {
-			r := Rule{Isolated: way, Freshness: DefaultFreshness, CatchUp: DefaultCatchUp}
-			v := r.Judge(now, c.s)
+			r := Rule{Isolated: way, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
+			v := r.Evaluate(now, c.s)
 			name := fmt.Sprintf("%s, %s", c.name, way)
-			assert.Equal(t, c.want[i], v.May, name)
-			if v.May == ServeAll {
+			assert.Equal(t, c.want[i], v.Level, name)
+			if v.Level == ServeAll {
 				assert.Nil(t, v.Refusal, name)
 				continue
 			}
@@ -46,10 +46,10 @@
 			assert.True(t, v.Refusal.RetryAt.After(now), name)
 		}
 	}
-	q := Rule{Isolated: IsolatedQuorum, Freshness: DefaultFreshness, CatchUp: DefaultCatchUp}
+	q := Rule{Isolated: IsolatedQuorum, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
 	assert.True(t, q.MayAccept(now, met))
 	assert.False(t, q.MayAccept(now, fresh), "no contact to most of the roster")
-	assert.True(t, Rule{Isolated: IsolatedFence, Freshness: time.Second}.MayAccept(now, fresh))
+	assert.True(t, Rule{Isolated: IsolatedFence, MaxEvidenceAge: time.Second}.MayAccept(now, fresh))
 }
 
 // Two sides of a partition must not both count as most of the roster.
@@ -76,8 +76,8 @@
 }
 
 func TestRuleCheck(t *testing.T) {
-	assert.NoError(t, Rule{Isolated: IsolatedServe, Freshness: 1, CatchUp: 1}.Check())
-	for _, bad := range []Rule{{}, {Isolated: "wait", Freshness: 1, CatchUp: 1}, {Isolated: IsolatedServe, CatchUp: 1}, {Isolated: IsolatedServe, Freshness: 1}} {
+	assert.NoError(t, Rule{Isolated: IsolatedServe, MaxEvidenceAge: 1, CatchUpTimeout: 1}.Check())
+	for _, bad := range []Rule{{}, {Isolated: "wait", MaxEvidenceAge: 1, CatchUpTimeout: 1}, {Isolated: IsolatedServe, CatchUpTimeout: 1}, {Isolated: IsolatedServe, MaxEvidenceAge: 1}} {
 		assert.ErrorIs(t, bad.Check(), ErrBadRule)
 	}
 }
