--- a/pkg/sagemember/contact.go
+++ b/pkg/sagemember/contact.go
@@ -2,76 +2,81 @@
 
 import "time"
 
-// contact is a call in progress: when it began and who was known at its address then.
-type contact struct {
-	began time.Time
-	known []uint64
+// pendingCall is an outgoing call that has not ended: when it began, and the incarnations known at the
+// called address at that time.
+type pendingCall struct {
+	startedAt time.Time
+	knownIDs  []uint64
 }
 
-// Calling implements [sagegossip.Observer]: it notes who is known at addr before the call. Of two
-// calls at once the first counts, whose answer says the least.
+// Calling implements [sagegossip.Observer]: it records which incarnations are known at addr before the
+// call. When two calls to one address overlap, the record of the first is kept, since the fewest
+// conclusions follow from it.
 func (t *Table) Calling(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, ok := t.calling[addr]; ok {
+	if _, ok := t.pendingCalls[addr]; ok {
 		return
 	}
-	c := contact{began: t.wake()}
+	c := pendingCall{startedAt: t.nowDetectingPause()}
 	for id, e := range t.nodes {
 		if e.Address == addr && e.Phase != Gone {
-			c.known = append(c.known, id)
+			c.knownIDs = append(c.knownIDs, id)
 		}
 	}
-	t.calling[addr] = c
+	t.pendingCalls[addr] = c
 }
 
-// Failed implements [sagegossip.Observer]. One failed call says nothing: the link may be bad.
+// Failed implements [sagegossip.Observer]. A failed call doesn't change the state of the node: the
+// cause may be the link.
 func (t *Table) Failed(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.calling, addr)
+	delete(t.pendingCalls, addr)
 }
 
-// Met implements [sagegossip.Observer]. The node that answered was asked about every suspect by the
-// digest of this exchange. Whoever else was known at its address before the call is gone.
+// Met implements [sagegossip.Observer]. The digest of this exchange carried the suspects of this node,
+// so the node that answered counts as checked about each of them. An address has one process at a time,
+// so every other incarnation that was known at addr before the call is marked as gone.
 func (t *Table) Met(addr string, digest []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.wake()
-	c, ok := t.calling[addr]
-	delete(t.calling, addr)
+	now := t.nowDetectingPause()
+	c, ok := t.pendingCalls[addr]
+	delete(t.pendingCalls, addr)
 	d, err := readDigest(digest)
 	if !ok || err != nil {
 		return
 	}
-	t.hearDigest(d, now)
+	t.mergeDigest(d, now)
 	sender := d.GetSender()
 	if sender == 0 || sender == t.Self.Incarnation || addr == t.Self.Address {
 		return
 	}
-	for _, id := range c.known {
+	for _, id := range c.knownIDs {
 		if e := t.nodes[id]; e != nil && id != sender && e.Phase != Gone {
 			t.setPhase(e, Gone, now)
 		}
 	}
-	t.refresh(sender, now)
+	t.recordMet(sender, now)
 	for id, e := range t.nodes {
-		if e.State == Suspect && id != sender && !e.since.After(c.began) {
-			e.asked[sender] = true
+		if e.State == Suspect && id != sender && !e.since.After(c.startedAt) {
+			e.checkedBy[sender] = true
 		}
 	}
 }
 
-// askedBy counts a node that calls this one. Its first call is answered with the suspects; when it
-// calls again it has had the time to look for them, and its digest has said what it found.
-func (t *Table) askedBy(sender uint64) {
+// recordCaller records a call from sender as a check of the suspects. The answer to its first call
+// carries the suspects. By its next call it has had time to look for a later heartbeat of each, and has
+// sent what it found in its digest, so it then counts as checked about them.
+func (t *Table) recordCaller(sender uint64) {
 	for id, e := range t.nodes {
 		if e.State != Suspect || sender == 0 || id == sender {
 			continue
 		}
-		if e.told[sender] {
-			e.asked[sender] = true
+		if e.queried[sender] {
+			e.checkedBy[sender] = true
 		}
-		e.told[sender] = true
+		e.queried[sender] = true
 	}
 }
--- a/pkg/sagemember/fuzz_test.go
+++ b/pkg/sagemember/fuzz_test.go
@@ -6,24 +6,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzPeer: whatever another node sends as digest or delta, the table neither panics nor loses sight
-// of its own node, and its answer keeps to the budget.
+// FuzzPeer checks that arbitrary bytes as a peer's digest or delta never make the table panic or lose
+// its own node, and that the answer stays within the budget.
 func FuzzPeer(f *testing.F) {
-	table := func(t testing.TB) *Table {
-		x := &Table{Self: Node{Name: "a", Address: "127.0.0.1:1", Entry: "127.0.0.1:2", DataCentre: "derby"}, Limits: DefaultLimits()}
-		require.NoError(t, x.Start())
-		return x
+	newTable := func(t testing.TB) *Table {
+		table := &Table{Self: Node{Name: "a", Address: "127.0.0.1:1", Entry: "127.0.0.1:2", DataCentre: "derby"}, Limits: DefaultLimits()}
+		require.NoError(t, table.Start())
+		return table
 	}
-	other := table(f)
+	other := newTable(f)
 	f.Add([]byte{})
 	f.Add(other.Digest())
 	f.Add(other.Delta(nil, 1<<12))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		x := table(t)
+		table := newTable(t)
 		const budget = 1 << 10
-		require.LessOrEqual(t, len(x.Delta(b, budget)), budget)
-		_ = x.Merge(b)
-		require.Equal(t, "a", x.LocalNode().Name)
-		require.NotEmpty(t, x.Live())
+		require.LessOrEqual(t, len(table.Delta(b, budget)), budget)
+		_ = table.Merge(b)
+		require.Equal(t, "a", table.LocalNode().Name)
+		require.NotEmpty(t, table.Live())
 	})
 }
--- a/pkg/sagemember/health.go
+++ b/pkg/sagemember/health.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// Health tells up from down for things that are probed, with hysteresis: RiseAfter good probes in a
-// row, more for a thing that flaps, bring one up; FallAfter bad ones in a row bring it down. Its
-// fields are set before first use; it is not safe for concurrent use. The zero value of a thing that
-// was never probed is down.
+// Health decides with hysteresis which probed targets are up: RiseAfter consecutive good probes, more
+// for a flapping target, bring one up; FallAfter consecutive bad probes bring it down. Its fields are
+// set before first use; it is not safe for concurrent use. A target that was never probed is down.
 type Health[K comparable] struct {
 	RiseAfter int
 	FallAfter int
 
-	things map[K]*probed
+	targets map[K]*targetState
 }
 
-// probed is what is known of one thing.
-type probed struct {
+// targetState is the probe history of one target.
+type targetState struct {
 	up    bool
 	good  int
 	bad   int
@@ -23,83 +22,84 @@
 	damp  damper
 }
 
-// Observe records a probe and reports whether the thing went up or down by it. A boot that differs
-// from the one before is a restart: the thing goes down until it has risen again, even when no probe
-// fell into the gap.
+// Observe records a probe and reports whether it took the target up or down. A boot identifier that
+// differs from the previous one means a restart: the target goes down until enough probes have
+// succeeded again, even if no probe failed in between.
 func (h *Health[K]) Observe(key K, ok bool, boot string, now time.Time) (changed bool) {
-	if h.things == nil {
-		h.things = make(map[K]*probed)
+	if h.targets == nil {
+		h.targets = make(map[K]*targetState)
 	}
-	p := h.things[key]
+	p := h.targets[key]
 	if p == nil {
-		p = &probed{since: now}
-		h.things[key] = p
+		p = &targetState{since: now}
+		h.targets[key] = p
 	}
-	before := p.up
+	wasUp := p.up
 	if ok {
-		h.rise(p, boot, now)
+		h.recordSuccess(p, boot, now)
 	} else {
-		h.fall(p, now)
+		h.recordFailure(p, now)
 	}
-	if p.up != before {
+	if p.up != wasUp {
 		p.since = now
 	}
-	return p.up != before
+	return p.up != wasUp
 }
 
-func (h *Health[K]) rise(p *probed, boot string, now time.Time) {
+func (h *Health[K]) recordSuccess(p *targetState, boot string, now time.Time) {
 	if p.boot != "" && boot != p.boot {
-		p.down(now)
+		p.markDown(now)
 	}
 	p.boot = boot
 	p.bad = 0
 	p.good++
 	if p.up {
-		p.damp.steady(now)
+		p.damp.decay(now)
 		return
 	}
-	if p.good >= max(h.RiseAfter, p.damp.need()) {
+	if p.good >= max(h.RiseAfter, p.damp.required()) {
 		p.up = true
-		p.damp.stable = now
+		p.damp.decayFrom = now
 	}
 }
 
-func (h *Health[K]) fall(p *probed, now time.Time) {
+func (h *Health[K]) recordFailure(p *targetState, now time.Time) {
 	p.good = 0
 	p.bad++
 	if p.bad >= h.FallAfter {
-		p.down(now)
+		p.markDown(now)
 	}
 }
 
-func (p *probed) down(now time.Time) {
+func (p *targetState) markDown(now time.Time) {
 	p.good = 0
 	if !p.up {
 		return
 	}
 	p.up = false
-	p.damp.fell(now)
+	p.damp.recordDown(now)
 }
 
-// Up says whether the thing is up.
+// Up reports whether the target is up.
 func (h *Health[K]) Up(key K) bool {
-	p := h.things[key]
+	p := h.targets[key]
 	return p != nil && p.up
 }
 
-// Since returns when the thing went up or down, or was first probed; zero when it never was.
+// Since returns when the target last went up or down, or was first probed; the zero time if it was
+// never probed.
 func (h *Health[K]) Since(key K) time.Time {
-	if p := h.things[key]; p != nil {
+	if p := h.targets[key]; p != nil {
 		return p.since
 	}
 	return time.Time{}
 }
 
-// Forget removes things that keep says are no longer configured.
+// Retain removes the targets for which keep returns false.
 func (h *Health[K]) Retain(keep func(K) bool) {
-	for k := range h.things {
+	for k := range h.targets {
 		if !keep(k) {
-			delete(h.things, k)
+			delete(h.targets, k)
 		}
 	}
 }
--- a/pkg/sagemember/health_test.go
+++ b/pkg/sagemember/health_test.go
@@ -9,7 +9,8 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// An engine answers every other probe. Each answer brings it back, work goes there and fails.
+// Guards against a target that alternates between good and bad probes: without hysteresis, each good
+// probe would bring it up, and the requests sent to it would fail.
 func TestHealthHysteresis(t *testing.T) {
 	h := &sagemember.Health[string]{RiseAfter: 2, FallAfter: 3}
 	now := time.Unix(1000, 0)
@@ -22,7 +23,7 @@
 	require.True(t, probe(true, "a"))
 	require.True(t, h.Up("e1"))
 	require.Equal(t, now, h.Since("e1"))
-	for range 20 { // every other probe fails: it stays as it is
+	for range 20 { // every other probe fails: the state doesn't change
 		require.False(t, probe(false, ""))
 		require.False(t, probe(true, "a"))
 	}
@@ -30,17 +31,17 @@
 	probe(false, "")
 	require.True(t, probe(false, ""))
 	for range 2 {
-		require.False(t, probe(true, "a"), "a thing that fell needs more good probes")
+		require.False(t, probe(true, "a"), "a target that went down needs more good probes")
 	}
 	require.True(t, probe(true, "a"))
 
-	require.True(t, probe(true, "b"), "a restart between two probes")
+	require.True(t, probe(true, "b"), "a restart between two probes takes the target down")
 	require.False(t, h.Up("e1"))
 	h.Retain(func(string) bool { return false })
 	require.True(t, h.Since("e1").IsZero())
 }
 
-func TestHealthForgetsFlapsInTime(t *testing.T) {
+func TestHealthFlapPenaltyDecays(t *testing.T) {
 	h := &sagemember.Health[int]{RiseAfter: 1, FallAfter: 1}
 	now := time.Unix(1000, 0)
 	risesAfter := func() int {
--- a/pkg/sagemember/incarnation.go
+++ b/pkg/sagemember/incarnation.go
@@ -2,46 +2,47 @@
 
 import "math/rand/v2"
 
-// freshIncarnation is random rather than counted or timed: a VM without disk that is replaced at the
-// same address remembers no count, and its clock may be behind that of its predecessor.
-func (t *Table) freshIncarnation() uint64 {
-	next := t.Random
-	if next == nil {
-		next = rand.Uint64
+// newIncarnation returns a random number rather than a count or a time: a VM without a disk that is
+// replaced at the same address remembers no count, and its clock may be behind that of its predecessor.
+func (t *Table) newIncarnation() uint64 {
+	random := t.Random
+	if random == nil {
+		random = rand.Uint64
 	}
 	for {
-		if n := next(); n != 0 {
+		if n := random(); n != 0 {
 			return n
 		}
 	}
 }
 
-// short is the half of an incarnation that digests carry, to keep them small.
-func short(incarnation uint64) uint32 { return uint32(incarnation) }
+// shortID is the low half of an incarnation. Digests carry only this half, to stay small.
+func shortID(incarnation uint64) uint32 { return uint32(incarnation) }
 
-// byShort returns the node of that half, or nil.
-func (t *Table) byShort(id uint32) *entry { return t.shorts[id] }
+// entryByShortID returns the entry with that short ID, or nil.
+func (t *Table) entryByShortID(id uint32) *entry { return t.byShortID[id] }
 
-// avoid takes another incarnation when the low half of this one's is the same as that of another
-// node: their heartbeats couldn't be told apart. Of the two, the greater number gives way.
-func (t *Table) avoid(other uint64) {
-	if short(other) == short(t.Self.Incarnation) && t.Self.Incarnation > other {
-		t.renew()
+// resolveShortIDCollision renews the local incarnation if its short ID equals that of another node,
+// since digests couldn't tell their heartbeats apart. Of the two nodes, the one with the greater
+// incarnation renews.
+func (t *Table) resolveShortIDCollision(other uint64) {
+	if shortID(other) == shortID(t.Self.Incarnation) && t.Self.Incarnation > other {
+		t.renewIncarnation()
 	}
 }
 
-// renew makes this process another node to its peers.
-func (t *Table) renew() {
-	t.Self.Incarnation = t.freshIncarnation()
+// renewIncarnation makes this process appear as a new node to its peers.
+func (t *Table) renewIncarnation() {
+	t.Self.Incarnation = t.newIncarnation()
 	t.Self.Counter = 1
 }
 
-// there says whether the node counts among those that may be there.
-func (e *entry) there() bool { return e.State != Dead && e.Phase != Gone }
+// present reports whether the node may still be running: neither dead nor gone.
+func (e *entry) present() bool { return e.State != Dead && e.Phase != Gone }
 
-func (t *Table) forget(id uint64) {
-	if t.shorts[short(id)] == t.nodes[id] {
-		delete(t.shorts, short(id))
+func (t *Table) remove(id uint64) {
+	if t.byShortID[shortID(id)] == t.nodes[id] {
+		delete(t.byShortID, shortID(id))
 	}
 	delete(t.nodes, id)
 }
--- a/pkg/sagemember/node.go
+++ b/pkg/sagemember/node.go
@@ -10,32 +10,32 @@
 
 // Errors of the table.
 var (
-	// ErrBadNode: a node's description lacks a field or has a malformed one.
+	// ErrBadNode reports a node description with a missing or malformed field.
 	ErrBadNode = errors.New("malformed node")
-	// ErrBadDigest: a digest can't be read.
+	// ErrBadDigest reports a digest that can't be decoded.
 	ErrBadDigest = errors.New("malformed member digest")
-	// ErrBadDelta: a delta can't be read.
+	// ErrBadDelta reports a delta that can't be decoded.
 	ErrBadDelta = errors.New("malformed member delta")
-	// ErrFull: the table holds [MaxNodes] nodes.
+	// ErrFull reports that the table already holds [MaxNodes] nodes.
 	ErrFull = errors.New("member table is full")
 )
 
-// Bounds on what a peer can make a table hold.
+// Bounds on the memory that a peer can make a table use.
 const (
-	// MaxNodes bounds the table, dead and departed nodes included.
+	// MaxNodes bounds the number of nodes in the table, including dead and departed ones.
 	MaxNodes = 4096
-	// maxText bounds an address and the name of a data centre.
+	// maxText bounds the length in bytes of a name, an address and the name of a data centre.
 	maxText = 128
-	// maxCounter is far above what heartbeats reach. A higher one is garbage; taken as it is, it
-	// would silence the node that it names, whose real heartbeats would all look old.
+	// maxCounter is far above what heartbeat counters reach. A higher one is invalid and rejected: if
+	// it were accepted, all real heartbeats of that node would be ignored as old.
 	maxCounter = 1 << 48
 )
 
-// Phase is where a process is in its life. It only moves forward for an incarnation, so that the
-// merge of two reports is the greater of them.
+// Phase is the lifecycle phase of a process. For an incarnation it only moves forward, so two reports
+// are merged by taking the greater phase.
 type Phase uint32
 
-// The phases.
+// The phases, in order.
 const (
 	Starting Phase = iota
 	Serving
@@ -43,7 +43,7 @@
 	Gone
 )
 
-// String returns the phase as operators read it.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	names := [...]string{"starting", "serving", "leaving", "gone"}
 	if int(p) < len(names) {
@@ -52,20 +52,21 @@
 	return fmt.Sprintf("phase %d", uint32(p))
 }
 
-// State is what this node believes of another.
+// State is the local node's belief about another node.
 type State int
 
 // The states.
 const (
-	// Unconfirmed: heard of, but no heartbeat advanced yet in this node's sight.
+	// Unconfirmed: reported by peers, but this node has not yet seen its heartbeat advance.
 	Unconfirmed State = iota
 	Alive
-	// Suspect: silent for long; others are being asked. Still counted as live.
+	// Suspect: no contact for longer than the limit; other nodes are being asked about it. It still
+	// counts as live.
 	Suspect
 	Dead
 )
 
-// String returns the state as operators read it.
+// String returns the name of the state.
 func (s State) String() string {
 	names := [...]string{"unconfirmed", "alive", "suspect", "dead"}
 	if s >= 0 && int(s) < len(names) {
@@ -77,67 +78,70 @@
 // Node is one incarnation of a node as the table knows it.
 type Node struct {
 	Incarnation uint64 `json:"incarnation"`
-	// Name is what operators call it.
+	// Name is the node's name as shown to operators.
 	Name string `json:"name"`
-	// Address is where other nodes call it.
+	// Address is the host:port at which other nodes call it.
 	Address string `json:"address"`
-	// Entry is where callers connect.
+	// Entry is the address to which clients connect.
 	Entry      string `json:"entry"`
 	DataCentre string `json:"data_centre"`
 	Phase      Phase  `json:"phase"`
-	// Counter is its heartbeat.
+	// Counter is its heartbeat counter.
 	Counter uint64 `json:"counter"`
 	// Revision is the configuration revision that it holds.
 	Revision uint64 `json:"revision"`
-	// Load is its number of requests in flight, as a hint.
+	// Load is its approximate number of requests in flight.
 	Load  uint32 `json:"load"`
 	State State  `json:"state"`
-	// Heard is the local instant at which its heartbeat last advanced.
+	// LastContact is the local time at which its heartbeat counter last advanced.
 	LastContact time.Time `json:"heard,omitzero"`
 }
 
-// Check reports a node that can't be called, wrapped around [ErrBadNode].
+// Check returns an error that wraps [ErrBadNode] if the description is incomplete or malformed.
 func (n *Node) Check() error {
 	if len(n.Name) > maxText || len(n.Address) > maxText || len(n.DataCentre) > maxText || len(n.Entry) > maxText {
-		return fmt.Errorf("text above %d bytes: %w", maxText, ErrBadNode)
+		return fmt.Errorf("text field longer than %d bytes: %w", maxText, ErrBadNode)
 	}
 	if _, _, err := net.SplitHostPort(n.Address); err != nil {
 		return fmt.Errorf("address %q (want host:port): %w", n.Address, ErrBadNode)
 	}
 	if n.DataCentre == "" {
-		return fmt.Errorf("node %s without data centre: %w", n.Address, ErrBadNode)
+		return fmt.Errorf("node %s has no data centre: %w", n.Address, ErrBadNode)
 	}
 	if n.Phase > Gone {
-		return fmt.Errorf("node %s in %v: %w", n.Address, n.Phase, ErrBadNode)
+		return fmt.Errorf("node %s has invalid phase %v: %w", n.Address, n.Phase, ErrBadNode)
 	}
 	if n.Counter > maxCounter {
-		return fmt.Errorf("node %s with counter %d: %w", n.Address, n.Counter, ErrBadNode)
+		return fmt.Errorf("node %s has invalid heartbeat counter %d: %w", n.Address, n.Counter, ErrBadNode)
 	}
 	return nil
 }
 
-// Limits are the periods of a table. Those that concern a node of another data centre are
-// FarFactor times as long, because its heartbeats arrive over more hops.
+// Limits are the time-outs and bounds of a table. SuspectAfter and DeadAfter count from the last
+// contact. For nodes of other data centres they are RemoteFactor times as long when there are more such
+// nodes than RemoteWindow, because their heartbeats arrive over more hops.
 type Limits struct {
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
 	RemoteFactor int
-	// Checks is how many other nodes must have been asked before a suspect counts as dead; fewer
-	// when fewer are there.
+	// IndirectChecks is how many other nodes must have been asked about a suspect before it counts as
+	// dead, or all others if there are fewer.
 	IndirectChecks int
-	// GiveUpAfter is when a suspect counts as dead although too few could be asked.
+	// UncheckedDeadAfter is the time without contact after which a suspect counts as dead even though
+	// too few nodes could be asked.
 	UncheckedDeadAfter time.Duration
-	// PauseAfter is the gap between two ticks from which on this process takes itself for paused.
+	// PauseThreshold is the gap since the last tick above which this process considers itself to have
+	// been paused.
 	PauseThreshold time.Duration
-	// ForgetAfter is how long a dead or gone node is remembered.
+	// ForgetAfter is how long a dead or gone node stays in the table.
 	ForgetAfter time.Duration
-	// NearWindow and FarWindow bound how many heartbeats of the own and of other data centres one
-	// digest carries.
+	// LocalWindow and RemoteWindow bound how many heartbeats of the local and of the other data centres
+	// one digest carries.
 	LocalWindow  int
 	RemoteWindow int
 }
 
-// DefaultLimits returns the limits for one tick and one exchange a second.
+// DefaultLimits returns the limits for one tick and one exchange per second.
 func DefaultLimits() Limits {
 	return Limits{
 		SuspectAfter:       6 * time.Second,
--- a/pkg/sagemember/section.go
+++ b/pkg/sagemember/section.go
@@ -18,17 +18,18 @@
 // SectionName is the name of the table among the sections of an exchange.
 const SectionName = "member"
 
-// Sizes of a digest's parts.
+// Bounds on the parts of digests and deltas.
 const (
-	// buckets is the number of checksums; one changed record makes the records of one bucket travel.
+	// buckets is the number of checksums. One changed record causes the records of one bucket to be
+	// sent.
 	buckets = 32
 	// maxSuspects bounds the suspects that one digest asks about.
 	maxSuspects = 16
-	// maxColumns bounds the columns of a digest that a peer sends.
-	maxColumns = 1024
-	// maxRecords bounds the bytes of records in one delta, so that nodes whose views differ for a
-	// while don't send each other the whole fleet at each meeting.
-	maxRecords = 2 << 10
+	// maxDigestEntries bounds the heartbeats in a digest received from a peer.
+	maxDigestEntries = 1024
+	// maxRecordBytes bounds the records in one delta, so that nodes whose views differ for a while
+	// don't send each other the records of the whole fleet at each exchange.
+	maxRecordBytes = 2 << 10
 )
 
 var _ sagegossip.Observer = (*Table)(nil)
@@ -36,27 +37,27 @@
 // Name implements [sagegossip.Section].
 func (t *Table) Name() string { return SectionName }
 
-// Digest implements [sagegossip.Section]. Nodes of the own data centre come first, the longest
-// unsent first where the window doesn't hold all of them.
+// Digest implements [sagegossip.Section]. Where a window can't hold all heartbeats, those that were
+// sent least often come first.
 func (t *Table) Digest() []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.wake()
+	t.nowDetectingPause()
 	t.digests++
 	sums := t.checksums()
 	d := &member.Digest{Sender: t.Self.Incarnation, Checksums: sums[:], MaxRevision: t.maxRevision()}
-	addColumn(d, &t.Self)
+	addHeartbeat(d, &t.Self)
 	for _, e := range t.window() {
-		e.noteSent(t.digests)
-		addColumn(d, &e.Node)
+		e.recordSent(t.digests)
+		addHeartbeat(d, &e.Node)
 	}
 	for _, e := range t.suspects() {
-		d.Suspects = append(d.Suspects, short(e.Incarnation))
+		d.Suspects = append(d.Suspects, shortID(e.Incarnation))
 	}
 	return marshal(d)
 }
 
-// suspects returns the nodes that peers are asked about, the longest suspected first.
+// suspects returns the nodes to ask peers about, the longest suspected first.
 func (t *Table) suspects() []*entry {
 	var list []*entry
 	for _, e := range t.nodes {
@@ -70,14 +71,15 @@
 	return list[:min(maxSuspects, len(list))]
 }
 
-func addColumn(d *member.Digest, n *Node) {
-	d.Incarnations = append(d.Incarnations, short(n.Incarnation))
+func addHeartbeat(d *member.Digest, n *Node) {
+	d.Incarnations = append(d.Incarnations, shortID(n.Incarnation))
 	d.Counters = append(d.Counters, n.Counter)
 	d.Behind = append(d.Behind, d.MaxRevision-n.Revision)
 	d.Loads = append(d.Loads, n.Load)
 }
 
-// marshal never fails on the messages of this package: their strings are checked when taken in.
+// marshal never fails on the messages of this package: their strings are checked when they are
+// received.
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -94,26 +96,27 @@
 	return r
 }
 
-// window returns the nodes whose heartbeats go into the next digest: those that peers asked about,
-// then near ones, then far ones. Where a window doesn't hold all, the heartbeats that were sent
-// least often go first: without that, relays would fill their window with old news.
+// window returns the nodes whose heartbeats go into the next digest: those that peers asked about, then
+// those of the local data centre, then those of others. Where a window can't hold all, the heartbeats
+// that were sent least often go first. Otherwise, nodes that relay heartbeats would fill their windows
+// with old ones.
 func (t *Table) window() []*entry {
-	var asked, near, far []*entry
+	var queried, local, remote []*entry
 	for id, e := range t.nodes {
-		if !e.there() {
+		if !e.present() {
 			continue
 		}
-		if _, ok := t.questions[id]; ok {
-			asked = append(asked, e)
+		if _, ok := t.queries[id]; ok {
+			queried = append(queried, e)
 		} else if e.DataCentre == t.Self.DataCentre {
-			near = append(near, e)
+			local = append(local, e)
 		} else {
-			far = append(far, e)
+			remote = append(remote, e)
 		}
 	}
-	list := leastSent(asked, maxSuspects)
-	list = append(list, leastSent(near, t.Limits.LocalWindow)...)
-	return append(list, leastSent(far, t.Limits.RemoteWindow)...)
+	list := leastSent(queried, maxSuspects)
+	list = append(list, leastSent(local, t.Limits.LocalWindow)...)
+	return append(list, leastSent(remote, t.Limits.RemoteWindow)...)
 }
 
 func leastSent(list []*entry, n int) []*entry {
@@ -121,32 +124,33 @@
 		return list
 	}
 	slices.SortFunc(list, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.timesSent(), b.timesSent()), cmp.Compare(a.sent, b.sent), cmp.Compare(a.Incarnation, b.Incarnation))
+		return cmp.Or(cmp.Compare(a.timesSent(), b.timesSent()), cmp.Compare(a.sentDigest, b.sentDigest), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	return list[:n]
 }
 
-// timesSent returns how often the present heartbeat was sent.
+// timesSent returns how often the current heartbeat was sent.
 func (e *entry) timesSent() int {
 	if e.Counter != e.sentCounter {
 		return 0
 	}
-	return e.times
+	return e.sentCount
 }
 
-func (e *entry) noteSent(digest uint64) {
-	e.times = e.timesSent() + 1
-	e.sent, e.sentCounter = digest, e.Counter
+func (e *entry) recordSent(digest uint64) {
+	e.sentCount = e.timesSent() + 1
+	e.sentDigest, e.sentCounter = digest, e.Counter
 }
 
-// checksums sums the records of the nodes that this table holds for there. Dead ones are left out:
-// they are an opinion of this table, and tables forget them at different times.
+// checksums returns the checksum of each bucket over the records of the nodes that are present. Dead
+// nodes are left out: that a node is dead is only this table's conclusion, and tables forget dead nodes
+// at different times.
 func (t *Table) checksums() [buckets]uint32 {
 	var sums [buckets]uint32
 	add := func(n *Node) { sums[n.Incarnation%buckets] ^= checksum(n) }
 	add(&t.Self)
 	for _, e := range t.nodes {
-		if e.there() {
+		if e.present() {
 			add(&e.Node)
 		}
 	}
@@ -160,24 +164,24 @@
 	return uint32(xxhash.Sum64(b[:]))
 }
 
-// Delta implements [sagegossip.Section]. The heartbeats in the peer's digest are taken in here, so
-// that they need no message of their own.
+// Delta implements [sagegossip.Section]. It also merges the heartbeats in the peer's digest, so that
+// they need no message of their own.
 func (t *Table) Delta(digest []byte, budget int) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.wake()
+	now := t.nowDetectingPause()
 	d, err := readDigest(digest)
 	if err != nil {
 		d = &member.Digest{}
 	}
-	t.hearDigest(d, now)
-	t.askedBy(d.GetSender())
+	t.mergeDigest(d, now)
+	t.recordCaller(d.GetSender())
 	for _, id := range d.GetSuspects() {
-		if e := t.byShort(id); e != nil {
-			t.questions[e.Incarnation] = now
+		if e := t.entryByShortID(id); e != nil {
+			t.queries[e.Incarnation] = now
 		}
 	}
-	return marshal(t.records(d.GetChecksums(), min(budget, maxRecords)))
+	return marshal(t.records(d.GetChecksums(), min(budget, maxRecordBytes)))
 }
 
 func readDigest(b []byte) (*member.Digest, error) {
@@ -186,32 +190,32 @@
 		return nil, fmt.Errorf("read digest: %v: %w", err, ErrBadDigest)
 	}
 	n := len(d.GetIncarnations())
-	if n > maxColumns || len(d.GetCounters()) != n || len(d.GetBehind()) != n || len(d.GetLoads()) != n {
-		return nil, fmt.Errorf("columns of a digest differ in length: %w", ErrBadDigest)
+	if n > maxDigestEntries || len(d.GetCounters()) != n || len(d.GetBehind()) != n || len(d.GetLoads()) != n {
+		return nil, fmt.Errorf("digest columns differ in length or are too long: %w", ErrBadDigest)
 	}
 	if len(d.GetChecksums()) != buckets || len(d.GetSuspects()) > maxSuspects {
-		return nil, fmt.Errorf("digest with %d checksums: %w", len(d.GetChecksums()), ErrBadDigest)
+		return nil, fmt.Errorf("digest has a wrong number of checksums (%d) or too many suspects: %w", len(d.GetChecksums()), ErrBadDigest)
 	}
 	for _, b := range d.GetBehind() {
 		if b > d.GetMaxRevision() {
-			return nil, fmt.Errorf("digest with a revision below 0: %w", ErrBadDigest)
+			return nil, fmt.Errorf("digest has a negative revision: %w", ErrBadDigest)
 		}
 	}
 	return d, nil
 }
 
-func (t *Table) hearDigest(d *member.Digest, now time.Time) {
+func (t *Table) mergeDigest(d *member.Digest, now time.Time) {
 	for i, id := range d.GetIncarnations() {
 		revision := d.GetMaxRevision() - d.GetBehind()[i]
-		if id == short(t.Self.Incarnation) {
-			t.hearSelf(d.GetCounters()[i])
-		} else if e := t.byShort(id); e != nil {
-			t.hear(e, d.GetCounters()[i], revision, d.GetLoads()[i], now)
+		if id == shortID(t.Self.Incarnation) {
+			t.mergeOwnCounter(d.GetCounters()[i])
+		} else if e := t.entryByShortID(id); e != nil {
+			t.mergeHeartbeat(e, d.GetCounters()[i], revision, d.GetLoads()[i], now)
 		}
 	}
 }
 
-// records returns the records of the buckets whose checksum differs, most recently changed first.
+// records returns the records of the buckets whose checksums differ, most recently changed first.
 func (t *Table) records(sums []uint32, budget int) *member.Delta {
 	own := t.checksums()
 	differs := func(id uint64) bool {
@@ -243,7 +247,8 @@
 	return d
 }
 
-// addRecord appends n's record if it fits, and returns what is left of the budget; 0 when full.
+// addRecord appends n's record if it fits. It returns the remaining budget, or 0 if the record didn't
+// fit.
 func addRecord(d *member.Delta, n *Node, budget int) int {
 	r := &member.Record{
 		Incarnation: n.Incarnation,
@@ -255,8 +260,8 @@
 		Counter:     n.Counter,
 		Revision:    n.Revision,
 	}
-	const frame = 3 // tag and length of a record in its delta
-	size := proto.Size(r) + frame
+	const recordOverhead = 3 // tag and length of a record in its delta
+	size := proto.Size(r) + recordOverhead
 	if size > budget {
 		return 0
 	}
@@ -264,11 +269,11 @@
 	return budget - size
 }
 
-// Merge implements [sagegossip.Section]. Malformed records are passed over and reported.
+// Merge implements [sagegossip.Section]. Malformed records are skipped; the first error is returned.
 func (t *Table) Merge(delta []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.wake()
+	now := t.nowDetectingPause()
 	d := new(member.Delta)
 	if err := proto.Unmarshal(delta, d); err != nil {
 		return fmt.Errorf("read delta: %v: %w", err, ErrBadDelta)
@@ -297,7 +302,7 @@
 		return fmt.Errorf("merge record: %w", err)
 	}
 	if n.Incarnation == t.Self.Incarnation {
-		t.mergeSelf(&n)
+		t.mergeOwnRecord(&n)
 		return nil
 	}
 	e := t.nodes[n.Incarnation]
@@ -308,12 +313,12 @@
 		n.LastContact = now
 		e = &entry{Node: n, since: now}
 		t.nodes[n.Incarnation] = e
-		t.shorts[short(n.Incarnation)] = e
-		t.touch(e)
-		t.avoid(n.Incarnation)
+		t.byShortID[shortID(n.Incarnation)] = e
+		t.markChanged(e)
+		t.resolveShortIDCollision(n.Incarnation)
 		return nil
 	}
-	t.hear(e, n.Counter, n.Revision, e.Load, now)
+	t.mergeHeartbeat(e, n.Counter, n.Revision, e.Load, now)
 	if n.Phase > e.Phase {
 		t.setPhase(e, n.Phase, now)
 	}
@@ -325,21 +330,21 @@
 	if p == Gone {
 		e.since = now
 	}
-	t.touch(e)
+	t.markChanged(e)
 }
 
-func (t *Table) touch(e *entry) {
+func (t *Table) markChanged(e *entry) {
 	t.changes++
 	e.changed = t.changes
 }
 
-// mergeSelf takes what others say of this very process. When they hold it for further in its life
-// than it is, which only a wrong report can bring about, it goes on as another incarnation: a phase
-// can't be taken back.
-func (t *Table) mergeSelf(n *Node) {
-	t.hearSelf(n.Counter)
+// mergeOwnRecord merges a record of this process. If the record is in a later phase than the process,
+// which only a wrong report can cause, the process continues as a new incarnation, because a phase
+// never moves back.
+func (t *Table) mergeOwnRecord(n *Node) {
+	t.mergeOwnCounter(n.Counter)
 	if n.Phase <= t.Self.Phase {
 		return
 	}
-	t.renew()
+	t.renewIncarnation()
 }
--- a/pkg/sagemember/table.go
+++ b/pkg/sagemember/table.go
@@ -9,53 +9,54 @@
 	"sagestand.example/sagestand/pkg/sagegossip"
 )
 
-// Table is one node's view of the nodes. Self, Limits and Now are set before [Table.Start]; the
-// methods are safe for concurrent use.
+// Table is one node's view of the fleet's nodes. Self, Limits, Now and Random are set before
+// [Table.Start]; the methods are safe for concurrent use.
 type Table struct {
-	// Self describes this node; Start gives it a fresh incarnation.
+	// Self describes this node; Start assigns it a new incarnation.
 	Self   Node
 	Limits Limits
 	// Now is the local clock; nil means [time.Now].
 	Now func() time.Time
-	// Random gives incarnations; nil means the runtime's own source. A measurement sets it to repeat a
-	// run.
+	// Random is the source of incarnations; nil means the global source of math/rand/v2. Measurements
+	// set it to make a run repeatable.
 	Random func() uint64
 
-	mu        sync.Mutex
-	nodes     map[uint64]*entry
-	shorts    map[uint32]*entry
-	far       int
-	changes   uint64
-	digests   uint64
-	lastTick  time.Time
-	freshBy   time.Time
-	met       map[uint64]bool
-	questions map[uint64]time.Time
-	calling   map[string]contact
-	hints     map[string]bool
-	evictions int64
-	pauses    int64
+	mu            sync.Mutex
+	nodes         map[uint64]*entry
+	byShortID     map[uint32]*entry
+	remoteNodes   int
+	changes       uint64
+	digests       uint64
+	lastTick      time.Time
+	freshFrom     time.Time
+	metSincePause map[uint64]bool
+	queries       map[uint64]time.Time
+	pendingCalls  map[string]pendingCall
+	seeds         map[string]bool
+	evictions     int64
+	pauses        int64
 }
 
-// entry is a node with what this table remembers about it.
+// entry is a node with what this table records about it.
 type entry struct {
 	Node
-	// since is when it came into its state.
+	// since is when it entered its current state or became gone.
 	since time.Time
-	// changed orders records by their last change; sent orders heartbeats by their last sending.
-	changed uint64
-	sent    uint64
-	// sentCounter is the heartbeat that was last sent, and times how often.
+	// changed orders records by their last change, sentDigest orders heartbeats by the digest that last
+	// carried them.
+	changed    uint64
+	sentDigest uint64
+	// sentCounter is the heartbeat that was last sent, and sentCount is how often it was sent.
 	sentCounter uint64
-	times       int
-	// told are the nodes that called this one while it was suspect; asked those that were asked
-	// about it.
-	told  map[uint64]bool
-	asked map[uint64]bool
-	damp  damper
+	sentCount   int
+	// queried holds the nodes that called this one, and so received the question, while it was suspect;
+	// checkedBy holds those that have also had the chance to report a later heartbeat.
+	queried   map[uint64]bool
+	checkedBy map[uint64]bool
+	damp      damper
 }
 
-// Start checks Self and gives it a fresh incarnation.
+// Start checks Self and assigns it a new incarnation.
 func (t *Table) Start() error {
 	if err := t.Self.Check(); err != nil {
 		return fmt.Errorf("start member table: %w", err)
@@ -63,15 +64,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.nodes = make(map[uint64]*entry)
-	t.shorts = make(map[uint32]*entry)
-	t.questions = make(map[uint64]time.Time)
-	t.calling = make(map[string]contact)
-	t.hints = make(map[string]bool)
-	t.met = make(map[uint64]bool)
-	t.Self.Incarnation = t.freshIncarnation()
+	t.byShortID = make(map[uint32]*entry)
+	t.queries = make(map[uint64]time.Time)
+	t.pendingCalls = make(map[string]pendingCall)
+	t.seeds = make(map[string]bool)
+	t.metSincePause = make(map[uint64]bool)
+	t.Self.Incarnation = t.newIncarnation()
 	t.Self.State = Alive
 	t.lastTick = t.now()
-	t.freshBy = t.lastTick
+	t.freshFrom = t.lastTick
 	return nil
 }
 
@@ -82,42 +83,44 @@
 	return time.Now()
 }
 
-// Tick advances the own heartbeat and judges the others. It is called once a heartbeat period.
+// Tick advances the local heartbeat and updates the states of the other nodes. It is called once per
+// heartbeat period.
 func (t *Table) Tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.wake()
+	now := t.nowDetectingPause()
 	t.lastTick = now
 	t.Self.Counter++
 	t.Self.LastContact = now
-	t.far = 0
+	t.remoteNodes = 0
 	for _, e := range t.nodes {
 		if e.Phase != Gone && e.DataCentre != t.Self.DataCentre {
-			t.far++
+			t.remoteNodes++
 		}
 	}
 	for id, e := range t.nodes {
-		if e.there() {
-			t.judge(e, now)
+		if e.present() {
+			t.updateState(e, now)
 		} else if now.Sub(e.since) > t.Limits.ForgetAfter {
-			t.forget(id)
+			t.remove(id)
 		}
 	}
-	for id, at := range t.questions {
+	for id, at := range t.queries {
 		if now.Sub(at) > t.Limits.DeadAfter {
-			delete(t.questions, id)
+			delete(t.queries, id)
 		}
 	}
 }
 
-// Advance moves the own phase forward; a lower phase than the present one changes nothing.
+// AdvancePhase moves the local phase forward; a phase below the current one is ignored.
 func (t *Table) AdvancePhase(p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.Self.Phase = max(t.Self.Phase, p)
 }
 
-// Report sets what the own heartbeat tells of this node.
+// Report sets the configuration revision and the load that the local heartbeat carries. A lower
+// revision than the current one is ignored.
 func (t *Table) Report(revision uint64, load uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,26 +128,26 @@
 	t.Self.Load = load
 }
 
-// Hint names addresses where nodes may be, from the settings or from the VM list. A hint only makes
-// this node try the address; it neither adds nor removes anybody.
+// AddSeeds adds addresses at which nodes may be, from the settings or the VM list. A seed only makes
+// this node try the address; it neither adds nor removes a node.
 func (t *Table) AddSeeds(addresses ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range addresses {
-		if len(t.hints) < MaxNodes && a != t.Self.Address {
-			t.hints[a] = true
+		if len(t.seeds) < MaxNodes && a != t.Self.Address {
+			t.seeds[a] = true
 		}
 	}
 }
 
-// Me returns this node.
+// LocalNode returns this node.
 func (t *Table) LocalNode() Node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Self
 }
 
-// All returns every node that the table remembers, this one included, ordered by address.
+// All returns every node in the table and this one, ordered by address.
 func (t *Table) All() []Node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -162,7 +165,7 @@
 	return nodes
 }
 
-// Node returns what the table knows of an incarnation other than this node's own.
+// Node returns the node of an incarnation other than the local one.
 func (t *Table) Node(incarnation uint64) (Node, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,8 +176,8 @@
 	return e.Node, true
 }
 
-// Live returns the nodes that count as live, suspects and this one included. Those that are leaving
-// are among them: they still serve.
+// Live returns the nodes that count as live, including suspects and this node. Nodes that are leaving
+// are among them, because they still serve.
 func (t *Table) Live() []Node {
 	all := t.All()
 	live := all[:0]
@@ -186,13 +189,13 @@
 	return live
 }
 
-// Peers returns whom an exchange can go to: every node that may be there, except this one.
+// Peers returns the possible targets of an exchange: every node that may be running, except this one.
 func (t *Table) Peers() []sagegossip.Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	peers := make([]sagegossip.Peer, 0, len(t.nodes))
 	for _, e := range t.nodes {
-		if e.there() && e.Address != t.Self.Address {
+		if e.present() && e.Address != t.Self.Address {
 			peers = append(peers, sagegossip.Peer{Address: e.Address, DataCentre: e.DataCentre})
 		}
 	}
@@ -200,45 +203,45 @@
 	return peers
 }
 
-// Urgent returns addresses to reach for a reason: suspects, own and of those who asked, and
-// addresses at which two incarnations are known. When there are none it returns addresses where
-// somebody may be again: hints that nobody known answers to, and the dead.
+// Urgent returns the addresses to contact first: those of suspects, of nodes that peers asked about,
+// and those in the local data centre at which two incarnations are known. If there are none, it returns
+// addresses where a node may be running again: those of dead nodes and unused seeds.
 func (t *Table) Urgent() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	urgent := make(map[string]bool)
-	maybe := make(map[string]bool)
-	taken := make(map[string]*entry)
-	for h := range t.hints {
-		maybe[h] = true
+	retry := make(map[string]bool)
+	occupied := make(map[string]*entry)
+	for h := range t.seeds {
+		retry[h] = true
 	}
 	for id, e := range t.nodes {
 		if e.Phase == Gone {
 			continue
 		}
 		if e.State == Dead {
-			maybe[e.Address] = true
+			retry[e.Address] = true
 			continue
 		}
-		if _, asked := t.questions[id]; asked || e.State == Suspect {
+		if _, queried := t.queries[id]; queried || e.State == Suspect {
 			urgent[e.Address] = true
 		}
-		if taken[e.Address] != nil && e.DataCentre == t.Self.DataCentre {
+		if occupied[e.Address] != nil && e.DataCentre == t.Self.DataCentre {
 			urgent[e.Address] = true
 		}
-		taken[e.Address] = e
+		occupied[e.Address] = e
 	}
 	if len(urgent) > 0 {
-		return t.others(urgent, nil)
+		return t.otherAddresses(urgent, nil)
 	}
-	return t.others(maybe, taken)
+	return t.otherAddresses(retry, occupied)
 }
 
-// others returns the addresses in order, without the own and the taken ones.
-func (t *Table) others(addresses map[string]bool, taken map[string]*entry) []string {
+// otherAddresses returns the addresses in order, without the local one and those in occupied.
+func (t *Table) otherAddresses(addresses map[string]bool, occupied map[string]*entry) []string {
 	list := make([]string, 0, len(addresses))
 	for a := range addresses {
-		if a != t.Self.Address && taken[a] == nil {
+		if a != t.Self.Address && occupied[a] == nil {
 			list = append(list, a)
 		}
 	}
@@ -246,23 +249,23 @@
 	return list
 }
 
-// Fresh says whether the view may be acted on: always, except after a pause until this node has met
-// others again. A node that can reach nobody goes on with what it has after a while.
+// Fresh reports whether the view may be acted on. It is false only after a pause, until this node has
+// been in contact with enough others or, if it can reach none, until DeadAfter has passed.
 func (t *Table) Fresh() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.wake()
-	return !now.Before(t.freshBy)
+	now := t.nowDetectingPause()
+	return !now.Before(t.freshFrom)
 }
 
-// Evictions returns how often this table took a node for dead.
+// Evictions returns how often this table declared a node dead after it had been alive.
 func (t *Table) Evictions() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.evictions
 }
 
-// Pauses returns how often this process found itself paused.
+// Pauses returns how often this process detected that it had been paused.
 func (t *Table) Pauses() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/sagemember/table_test.go
+++ b/pkg/sagemember/table_test.go
@@ -13,8 +13,8 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// fleetOf returns a fleet of n nodes over dcs data centres that know each other.
-func fleetOf(t *testing.T, n, dcs int) *sagemeasure.MemberFleet {
+// newFleet returns a fleet of n nodes in dcs data centres that know each other.
+func newFleet(t *testing.T, n, dcs int) *sagemeasure.MemberFleet {
 	t.Helper()
 	f := sagemeasure.NewMemberFleet(1)
 	require.NoError(t, f.Add(n, dcs, sagemember.DefaultLimits()))
@@ -23,228 +23,230 @@
 	return f
 }
 
-func rounds(f *sagemeasure.MemberFleet, n int) {
+func runRounds(f *sagemeasure.MemberFleet, n int) {
 	for range n {
 		f.Round()
 	}
 }
 
-// find returns what n knows of an incarnation.
-func find(n *sagemeasure.MemberNode, id uint64) (sagemember.Node, bool) { return n.Table.Node(id) }
+// findNode returns what n knows of an incarnation.
+func findNode(n *sagemeasure.MemberNode, id uint64) (sagemember.Node, bool) { return n.Table.Node(id) }
 
 func TestJoinLeaveAndDeathReachEveryNode(t *testing.T) {
-	f := fleetOf(t, 8, 4)
-	late, err := f.Start("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
+	f := newFleet(t, 8, 4)
+	joiner, err := f.Start("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
 	require.NoError(t, err)
 	f.Rounds(40, f.Agreed)
-	require.True(t, f.Agreed(), "a node that starts later is known everywhere")
+	require.True(t, f.Agreed(), "a node that starts later is known to all")
 
-	late.Table.Report(41, 7)
-	late.Table.AdvancePhase(sagemember.Leaving)
-	id := late.Table.LocalNode().Incarnation
-	rounds(f, 20)
+	joiner.Table.Report(41, 7)
+	joiner.Table.AdvancePhase(sagemember.Leaving)
+	id := joiner.Table.LocalNode().Incarnation
+	runRounds(f, 20)
 	for _, n := range f.Running() {
-		if n == late {
+		if n == joiner {
 			continue
 		}
-		x, ok := find(n, id)
+		x, ok := findNode(n, id)
 		require.True(t, ok)
 		require.Equal(t, sagemember.Leaving, x.Phase)
 		require.Equal(t, sagemember.Alive, x.State, "a leaving node still serves")
 		require.Equal(t, []uint64{41, 7}, []uint64{x.Revision, uint64(x.Load)})
 	}
-	late.Table.AdvancePhase(sagemember.Serving)
-	require.Equal(t, sagemember.Leaving, late.Table.LocalNode().Phase, "leaving is never taken back")
+	joiner.Table.AdvancePhase(sagemember.Serving)
+	require.Equal(t, sagemember.Leaving, joiner.Table.LocalNode().Phase, "a phase never moves back")
 
-	late.Stopped = true
+	joiner.Stopped = true
 	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "a dead node is dropped everywhere")
+	require.True(t, f.Agreed(), "a dead node is removed from every view")
 }
 
-// Callers of one data centre lose a healthy VM: it is dropped by a node that can't reach it, though
-// it serves everybody else. Cause: one bad link, in both directions or in one, between two nodes.
-func TestBadLinkEvictsNobody(t *testing.T) {
-	for _, both := range []bool{true, false} {
-		t.Run(fmt.Sprint(both), func(t *testing.T) {
-			f := fleetOf(t, 8, 4)
-			a, b := f.Nodes[0], f.Nodes[4] // the two of dc0
+// Guards against the eviction of a healthy VM by a node that can't reach it, while it serves all
+// others: one link between two nodes is down, in both directions or in one.
+func TestBadLinkEvictsNoNode(t *testing.T) {
+	for _, bothWays := range []bool{true, false} {
+		t.Run(fmt.Sprint(bothWays), func(t *testing.T) {
+			f := newFleet(t, 8, 4)
+			a, b := f.Nodes[0], f.Nodes[4] // the two nodes of dc0
 			f.Cut = func(from, to *sagemeasure.MemberNode) bool {
-				return from == a && to == b || both && from == b && to == a
+				return from == a && to == b || bothWays && from == b && to == a
 			}
-			rounds(f, 300)
+			runRounds(f, 300)
 			require.Zero(t, f.Evictions())
 		})
 	}
 }
 
-// A third of all exchanges fail for minutes. Nodes drop and take back healthy nodes, and chats move
-// with each turn. Cause: silence towards one node was taken for death without asking others.
-func TestLossEvictsNobodyThanksToTheCheck(t *testing.T) {
+// Guards against evictions of healthy nodes under message loss, which would move chats each time: no
+// contact from a node must not count as its death before other nodes were asked.
+func TestIndirectChecksReduceEvictionsUnderLoss(t *testing.T) {
 	evictions := func(checks int) int64 {
-		f := fleetOf(t, 24, 4)
+		f := newFleet(t, 24, 4)
 		f.Loss = 0.45
 		for _, n := range f.Nodes {
 			n.Table.Limits.IndirectChecks = checks
 			n.Table.Limits.SuspectAfter = 3 * time.Second
 			n.Table.Limits.DeadAfter = 6 * time.Second
 		}
-		rounds(f, 200)
+		runRounds(f, 200)
 		return f.Evictions()
 	}
 	with, without := evictions(3), evictions(0)
-	t.Logf("evictions with the check %d, without %d", with, without)
+	t.Logf("evictions with indirect checks: %d, without: %d", with, without)
 	require.Less(t, 3*with, without)
 }
 
-// A node that loses its network drops everybody, and names only itself to the callers that still
-// reach it. Cause: it took its own isolation for the death of all others.
-func TestIsolatedNodeEvictsNobodyForAWhile(t *testing.T) {
-	f := fleetOf(t, 8, 4)
-	alone := f.Nodes[3]
-	f.Cut = func(from, to *sagemeasure.MemberNode) bool { return from == alone || to == alone }
-	rounds(f, 60)
-	require.Zero(t, alone.Table.Evictions())
-	require.Len(t, alone.Table.Live(), 8)
+// Guards against a node that loses its network and considers all others dead: it would name only itself
+// to the clients that still reach it.
+func TestIsolatedNodeDelaysEvictions(t *testing.T) {
+	f := newFleet(t, 8, 4)
+	isolated := f.Nodes[3]
+	f.Cut = func(from, to *sagemeasure.MemberNode) bool { return from == isolated || to == isolated }
+	runRounds(f, 60)
+	require.Zero(t, isolated.Table.Evictions())
+	require.Len(t, isolated.Table.Live(), 8)
 	for _, n := range f.Running() {
-		if n != alone {
-			require.Len(t, n.Table.Live(), 7, "the others have asked each other")
+		if n != isolated {
+			require.Len(t, n.Table.Live(), 7, "the other nodes checked with each other and evicted it")
 		}
 	}
 	f.Cut = nil
 	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "it is taken back")
+	require.True(t, f.Agreed(), "the isolated node rejoins")
 }
 
-// A VM is replaced at the same address. Callers are sent to the old one, or the new one is dropped
-// with it. Cause: the two were taken for one node, or late heartbeats of the old one counted.
-func TestSameAddressNewIncarnation(t *testing.T) {
-	f := fleetOf(t, 8, 4)
+// Guards against confusing a VM with its replacement at the same address: clients would be sent to the
+// old one, or the new one would be evicted with it, if the two counted as one node or late heartbeats
+// of the old one counted.
+func TestReplacementAtSameAddress(t *testing.T) {
+	f := newFleet(t, 8, 4)
 	old := f.Nodes[4]
 	oldID := old.Table.LocalNode().Incarnation
-	late := old.Engine.Digests()[0].Data
-	fresh, err := f.Start(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
+	lateDigest := old.Engine.Digests()[0].Data
+	replacement, err := f.Start(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
 	require.NoError(t, err)
-	freshID := fresh.Table.LocalNode().Incarnation
-	require.NotEqual(t, oldID, freshID)
-	took := f.Rounds(60, f.Agreed)
-	require.Less(t, took, 12, "the old one goes by direct evidence, not by its silence")
+	replacementID := replacement.Table.LocalNode().Incarnation
+	require.NotEqual(t, oldID, replacementID)
+	elapsed := f.Rounds(60, f.Agreed)
+	require.Less(t, elapsed, 12, "the old incarnation is gone by direct evidence, before its time-out")
 
 	d := new(member.Digest)
-	require.NoError(t, proto.Unmarshal(late, d))
-	for i := range 30 { // late heartbeats of the old one, each higher than the last
+	require.NoError(t, proto.Unmarshal(lateDigest, d))
+	for i := range 30 { // late heartbeats of the old incarnation, each higher than the last
 		d.Counters[0] += 5
 		b, err := proto.Marshal(d)
 		require.NoError(t, err)
 		f.Nodes[i%3].Table.Delta(b, 1000)
 		f.Round()
 		require.True(t, f.Agreed())
-		x, ok := find(f.Nodes[i%3], oldID)
+		x, ok := findNode(f.Nodes[i%3], oldID)
 		require.True(t, ok)
 		require.Equal(t, sagemember.Gone, x.Phase)
-		require.Less(t, x.Counter, d.Counters[0], "what is gone is not heard")
+		require.Less(t, x.Counter, d.Counters[0], "heartbeats of a gone incarnation are ignored")
 	}
 }
 
-// A node dies. Its last heartbeats come late, over a node that was paused, and the dead node is named
-// to callers again. Cause: one late message counted as life.
-func TestLateHeartbeatDoesNotRevive(t *testing.T) {
-	f := fleetOf(t, 8, 4)
+// Guards against one late message reviving a dead node: its last heartbeats arrive from a node that was
+// paused, and clients would be sent to the dead node again.
+func TestLateHeartbeatDoesNotReviveDeadNode(t *testing.T) {
+	f := newFleet(t, 8, 4)
 	dead, paused := f.Nodes[4], f.Nodes[0]
 	id := dead.Table.LocalNode().Incarnation
-	rounds(f, 3)
-	late := dead.Engine.Digests()[0].Data
+	runRounds(f, 3)
+	lateDigest := dead.Engine.Digests()[0].Data
 	dead.Stopped = true
 	f.Rounds(60, f.Agreed)
 	require.True(t, f.Agreed())
 	d := new(member.Digest)
-	require.NoError(t, proto.Unmarshal(late, d))
+	require.NoError(t, proto.Unmarshal(lateDigest, d))
 	d.Counters[0] += 2
 	b, err := proto.Marshal(d)
 	require.NoError(t, err)
 	paused.Table.Delta(b, 1000)
-	x, ok := find(paused, id)
+	x, ok := findNode(paused, id)
 	require.True(t, ok)
 	require.Equal(t, sagemember.Dead, x.State)
-	rounds(f, 20)
+	runRounds(f, 20)
 	require.True(t, f.Agreed())
 }
 
-// A process is stopped for a minute and continued. It answers callers from its old view, drops every
-// node as silent, and is dropped for good. Cause: it didn't notice that time had passed.
-func TestPausedNodeDistrustsItsView(t *testing.T) {
-	f := fleetOf(t, 8, 4)
-	p := f.Nodes[0]
-	p.Paused = true
+// Guards against a process that is stopped for a minute, continues, and doesn't notice the gap: it
+// would answer clients from its old view, consider all nodes dead, and be evicted permanently itself.
+func TestPausedNodeResetsItsView(t *testing.T) {
+	f := newFleet(t, 8, 4)
+	paused := f.Nodes[0]
+	paused.Paused = true
 	f.Nodes[5].Stopped = true
-	rounds(f, 60)
+	runRounds(f, 60)
 	for _, n := range f.Running() {
 		require.Len(t, n.Table.Live(), 6)
 	}
-	p.Paused = false
-	require.False(t, p.Table.Fresh(), "noticed before anything is answered")
-	require.Len(t, p.Table.Live(), 1)
+	paused.Paused = false
+	require.False(t, paused.Table.Fresh(), "the pause is detected on the first read")
+	require.Len(t, paused.Table.Live(), 1)
 	f.Rounds(40, f.Agreed)
 	require.True(t, f.Agreed())
-	require.True(t, p.Table.Fresh())
-	require.Zero(t, p.Table.Evictions())
-	require.EqualValues(t, 1, p.Table.Pauses())
+	require.True(t, paused.Table.Fresh())
+	require.Zero(t, paused.Table.Evictions())
+	require.EqualValues(t, 1, paused.Table.Pauses())
 }
 
-// A VM comes and goes every quarter of a minute. Each time, chats move to it and away again.
+// Guards against a VM that comes and goes every 15 seconds: without damping, chats would move to it and
+// away again each time.
 func TestFlappingNodeIsDamped(t *testing.T) {
-	f := fleetOf(t, 4, 1)
-	p, seer := f.Nodes[3], f.Nodes[0]
-	id := p.Table.LocalNode().Incarnation
-	back := make([]int, 0, 4)
+	f := newFleet(t, 4, 1)
+	flapping, observer := f.Nodes[3], f.Nodes[0]
+	id := flapping.Table.LocalNode().Incarnation
+	returnRounds := make([]int, 0, 4)
 	for range 4 {
-		p.Paused = true
-		rounds(f, 25)
-		p.Paused = false
-		back = append(back, f.Rounds(100, func() bool {
-			x, ok := find(seer, id)
+		flapping.Paused = true
+		runRounds(f, 25)
+		flapping.Paused = false
+		returnRounds = append(returnRounds, f.Rounds(100, func() bool {
+			x, ok := findNode(observer, id)
 			return ok && x.State == sagemember.Alive
 		}))
 	}
-	require.Greater(t, back[3], back[0]+5, "rounds until taken back: %v", back)
+	require.Greater(t, returnRounds[3], returnRounds[0]+5, "rounds until alive again: %v", returnRounds)
 }
 
-// One message with a heartbeat far ahead, or a record that calls a serving node gone, takes that node
-// out of every view. Cause: what a peer sent was believed without bounds.
-func TestGarbageDoesNotTakeANodeOut(t *testing.T) {
-	f := fleetOf(t, 8, 4)
+// Guards against invalid reports from a peer, such as a heartbeat far ahead or a record that says a
+// serving node is gone: if they were merged without bounds, that node would be removed from every view.
+func TestInvalidReportsDoNotEvictNode(t *testing.T) {
+	f := newFleet(t, 8, 4)
 	a, victim := f.Nodes[0], f.Nodes[4]
-	me := victim.Table.LocalNode()
+	before := victim.Table.LocalNode()
 	d := new(member.Digest)
 	require.NoError(t, proto.Unmarshal(victim.Engine.Digests()[0].Data, d))
 	d.Counters[0] = 1 << 63
 	b, err := proto.Marshal(d)
 	require.NoError(t, err)
 	a.Table.Delta(b, 1000)
-	d.Counters[0] = me.Counter + 10_000
+	d.Counters[0] = before.Counter + 10_000
 	b, err = proto.Marshal(d)
 	require.NoError(t, err)
 	a.Table.Delta(b, 1000)
-	rounds(f, 60)
-	require.True(t, f.Agreed(), "the victim's heartbeats have overtaken the wrong one")
-	require.Equal(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
+	runRounds(f, 60)
+	require.True(t, f.Agreed(), "the victim's heartbeats exceed the wrong one")
+	require.Equal(t, before.Incarnation, victim.Table.LocalNode().Incarnation)
 	require.Zero(t, f.Evictions())
 
 	a.Table.Delta([]byte{0xff, 1, 2}, 1000)
 	require.ErrorIs(t, a.Table.Merge([]byte{0xff, 1, 2}), sagemember.ErrBadDelta)
-	rec := &member.Record{Incarnation: me.Incarnation, Address: me.Address, DataCentre: "dc0", Phase: uint32(sagemember.Gone)}
+	rec := &member.Record{Incarnation: before.Incarnation, Address: before.Address, DataCentre: "dc0", Phase: uint32(sagemember.Gone)}
 	bad := &member.Record{Incarnation: 5, Address: "nonsense", DataCentre: "dc0"}
 	b, err = proto.Marshal(&member.Delta{Records: []*member.Record{bad, rec}})
 	require.NoError(t, err)
 	require.ErrorIs(t, a.Table.Merge(b), sagemember.ErrBadNode)
 	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "the victim went on as another incarnation")
-	require.NotEqual(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
+	require.True(t, f.Agreed(), "the victim continues as another incarnation")
+	require.NotEqual(t, before.Incarnation, victim.Table.LocalNode().Incarnation)
 }
 
-// What a node spends must stay within a part of 19 KB/s at 400 nodes.
-func TestDigestStaysSmallAt400(t *testing.T) {
-	tab := &sagemember.Table{Self: sagemember.Node{Address: "10.1.1.1:7", DataCentre: "dc0"}, Limits: sagemember.DefaultLimits()}
-	require.NoError(t, tab.Start())
+// The membership digest must stay within its share of a node's 19 KB/s at 400 nodes.
+func TestDigestSizeAt400Nodes(t *testing.T) {
+	table := &sagemember.Table{Self: sagemember.Node{Address: "10.1.1.1:7", DataCentre: "dc0"}, Limits: sagemember.DefaultLimits()}
+	require.NoError(t, table.Start())
 	d := new(member.Delta)
 	for i := range 400 {
 		d.Records = append(d.Records, &member.Record{
@@ -254,13 +256,13 @@
 	}
 	b, err := proto.Marshal(d)
 	require.NoError(t, err)
-	require.NoError(t, tab.Merge(b))
-	require.Less(t, len(tab.Digest()), 1600)
-	require.Less(t, len(tab.Delta(nil, 1<<20)), 2048+64, "an unreadable digest gets a bounded answer")
+	require.NoError(t, table.Merge(b))
+	require.Less(t, len(table.Digest()), 1600)
+	require.Less(t, len(table.Delta(nil, 1<<20)), 2048+64, "the answer to an unreadable digest is bounded")
 }
 
-// BenchmarkNodeSecond is what one node spends in a second of steady state: a tick, the choice of a
-// peer, the exchange that it begins and, on average, one that it answers.
+// BenchmarkNodeSecond measures what one node spends per second in steady state: a tick, the choice of a
+// peer, the exchange that it starts and, on average, one that it answers.
 func BenchmarkNodeSecond(b *testing.B) {
 	for _, n := range []int{8, 50, 150, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
