--- a/pkg/sagesync/bench_test.go
+++ b/pkg/sagesync/bench_test.go
@@ -10,14 +10,14 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// things is the number of things of the size that the design is for: 32,000 client accounts, 2,300
-// runners, routes, sets and data centres.
-const things = 34_500
+// thingCount is the number of things in a configuration of the design size: 32,000 client accounts,
+// 2,300 runners, and routes, sets and data centres.
+const thingCount = 34_500
 
-// large returns a replica at that size.
-func large(c *clock) *Replica {
+// newLargeReplica returns a replica of the design size.
+func newLargeReplica(c *clock) *Replica {
 	s := sageconfig.NewState()
-	for i := range things {
+	for i := range thingCount {
 		s.Apply(sageconfig.Entry{Number: 1, Change: sageconfig.Change{
 			Thing:         sageconfig.Thing{Kind: sageconfig.KindClientAccount, Name: fmt.Sprintf("account-%d", i)},
 			ClientAccount: &sageconfig.ClientAccount{KeySHA256: fmt.Sprintf("%x", sha256.Sum256([]byte{byte(i), byte(i >> 8)})), Weight: 1},
@@ -28,7 +28,7 @@
 	return r
 }
 
-// benchTicket takes a data centre out or in.
+// benchTicket returns a ticket that takes a data centre into or out of service.
 func benchTicket(i int) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: uint64(i + 2), Changes: []sageconfig.Change{{
 		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "derby"},
@@ -43,10 +43,10 @@
 	}}}
 }
 
-// BenchmarkIdle is an exchange between nodes that hold the same.
+// BenchmarkIdle measures an exchange between nodes that hold the same revision.
 func BenchmarkIdle(b *testing.B) {
 	c := &clock{start}
-	n, peer := large(c), large(c)
+	n, peer := newLargeReplica(c), newLargeReplica(c)
 	b.ReportAllocs()
 	for b.Loop() {
 		n.Delta(peer.Digest(), 16<<10)
@@ -54,10 +54,10 @@
 	b.ReportMetric(float64(len(peer.Digest())), "digest-bytes")
 }
 
-// BenchmarkMerge brings one ticket from node to node.
+// BenchmarkMerge measures the transfer of one ticket from node to node.
 func BenchmarkMerge(b *testing.B) {
 	c := &clock{start}
-	n, peer := large(c), large(c)
+	n, peer := newLargeReplica(c), newLargeReplica(c)
 	b.ReportAllocs()
 	size := 0
 	for rev := uint64(2); b.Loop(); rev++ {
@@ -71,10 +71,11 @@
 	b.ReportMetric(float64(size), "delta-bytes")
 }
 
-// BenchmarkCopy transfers the whole state to a node that boots during an outage.
+// BenchmarkCopy measures the transfer of the complete state to a node that starts during an outage of
+// the store.
 func BenchmarkCopy(b *testing.B) {
 	c := &clock{start}
-	peer := large(c)
+	peer := newLargeReplica(c)
 	b.ReportAllocs()
 	exchanges, size := 0, 0
 	for b.Loop() {
@@ -92,12 +93,12 @@
 	b.ReportMetric(float64(size), "bytes")
 }
 
-// BenchmarkHeld reports what a replica of that size holds, read as from the store, and what is live
-// while a ticket is taken into force.
+// BenchmarkHeld reports the heap memory that a state of the design size holds when decoded from the
+// store, and that during the application of a ticket.
 func BenchmarkHeld(b *testing.B) {
 	c := &clock{start}
-	one, _ := large(c).Current().State.Get(sageconfig.Thing{Kind: sageconfig.KindClientAccount, Name: "account-1"})
-	raw := encode(one)
+	entry, _ := newLargeReplica(c).Current().State.Get(sageconfig.Thing{Kind: sageconfig.KindClientAccount, Name: "account-1"})
+	raw := encode(entry)
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -108,7 +109,7 @@
 	for b.Loop() {
 		before := heap()
 		s := sageconfig.NewState()
-		for i := range things {
+		for i := range thingCount {
 			e, err := decodeEntry(raw)
 			if err != nil {
 				b.Fatal(err)
--- a/pkg/sagesync/contact.go
+++ b/pkg/sagesync/contact.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// noteContacts takes in when the nodes of the roster were last there, by their own clocks. Names
-// outside the roster are passed over, and so are instants ahead of the own clock: they would count as
-// contact for too long.
-func (r *Replica) noteContacts(contacts map[string]int64) {
-	limit := r.Now().Add(maxSkew)
+// mergeContacts merges a peer's last contacts to the roster nodes, each given by the clock of that
+// node. It ignores names outside the roster, and instants too far ahead of the local clock, which would
+// count as contact for too long.
+func (r *Replica) mergeContacts(contacts map[string]int64) {
+	latest := r.Now().Add(maxSkew)
 	for _, name := range r.Roster {
 		at := time.UnixMilli(contacts[name])
-		if contacts[name] == 0 || at.After(limit) || !at.After(r.contacts[name]) {
+		if contacts[name] == 0 || at.After(latest) || !at.After(r.contacts[name]) {
 			continue
 		}
 		if r.contacts == nil {
@@ -19,7 +19,7 @@
 	}
 }
 
-// ownContacts returns the newest known instants of the roster, this node's own among them.
+// ownContacts returns the newest known contact to each roster node, including this node itself.
 func (r *Replica) ownContacts() map[string]int64 {
 	if len(r.Roster) == 0 {
 		return nil
@@ -36,19 +36,19 @@
 	return c
 }
 
-// contact returns the latest instant at which this node had contact to most of the roster, the zero
-// time without a roster.
-func (r *Replica) contact() time.Time {
+// quorumContact returns the latest instant at which this node had contact to a majority of the roster,
+// the zero time without a roster.
+func (r *Replica) quorumContact() time.Time {
 	if len(r.Roster) == 0 {
 		return time.Time{}
 	}
 	now := r.Now()
-	heard := make([]time.Time, len(r.Roster))
+	lastContacts := make([]time.Time, len(r.Roster))
 	for i, name := range r.Roster {
-		heard[i] = r.contacts[name]
+		lastContacts[i] = r.contacts[name]
 		if name == r.Self {
-			heard[i] = now
+			lastContacts[i] = now
 		}
 	}
-	return QuorumAt(now, heard)
+	return QuorumAt(now, lastContacts)
 }
--- a/pkg/sagesync/fuzz_test.go
+++ b/pkg/sagesync/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzPeer: whatever another node sends as digest or delta, this one neither panics nor takes over a
-// configuration that nobody accepted, and its answer keeps to the budget.
+// FuzzPeer checks that arbitrary bytes as a peer's digest or delta never cause a panic or an invalid
+// configuration, and that the answer stays within the budget.
 func FuzzPeer(f *testing.F) {
 	now := func() time.Time { return time.Unix(1e9, 0) }
 	f.Add([]byte("{}"))
--- a/pkg/sagesync/rule.go
+++ b/pkg/sagesync/rule.go
@@ -10,42 +10,44 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrBadRule reports settings of the freshness rule that can't be used.
+// ErrBadRule reports invalid settings of the freshness rule.
 var ErrBadRule = errors.New("malformed freshness rule")
 
-// IsolationPolicy says what a node serves that can't know of new tickets any more.
+// IsolationPolicy says what an isolated node serves: one that has no fresh evidence and so may miss new
+// tickets.
 type IsolationPolicy string
 
-// The ways. Which promise each keeps is set out in docs/design/distribution.md.
+// The policies. docs/design/distribution.md states the guarantees of each.
 const (
-	// IsolatedServe goes on with the newest known configuration.
+	// IsolatedServe continues to serve with the newest known configuration.
 	IsolatedServe IsolationPolicy = "serve"
 	// IsolatedIdempotent serves idempotent requests only.
 	IsolatedIdempotent IsolationPolicy = "idempotent_only"
-	// IsolatedFence refuses everything.
+	// IsolatedFence refuses all requests.
 	IsolatedFence IsolationPolicy = "fence"
-	// IsolatedQuorum takes recent contact to most of the roster for freshness, in service and in the
-	// acceptance of tickets, and refuses everything without it.
+	// IsolatedQuorum accepts recent contact to a majority of the roster in place of fresh evidence.
+	// Without such contact the node accepts no tickets, and without either it refuses all requests.
 	IsolatedQuorum IsolationPolicy = "quorum"
 )
 
-// Rule decides what a node may serve from how fresh its configuration is.
+// Rule decides what a node may serve, depending on how fresh its configuration is.
 type Rule struct {
 	Isolated IsolationPolicy
-	// Freshness is how old the newest evidence may be before the node counts as isolated.
+	// MaxEvidenceAge is the age of the newest evidence above which the node counts as isolated.
 	MaxEvidenceAge time.Duration
-	// CatchUp is how long a node may serve the revision it has after it heard of a higher one.
+	// CatchUpTimeout is how long a node may serve its revision after it has observed a higher one.
 	CatchUpTimeout time.Duration
 }
 
-// The defaults of the periods. Evidence is renewed every two seconds and reaches the last of 400
-// nodes some exchange rounds later; see docs/design/distribution.md.
+// The default periods. Evidence is renewed every two seconds and reaches the last of 400 nodes some
+// exchange rounds later; see docs/design/distribution.md.
 const (
 	DefaultMaxEvidenceAge = 10 * time.Second
 	DefaultCatchUpTimeout = 3 * time.Second
 )
 
-// Check reports an unknown way or a period that is not above zero.
+// Check returns an error that wraps [ErrBadRule] for an unknown policy or a period that is not above
+// zero.
 func (r Rule) Check() error {
 	switch r.Isolated {
 	case IsolatedServe, IsolatedIdempotent, IsolatedFence, IsolatedQuorum:
@@ -53,47 +55,50 @@
 		return fmt.Errorf("isolated %q (want serve, idempotent_only, fence or quorum): %w", r.Isolated, ErrBadRule)
 	}
 	if r.MaxEvidenceAge <= 0 || r.CatchUpTimeout <= 0 {
-		return fmt.Errorf("freshness %v, catch up %v (want above 0): %w", r.MaxEvidenceAge, r.CatchUpTimeout, ErrBadRule)
+		return fmt.Errorf("maximum evidence age %v, catch-up timeout %v (want above 0): %w", r.MaxEvidenceAge, r.CatchUpTimeout, ErrBadRule)
 	}
 	return nil
 }
 
 // Status is what a node knows about its configuration.
 type Status struct {
-	// Revision is that of the served state, 0 before there is one.
+	// Revision is the served revision, 0 before there is one.
 	Revision uint64
-	// Heard is the highest revision heard of.
+	// Observed is the highest revision known to exist.
 	Observed uint64
-	// BehindSince is when the node first heard of a revision that it still lacks; zero if none.
+	// BehindSince is when the node first observed a revision that it doesn't hold yet; zero if it holds
+	// all it has observed.
 	BehindSince time.Time
-	// ConfirmedAt is the latest instant at which the store is known to have had no higher revision.
+	// ConfirmedAt is the latest instant at which the store is known to have had no revision above
+	// Revision.
 	ConfirmedAt time.Time
-	// QuorumAt is the latest instant at which the node had contact to most of the roster.
+	// QuorumAt is the latest instant at which the node had contact to a majority of the roster.
 	QuorumAt time.Time
 }
 
-// ServiceLevel is the extent of service.
+// ServiceLevel says which requests a node serves.
 type ServiceLevel int
 
-// The extents.
+// The service levels.
 const (
 	ServeNothing ServiceLevel = iota
 	ServeIdempotent
 	ServeAll
 )
 
-// Decision is what a node may serve and, if not everything, why.
+// Decision is what a node may serve and, unless it may serve everything, the refusal for the rest.
 type Decision struct {
 	Level   ServiceLevel
 	Refusal *sagewire.Refusal
 }
 
-// Judge says what may be served at now. A refusal's RetryAt is when asking again can help.
+// Evaluate decides what may be served at now. The RetryAt of a refusal is when a retry may succeed.
 //
-// A node without any configuration serves nothing. A node that has heard of a higher revision serves
-// its own only until CatchUp has passed: without this guard a node whose transfers keep failing
-// would send work to a data centre that it could know to be out of service. A node without fresh
-// evidence serves what Isolated says: it may have missed a ticket without hearing of it.
+// A node without a configuration serves nothing. A node that has observed a higher revision serves its
+// own only until CatchUpTimeout has passed. Without this limit, a node whose transfers keep failing
+// would send requests to a data centre that is known to be out of service. A node without fresh
+// evidence follows the isolation policy, because it may have missed a ticket without observing its
+// revision.
 func (r Rule) Evaluate(now time.Time, s Status) Decision {
 	retry := now.Add(r.CatchUpTimeout)
 	if s.Revision == 0 {
@@ -103,40 +108,39 @@
 		detail := fmt.Sprintf("at revision %d, heard of %d", s.Revision, s.Observed)
 		return Decision{Refusal: sagewire.Refuse(sagewire.ReasonStale, detail, retry)}
 	}
-	fresh := s.ConfirmedAt
-	if r.Isolated == IsolatedQuorum && s.QuorumAt.After(fresh) {
-		fresh = s.QuorumAt
+	freshAt := s.ConfirmedAt
+	if r.Isolated == IsolatedQuorum && s.QuorumAt.After(freshAt) {
+		freshAt = s.QuorumAt
 	}
-	if r.Isolated == IsolatedServe || !now.After(fresh.Add(r.MaxEvidenceAge)) {
+	if r.Isolated == IsolatedServe || !now.After(freshAt.Add(r.MaxEvidenceAge)) {
 		return Decision{Level: ServeAll}
 	}
-	ref := sagewire.Refuse(sagewire.ReasonStale, "no fresh evidence that this configuration is the newest", retry)
+	refusal := sagewire.Refuse(sagewire.ReasonStale, "no fresh evidence that this configuration is the newest", retry)
 	if r.Isolated == IsolatedIdempotent {
-		return Decision{Level: ServeIdempotent, Refusal: ref}
+		return Decision{Level: ServeIdempotent, Refusal: refusal}
 	}
-	return Decision{Refusal: ref}
+	return Decision{Refusal: refusal}
 }
 
-// MayAccept reports whether a node with that standing may accept tickets at now. Under the quorum
-// rule an acceptor needs contact to most of the roster, as service without evidence does, so that
-// the two always share a node.
+// MayAccept reports whether a node with status s may accept tickets at now. Under [IsolatedQuorum] both
+// this and serving without fresh evidence need contact to a majority of the roster, so that the two
+// majorities always share a node.
 func (r Rule) MayAccept(now time.Time, s Status) bool {
 	return r.Isolated != IsolatedQuorum || !now.After(s.QuorumAt.Add(r.MaxEvidenceAge))
 }
 
-// QuorumAt returns the latest instant since which this node has had contact to most of a roster,
-// given when it last heard of each of its nodes, directly or through others: now for itself if it is
-// in the roster, zero for one never heard of. Without a roster there is nobody to lose: it returns
-// now.
+// QuorumAt returns the latest instant since which this node has had contact to a majority of a roster.
+// It is given the last contact, direct or through other nodes, to each roster node: now for this node
+// itself, zero for a node that was never in contact. Without a roster it returns now.
 //
-// The roster must be the same on all nodes and hold those that are out of sight too. Counted among
-// the visible ones only, a cut-off minority would always find itself complete; and two nodes that
-// each add themselves to an even roster could both count a half of it as most.
-func QuorumAt(now time.Time, heard []time.Time) time.Time {
-	if len(heard) == 0 {
+// The roster must be the same on all nodes and include the unreachable ones. If only reachable nodes
+// counted, an isolated minority would always consider itself complete. If each node added itself to a
+// roster of even size, two halves could both count as a majority.
+func QuorumAt(now time.Time, lastContacts []time.Time) time.Time {
+	if len(lastContacts) == 0 {
 		return now
 	}
-	h := slices.Clone(heard)
-	slices.SortFunc(h, func(a, b time.Time) int { return b.Compare(a) })
-	return h[len(h)/2]
+	sorted := slices.Clone(lastContacts)
+	slices.SortFunc(sorted, func(a, b time.Time) int { return b.Compare(a) })
+	return sorted[len(sorted)/2]
 }
--- a/pkg/sagesync/rule_test.go
+++ b/pkg/sagesync/rule_test.go
@@ -10,15 +10,15 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-func TestJudge(t *testing.T) {
+func TestRuleEvaluate(t *testing.T) {
 	now := start.Add(time.Hour)
 	ago := func(s int) time.Time { return now.Add(-time.Duration(s) * time.Second) }
 	fresh := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(2)}
-	old := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60)}
-	met := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60), QuorumAt: ago(1)}
+	stale := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60)}
+	inQuorum := Status{Revision: 5, Observed: 5, ConfirmedAt: ago(60), QuorumAt: ago(1)}
 	lagging := Status{Revision: 5, Observed: 6, ConfirmedAt: ago(2), BehindSince: ago(1)}
 	behind := Status{Revision: 5, Observed: 6, ConfirmedAt: ago(2), BehindSince: ago(4)}
-	ways := []IsolationPolicy{IsolatedServe, IsolatedIdempotent, IsolatedFence, IsolatedQuorum}
+	policies := []IsolationPolicy{IsolatedServe, IsolatedIdempotent, IsolatedFence, IsolatedQuorum}
 	for _, c := range []struct {
 		name   string
 		s      Status
@@ -26,16 +26,16 @@
 		reason sagewire.Reason
 	}{
 		{"fresh", fresh, [4]ServiceLevel{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
-		{"old", old, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeNothing}, sagewire.ReasonStale},
-		{"old, contact to most", met, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeAll}, sagewire.ReasonStale},
-		{"just heard of a newer one", lagging, [4]ServiceLevel{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
-		{"heard of a newer one", behind, [4]ServiceLevel{}, sagewire.ReasonStale},
-		{"none", Status{Observed: 3, ConfirmedAt: now, QuorumAt: now}, [4]ServiceLevel{}, sagewire.ReasonNoConfig},
+		{"stale", stale, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeNothing}, sagewire.ReasonStale},
+		{"stale, contact to a majority", inQuorum, [4]ServiceLevel{ServeAll, ServeIdempotent, ServeNothing, ServeAll}, sagewire.ReasonStale},
+		{"newer revision observed within the catch-up timeout", lagging, [4]ServiceLevel{ServeAll, ServeAll, ServeAll, ServeAll}, ""},
+		{"newer revision observed before the catch-up timeout", behind, [4]ServiceLevel{}, sagewire.ReasonStale},
+		{"no configuration", Status{Observed: 3, ConfirmedAt: now, QuorumAt: now}, [4]ServiceLevel{}, sagewire.ReasonNoConfig},
 	} {
-		for i, way := range ways {
-			r := Rule{Isolated: way, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
+		for i, policy := range policies {
+			r := Rule{Isolated: policy, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
 			v := r.Evaluate(now, c.s)
-			name := fmt.Sprintf("%s, %s", c.name, way)
+			name := fmt.Sprintf("%s, %s", c.name, policy)
 			assert.Equal(t, c.want[i], v.Level, name)
 			if v.Level == ServeAll {
 				assert.Nil(t, v.Refusal, name)
@@ -46,21 +46,21 @@
 			assert.True(t, v.Refusal.RetryAt.After(now), name)
 		}
 	}
-	q := Rule{Isolated: IsolatedQuorum, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
-	assert.True(t, q.MayAccept(now, met))
-	assert.False(t, q.MayAccept(now, fresh), "no contact to most of the roster")
+	quorumRule := Rule{Isolated: IsolatedQuorum, MaxEvidenceAge: DefaultMaxEvidenceAge, CatchUpTimeout: DefaultCatchUpTimeout}
+	assert.True(t, quorumRule.MayAccept(now, inQuorum))
+	assert.False(t, quorumRule.MayAccept(now, fresh), "no contact to a majority of the roster")
 	assert.True(t, Rule{Isolated: IsolatedFence, MaxEvidenceAge: time.Second}.MayAccept(now, fresh))
 }
 
-// Two sides of a partition must not both count as most of the roster.
+// Guards against two sides of a partition that both count as the majority of the roster.
 func TestQuorumAt(t *testing.T) {
 	now := start.Add(time.Hour)
 	var never time.Time
 	old := now.Add(-time.Minute)
 	for _, c := range []struct {
-		name  string
-		heard []time.Time
-		want  time.Time
+		name         string
+		lastContacts []time.Time
+		want         time.Time
 	}{
 		{"no roster", nil, now},
 		{"itself only", []time.Time{now}, now},
@@ -71,7 +71,7 @@
 		{"three of five", []time.Time{now, now, now, never, never}, now},
 		{"two of five", []time.Time{now, never, now, never, old}, old},
 	} {
-		assert.Equal(t, c.want, QuorumAt(now, c.heard), c.name)
+		assert.Equal(t, c.want, QuorumAt(now, c.lastContacts), c.name)
 	}
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// The store's limit on calls depends on there being few watchers, and freshness on there being some,
-// whoever leaves.
+// Guards against too many watchers, which exceed the store's limit on calls, and against too few,
+// without which no node gets fresh evidence, whichever node leaves.
 func TestWatchers(t *testing.T) {
 	var live []string
 	for i := range 45 {
@@ -114,6 +114,6 @@
 		}
 		assert.GreaterOrEqual(t, kept, 1, "at most one watch moves when %s leaves", gone)
 	}
-	assert.True(t, IsWatcher("alone", nil, 2), "a node that knows of nobody watches itself")
+	assert.True(t, IsWatcher("alone", nil, 2), "a node that knows no other node is a watcher")
 	assert.Len(t, Watchers([]string{"a"}, 2), 1)
 }
--- a/pkg/sagesync/section.go
+++ b/pkg/sagesync/section.go
@@ -8,12 +8,12 @@
 
 var _ sagegossip.Section = (*Replica)(nil)
 
-// envelope bounds what a delta needs beside its payload, in bytes: mainly the names of two things of
-// the greatest length, or of a fragment's whole.
-const envelope = 800
+// envelopeBytes bounds the size of a delta without its payload: mainly the names of two things of the
+// greatest length, or the ID of a fragment.
+const envelopeBytes = 800
 
-// minPayload is the least payload that is worth sending.
-const minPayload = 64
+// minPayloadBytes is the smallest payload that is worth sending.
+const minPayloadBytes = 64
 
 // Name implements [sagegossip.Section].
 func (r *Replica) Name() string { return SectionName }
@@ -22,29 +22,30 @@
 func (r *Replica) Digest() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := digest{Revision: r.Current().Revision, Heard: r.heard, Evidence: r.evidence, Partial: r.part.digest(), Contacts: r.ownContacts()}
-	if r.copying != nil {
-		d.Copy = r.copying.digest()
+	d := digest{Revision: r.Current().Revision, Observed: r.observed, Evidence: r.evidence, Partial: r.reassembly.digest(), Contacts: r.ownContacts()}
+	if r.transfer != nil {
+		d.Transfer = r.transfer.digest()
 	}
 	return encode(&d)
 }
 
-// Delta implements [sagegossip.Section]: the records that the peer lacks if the tail reaches back to
-// them, else the next chunk of the state. What the peer's digest says is taken in as hearsay.
+// Delta implements [sagegossip.Section]. It returns the records that the peer lacks if the tail holds
+// them all, and otherwise the next chunk of the state. It also merges the revisions, evidence and
+// contacts in the peer's digest.
 func (r *Replica) Delta(peer []byte, budget int) []byte {
 	p := decodeDigest(peer)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hear(max(p.Revision, p.Heard))
+	r.observe(max(p.Revision, p.Observed))
 	r.confirm(p.Evidence)
-	r.noteContacts(p.Contacts)
+	r.mergeContacts(p.Contacts)
 	var d delta
 	if r.evidence.At.After(p.Evidence.At) {
 		d.Evidence = r.evidence
 	}
-	payload := budget - envelope
-	if payload >= minPayload && r.Current().Revision > p.Revision {
-		if r.needsCopy(&p) {
+	payload := budget - envelopeBytes
+	if payload >= minPayloadBytes && r.Current().Revision > p.Revision {
+		if r.needsChunk(&p) {
 			return r.packChunk(d, &p, budget)
 		}
 		r.fillRecords(&d, &p, payload)
@@ -58,32 +59,32 @@
 	return nil
 }
 
-// from returns the revision above which a peer needs records.
-func (p *digest) from() uint64 {
-	if p.Copy != nil && p.Copy.Done {
-		return p.Copy.Base
+// baseRevision returns the revision above which the peer needs records.
+func (p *digest) baseRevision() uint64 {
+	if p.Transfer != nil && p.Transfer.Done {
+		return p.Transfer.Base
 	}
 	return p.Revision
 }
 
-// needsCopy reports whether a peer needs the next chunk of the state: it has begun a copy, or the
-// tail doesn't reach back to what it has.
-func (r *Replica) needsCopy(p *digest) bool {
-	if p.Copy != nil && !p.Copy.Done {
+// needsChunk reports whether the peer needs the next chunk of the state: it has begun a transfer, or
+// the tail doesn't reach back to its revision.
+func (r *Replica) needsChunk(p *digest) bool {
+	if p.Transfer != nil && !p.Transfer.Done {
 		return true
 	}
-	from := p.from()
-	return from < r.Current().Revision && (len(r.tail) == 0 || from+1 < r.tail[0].revision)
+	base := p.baseRevision()
+	return base < r.Current().Revision && (len(r.tail) == 0 || base+1 < r.tail[0].revision)
 }
 
-// packChunk returns d with as much of the next chunk as fits the budget once compressed.
+// packChunk returns d with as much of the next chunk as fits the budget after compression.
 func (r *Replica) packChunk(d delta, p *digest, budget int) []byte {
-	c := p.Copy
-	if c != nil && c.Done {
-		c = nil
+	t := p.Transfer
+	if t != nil && t.Done {
+		t = nil
 	}
 	for _, ratio := range packRatios {
-		d.Chunk = r.chunkFor(c, p.Partial, (budget-envelope)*ratio)
+		d.Chunk = r.nextChunk(t, p.Partial, (budget-envelopeBytes)*ratio)
 		if b := pack(encode(&d)); len(b) <= budget {
 			return b
 		}
@@ -91,17 +92,18 @@
 	return nil
 }
 
-// fillRecords adds the records that the peer lacks, or a fragment of the first.
+// fillRecords adds the records that the peer lacks, or a fragment of the first if that exceeds the
+// payload.
 func (r *Replica) fillRecords(d *delta, p *digest, payload int) {
-	from := p.from()
-	if from >= r.Current().Revision {
+	base := p.baseRevision()
+	if base >= r.Current().Revision {
 		return
 	}
 	size := 0
-	for _, rec := range r.tail[from+1-r.tail[0].revision:] {
+	for _, rec := range r.tail[base+1-r.tail[0].revision:] {
 		if size += len(rec.raw) + 1; size > payload {
 			if len(d.Records) == 0 {
-				d.Fragment = cutFragment(fmt.Sprintf("record/%d", rec.revision), rec.raw, p.Partial, payload*3/4)
+				d.Fragment = nextFragment(fmt.Sprintf("record/%d", rec.revision), rec.raw, p.Partial, payload*3/4)
 			}
 			return
 		}
@@ -119,8 +121,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d.Fragment != nil {
-		if whole := r.part.take(d.Fragment); whole != nil {
-			raws = append(raws, whole)
+		if data := r.reassembly.add(d.Fragment); data != nil {
+			raws = append(raws, data)
 		}
 	}
 	recs := make([]record, 0, len(raws))
@@ -136,9 +138,9 @@
 			return fmt.Errorf("merge: %w", err)
 		}
 	}
-	if r.copying != nil {
-		r.copying.follow(recs)
-		r.finishCopy()
+	if r.transfer != nil {
+		r.transfer.applyRecords(recs)
+		r.finishTransfer()
 	}
 	r.applyRecords(recs)
 	r.confirm(d.Evidence)
--- a/pkg/sagesync/watcher.go
+++ b/pkg/sagesync/watcher.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Watchers returns the n nodes of live that watch the store for their data centre: those of the
-// highest rendezvous weight. Nodes that agree on who is live agree on the watchers; a node that
-// leaves or joins moves at most one watch. Nodes that disagree only cost a few watches more.
+// Watchers returns the n nodes of live that watch the store for their data centre: those with the
+// highest rendezvous hashing weight. Nodes with the same view of live choose the same watchers, and a
+// node that leaves or joins moves at most one watch. Different views only cause a few more watches.
 func Watchers(live []string, n int) []string {
 	w := append([]string(nil), live...)
 	sort.Slice(w, func(i, j int) bool {
@@ -23,17 +23,17 @@
 
 func weight(node string) uint64 { return xxhash.Sum64String("config-watcher/" + node) }
 
-// IsWatcher reports whether node is one of the n watchers. A node that is not among live, as when it
-// has just started, is counted in.
+// IsWatcher reports whether node is one of the n watchers. The node counts as live even if it isn't in
+// live yet, for instance because it has just started.
 func IsWatcher(node string, live []string, n int) bool {
-	above := 0
-	for _, o := range live {
-		if o == node {
+	higher := 0
+	for _, other := range live {
+		if other == node {
 			continue
 		}
-		if a, b := weight(o), weight(node); a > b || a == b && o < node {
-			above++
+		if a, b := weight(other), weight(node); a > b || a == b && other < node {
+			higher++
 		}
 	}
-	return above < n
+	return higher < n
 }
--- a/pkg/sagesync/wire.go
+++ b/pkg/sagesync/wire.go
@@ -13,59 +13,59 @@
 // ErrBadDelta reports a delta that can't be merged.
 var ErrBadDelta = errors.New("malformed configuration delta")
 
-// Evidence says that at an instant the store's newest revision was Revision.
+// Evidence states that Revision was the newest revision in the store at the instant At.
 type Evidence struct {
 	Revision uint64    `json:"revision"`
 	At       time.Time `json:"at"`
 }
 
-// digest tells a peer what this node holds and where an unfinished transfer stands.
+// digest tells a peer what this node holds and how far an unfinished transfer has come.
 type digest struct {
 	Revision uint64   `json:"revision"`
-	Heard    uint64   `json:"heard"`
+	Observed uint64   `json:"heard"`
 	Evidence Evidence `json:"evidence,omitzero"`
-	// Contacts says when the nodes of the roster were last there, in milliseconds of Unix time.
+	// Contacts holds the last known contact to each roster node, in milliseconds of Unix time.
 	Contacts map[string]int64 `json:"contacts,omitempty"`
-	// Partial is the unfinished fragmented piece, nil if there is none.
-	Partial *partial `json:"partial,omitempty"`
-	// Copy describes an unfinished transfer of the state; nil if none is under way.
-	Copy *copyDigest `json:"copy,omitempty"`
+	// Partial describes an incomplete fragmented record or entry, nil if there is none.
+	Partial *partialDigest `json:"partial,omitempty"`
+	// Transfer describes an unfinished state transfer, nil if there is none.
+	Transfer *transferDigest `json:"copy,omitempty"`
 }
 
-// copyDigest is the receiver's side of a transfer of the state. While it is not Done, the next
-// chunk is the one after the cursor After; then the records above Base are needed.
-type copyDigest struct {
+// transferDigest is the receiver's progress in a state transfer. Until Done, the next chunk starts
+// after the cursor After; from then on, the records above Base are needed.
+type transferDigest struct {
 	After string `json:"after,omitempty"`
 	Done  bool   `json:"done,omitempty"`
 	Base  uint64 `json:"base"`
 }
 
-// delta is what one exchange brings.
+// delta is the data that one exchange brings to a node.
 type delta struct {
 	Evidence Evidence `json:"evidence,omitzero"`
-	// Records holds consecutive encoded records.
+	// Records holds encoded records of consecutive revisions.
 	Records  []json.RawMessage `json:"records,omitempty"`
 	Fragment *fragment         `json:"fragment,omitempty"`
 	Chunk    *chunk            `json:"chunk,omitempty"`
 }
 
-// partial tells how much of a fragmented piece has arrived.
-type partial struct {
-	Of   string `json:"of"`
-	Have int    `json:"have"`
+// partialDigest says how many bytes of a fragmented record or entry have been received.
+type partialDigest struct {
+	ID       string `json:"of"`
+	Received int    `json:"have"`
 }
 
-// fragment is a part of a record or entry that exceeds the byte budget of one exchange. Of names
-// the whole; wholes of one name have one content on every node.
+// fragment is a part of a record or entry that exceeds the byte budget of one exchange. ID names the
+// record or entry; data with the same ID has the same content on every node.
 type fragment struct {
-	Of     string `json:"of"`
+	ID     string `json:"of"`
 	Offset int    `json:"offset"`
 	Total  int    `json:"total"`
 	Bytes  []byte `json:"bytes"`
 }
 
-// chunk holds the entries of the state at Revision, in the order of things, above After up to Last;
-// or, when the one next entry exceeds the budget, a fragment of it.
+// chunk holds the entries of the state at Revision, sorted by thing, from after After up to Last. If
+// the next entry alone exceeds the budget, the chunk holds a fragment of it instead.
 type chunk struct {
 	Revision uint64            `json:"revision"`
 	After    string            `json:"after,omitempty"`
@@ -78,7 +78,7 @@
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic("sagesync: wire types always encode: " + err.Error())
+		panic("sagesync: encode wire type: " + err.Error())
 	}
 	return b
 }
@@ -91,13 +91,14 @@
 	return d
 }
 
-// maxFragmented bounds the record that a peer may announce in fragments.
-const maxFragmented = 2 * sageconfig.MaxTicketBytes
+// maxFragmentedBytes bounds the total size of a record or entry that a peer sends in fragments.
+const maxFragmentedBytes = 2 * sageconfig.MaxTicketBytes
 
-// Check reports a fragment that lies outside its record.
+// Check returns an error if the fragment lies outside the data that it is part of, or the data is too
+// large.
 func (f *fragment) Check() error {
-	if f.Total <= 0 || f.Total > maxFragmented || f.Offset < 0 || f.Offset > f.Total-len(f.Bytes) {
-		return fmt.Errorf("fragment at %d of %d: %w", f.Offset, f.Total, ErrBadDelta)
+	if f.Total <= 0 || f.Total > maxFragmentedBytes || f.Offset < 0 || f.Offset > f.Total-len(f.Bytes) {
+		return fmt.Errorf("fragment at offset %d of %d bytes is out of bounds: %w", f.Offset, f.Total, ErrBadDelta)
 	}
 	return nil
 }
@@ -105,10 +106,10 @@
 func decodeEntry(b []byte) (sageconfig.Entry, error) {
 	var e sageconfig.Entry
 	if err := json.Unmarshal(b, &e); err != nil {
-		return e, fmt.Errorf("entry: %v: %w", err, ErrBadDelta)
+		return e, fmt.Errorf("decode entry: %v: %w", err, ErrBadDelta)
 	}
 	if err := e.Change.Check(); err != nil || e.Number == 0 {
-		return e, fmt.Errorf("entry %d: %v: %w", e.Number, err, ErrBadDelta)
+		return e, fmt.Errorf("invalid entry %d: %v: %w", e.Number, err, ErrBadDelta)
 	}
 	return e, nil
 }
@@ -128,7 +129,7 @@
 	return d, nil
 }
 
-// Check reports a fragment that lies outside its whole.
+// Check returns an error if a fragment in the delta is invalid.
 func (d *delta) Check() error {
 	if d.Fragment != nil {
 		if err := d.Fragment.Check(); err != nil {
