--- a/pkg/sagelease/keeper_test.go
+++ b/pkg/sagelease/elector_test.go
@@ -13,66 +13,68 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-func keeper(st sageobject.Store, holder string) *Elector {
+func newElector(st sageobject.Store, holder string) *Elector {
 	return &Elector{Store: st, Key: "lease/x", Holder: holder, Term: 10 * time.Second, Margin: 3 * time.Second, MaxDeliveryDelay: 4 * time.Second}
 }
 
-func step(t *testing.T, k *Elector) {
+func acquireOrRenew(t *testing.T, e *Elector) {
 	t.Helper()
-	require.NoError(t, k.AcquireOrRenew(t.Context()))
+	require.NoError(t, e.AcquireOrRenew(t.Context()))
 }
 
-func holds(k *Elector, checks bool) uint64 {
-	p, err := k.Permit(time.Now(), checks)
+func heldFencing(e *Elector, checks bool) uint64 {
+	p, err := e.Permit(time.Now(), checks)
 	if err != nil {
 		return 0
 	}
 	return p.Fencing
 }
 
-// An engine gets orders from two nodes at once: the first is paused past its lease, the second takes
-// over, and the first wakes up and goes on. It stops by its own clock, before the second may begin.
+// Guards against an engine that gets orders from two nodes: the first is paused past its lease, the
+// second takes over, and the first continues. The first must stop by its own clock before the second
+// may act.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
-		a, b := keeper(st, "a"), keeper(st, "b")
-		step(t, a)
-		step(t, b)
-		assert.EqualValues(t, 1, holds(a, true))
-		assert.Zero(t, holds(b, true))
+		a, b := newElector(st, "a"), newElector(st, "b")
+		acquireOrRenew(t, a)
+		acquireOrRenew(t, b)
+		assert.EqualValues(t, 1, heldFencing(a, true))
+		assert.Zero(t, heldFencing(b, true))
 		time.Sleep(a.Term - a.Margin - 1)
-		assert.EqualValues(t, 1, holds(a, true))
+		assert.EqualValues(t, 1, heldFencing(a, true))
 		time.Sleep(time.Nanosecond)
-		assert.Zero(t, holds(a, true), "a margin before the end")
+		assert.Zero(t, heldFencing(a, true), "no action within the margin before the end")
 
-		step(t, b)
-		assert.Zero(t, holds(b, true), "not before a whole term was seen")
+		acquireOrRenew(t, b)
+		assert.Zero(t, heldFencing(b, true), "no takeover before a complete term was observed")
 		time.Sleep(a.Margin + a.Term/driftDivisor + 1)
-		step(t, b)
-		assert.EqualValues(t, 2, holds(b, true))
-		assert.Zero(t, holds(b, false), "what the first sent may still be on its way")
-		step(t, a)
-		assert.Zero(t, holds(a, true))
+		acquireOrRenew(t, b)
+		assert.EqualValues(t, 2, heldFencing(b, true))
+		assert.Zero(t, heldFencing(b, false), "actions of the first holder may still arrive")
+		acquireOrRenew(t, a)
+		assert.Zero(t, heldFencing(a, true))
 		time.Sleep(b.MaxDeliveryDelay)
-		assert.EqualValues(t, 2, holds(b, false))
-		step(t, b)
-		assert.EqualValues(t, 2, holds(b, false), "renewing keeps the number")
+		assert.EqualValues(t, 2, heldFencing(b, false))
+		acquireOrRenew(t, b)
+		assert.EqualValues(t, 2, heldFencing(b, false), "renewing keeps the fencing number")
 		b.Relinquish()
-		assert.Zero(t, holds(b, true))
+		assert.Zero(t, heldFencing(b, true))
 	})
 }
 
-// At no instant may two keepers act, whatever is lost and whoever pauses.
+// At no time may two electors hold the right to act, whichever writes or answers are lost and whichever
+// process is paused.
 func TestNeverTwoHolders(t *testing.T) {
 	for seed := range 30 {
 		synctest.Test(t, func(t *testing.T) {
-			n := 0
+			puts := 0
 			fault := func(op sageobject.Op, kind int, err error) error {
 				if op != sageobject.OpPut {
 					return nil
 				}
-				n++
-				if (n*7+seed*3)%11 == kind {
+				puts++
+				if (puts*7+seed*3)%11 == kind {
 					return err
 				}
 				return nil
@@ -81,13 +83,13 @@
 				Before: func(op sageobject.Op, _ string) error { return fault(op, 1, sageobject.ErrUnavailable) },
 				After:  func(op sageobject.Op, _ string) error { return fault(op, 2, sageobject.ErrUnknown) },
 			}
-			ks := []*Elector{keeper(st, "a"), keeper(st, "b"), keeper(st, "c")}
-			paused := make([]int, len(ks))
+			electors := []*Elector{newElector(st, "a"), newElector(st, "b"), newElector(st, "c")}
+			paused := make([]int, len(electors))
 			var greatest uint64
-			acted := 0
+			actions := 0
 			for i := range 400 {
 				time.Sleep(time.Second)
-				for j, k := range ks {
+				for j, e := range electors {
 					if (i*5+j*17+seed)%41 == 0 {
 						paused[j] = 13
 					}
@@ -95,63 +97,63 @@
 						continue
 					}
 					if i%2 == 0 {
-						_ = k.AcquireOrRenew(t.Context())
+						_ = e.AcquireOrRenew(t.Context())
 					}
 				}
 				var actors []uint64
-				for _, k := range ks {
-					if f := holds(k, false); f > 0 {
+				for _, e := range electors {
+					if f := heldFencing(e, false); f > 0 {
 						actors = append(actors, f)
 					}
 				}
 				require.LessOrEqual(t, len(actors), 1, "seed %d, second %d", seed, i)
 				if len(actors) == 1 {
-					acted++
+					actions++
 					require.GreaterOrEqual(t, actors[0], greatest)
 					greatest = actors[0]
 				}
 			}
-			require.Greater(t, acted, 20, "the duty is done at all")
+			require.Greater(t, actions, 20, "the duty is carried out")
 		})
 	}
 }
 
-// The answer to a renewal is lost after its effect: the holder recognizes its own write and goes on.
+// The answer to a write is lost after its effect: the holder recognizes its own write and may act.
 func TestLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lost := true
+		loseAnswers := true
 		st := &sageobject.Memory{After: func(op sageobject.Op, _ string) error {
-			if op == sageobject.OpPut && lost {
+			if op == sageobject.OpPut && loseAnswers {
 				return sageobject.ErrUnknown
 			}
 			return nil
 		}}
-		a, b := keeper(st, "a"), keeper(st, "b")
-		step(t, a)
-		assert.EqualValues(t, 1, holds(a, true))
-		step(t, b)
-		assert.Zero(t, holds(b, true))
+		a, b := newElector(st, "a"), newElector(st, "b")
+		acquireOrRenew(t, a)
+		assert.EqualValues(t, 1, heldFencing(a, true))
+		acquireOrRenew(t, b)
+		assert.Zero(t, heldFencing(b, true))
 	})
 }
 
-// The write itself is lost: the keeper must not act on a lease that the store doesn't show.
+// A write is lost: the elector must not act on a lease that the store doesn't hold.
 func TestLostWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lost := false
+		loseWrites := false
 		st := &sageobject.Memory{Before: func(op sageobject.Op, _ string) error {
-			if op == sageobject.OpPut && lost {
+			if op == sageobject.OpPut && loseWrites {
 				return sageobject.ErrUnknown
 			}
 			return nil
 		}}
-		a, b := keeper(st, "a"), keeper(st, "b")
-		step(t, a)
+		a, b := newElector(st, "a"), newElector(st, "b")
+		acquireOrRenew(t, a)
 		time.Sleep(11 * time.Second)
-		lost = true
-		step(t, b)
+		loseWrites = true
+		acquireOrRenew(t, b)
 		time.Sleep(11 * time.Second)
-		step(t, b)
-		assert.Zero(t, holds(b, true))
+		acquireOrRenew(t, b)
+		assert.Zero(t, heldFencing(b, true))
 	})
 }
 
@@ -164,15 +166,16 @@
 			}
 			return nil
 		}}
-		a := keeper(st, "a")
-		step(t, a)
-		assert.Zero(t, holds(a, true))
+		a := newElector(st, "a")
+		acquireOrRenew(t, a)
+		assert.Zero(t, heldFencing(a, true))
 	})
 }
 
-// A virtual machine is suspended: its monotonic clock stands still, the wall clock goes on. A test
-// can't make an instant whose two clocks differ; this one compares instants that have one of them.
-func TestWallClockCountsToo(t *testing.T) {
+// A lease must also end by the wall clock, since the monotonic clock stops while a VM is suspended. A
+// test can't construct an instant whose two clocks differ, so this one compares instants that have only
+// one of them.
+func TestExpiryUsesBothClocks(t *testing.T) {
 	now := time.Now()
 	wall := now.Round(0).Add(time.Minute)
 	assert.True(t, before(now, now.Add(time.Second)))
@@ -191,8 +194,8 @@
 }
 
 func ExampleElector() {
-	k := keeper(&sageobject.Memory{}, "vm1")
-	_, err := k.Permit(time.Now(), true)
+	e := newElector(&sageobject.Memory{}, "vm1")
+	_, err := e.Permit(time.Now(), true)
 	fmt.Println(err)
 	// Output: lease not held
 }
