--- a/internal/sagefollow/follower.go
+++ b/internal/sagefollow/follower.go
@@ -119,8 +119,8 @@
 		f.lacking = 0
 		f.mu.Unlock()
 		age := time.Duration(p.ProofAgeMillis) * time.Millisecond
-		f.Proof.Relayed(stamp, age)
-		f.StoreProof.Relayed(stamp, age)
+		f.Proof.RecordRelayed(stamp, age)
+		f.StoreProof.RecordRelayed(stamp, age)
 		return
 	}
 	now := f.now()
--- a/internal/sagefollow/watch.go
+++ b/internal/sagefollow/watch.go
@@ -64,8 +64,8 @@
 		return 0, fmt.Errorf("follow %s: %w", f.Kind, err)
 	}
 	f.take(since, d, true)
-	f.Proof.Own(asOf)
-	f.StoreProof.Own(asOf)
+	f.Proof.RecordRead(asOf)
+	f.StoreProof.RecordRead(asOf)
 	return len(d.Changes), nil
 }
 
--- a/internal/sagegossipd/rpc.go
+++ b/internal/sagegossipd/rpc.go
@@ -29,7 +29,7 @@
 	return &exchange.PushResponse{}, nil
 }
 
-// caller is a [sagegossip.Caller] over twirp.
+// caller is a [sagegossip.Transport] over twirp.
 type caller struct {
 	peers Peers
 	self  string
@@ -39,7 +39,7 @@
 	return exchange.NewExchangeProtobufClient(c.peers.URL(addr), c.peers.HTTP())
 }
 
-// Meet implements [sagegossip.Caller].
+// Meet implements [sagegossip.Transport].
 func (c *caller) Meet(ctx context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	res, err := c.client(addr).Meet(ctx, &exchange.MeetRequest{Node: c.self, Digests: toWire(digests)})
 	if err != nil {
@@ -48,7 +48,7 @@
 	return fromWire(res.GetDeltas()), fromWire(res.GetDigests()), nil
 }
 
-// Push implements [sagegossip.Caller].
+// Push implements [sagegossip.Transport].
 func (c *caller) Push(ctx context.Context, addr string, deltas []sagegossip.Part) error {
 	if _, err := c.client(addr).Push(ctx, &exchange.PushRequest{Node: c.self, Deltas: toWire(deltas)}); err != nil {
 		return fmt.Errorf("call push: %w", err)
--- a/internal/sagegossipd/service.go
+++ b/internal/sagegossipd/service.go
@@ -70,7 +70,7 @@
 		s.met = s.Metrics.NewCounter("sagestand_exchanges_total")
 		s.failed = s.Metrics.NewCounter("sagestand_exchanges_failed_total")
 		s.Metrics.NewGauge("sagestand_exchange_panics", func() float64 { return float64(s.Engine.Panics()) })
-		s.Metrics.NewGauge("sagestand_exchange_bad_parts", func() float64 { return float64(s.Engine.Bad()) })
+		s.Metrics.NewGauge("sagestand_exchange_bad_parts", func() float64 { return float64(s.Engine.Rejected()) })
 	})
 }
 
--- a/internal/sagegossipd/service_test.go
+++ b/internal/sagegossipd/service_test.go
@@ -67,7 +67,7 @@
 	ex := exchange.NewExchangeProtobufClient(client.URL(a.LocalNode().Address), client.HTTP())
 	_, err := ex.Push(t.Context(), &exchange.PushRequest{Deltas: []*exchange.Part{nil, {Section: sagemember.SectionName, Data: []byte{0xff}}}})
 	require.ErrorContains(t, err, "deltas")
-	require.EqualValues(t, 1, s.Engine.Bad())
+	require.EqualValues(t, 1, s.Engine.Rejected())
 	_, err = ex.Meet(t.Context(), &exchange.MeetRequest{Digests: make([]*exchange.Part, sagegossip.MaxParts+1)})
 	require.ErrorContains(t, err, "digests")
 	res, err := ex.Meet(t.Context(), &exchange.MeetRequest{Digests: []*exchange.Part{{Section: sagemember.SectionName, Data: []byte{1}}}})
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -171,7 +171,7 @@
 // partFrame is what the protobuf encoding adds to a part.
 const partFrame = 8
 
-// Meet implements [sagegossip.Caller] for the node that calls.
+// Meet implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.At(addr)
 	fate := f.Rand.Float64()
@@ -188,7 +188,7 @@
 	return deltas, own, nil
 }
 
-// Push implements [sagegossip.Caller] for the node that calls.
+// Push implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
 	to := n.fleet.At(addr)
 	if !n.fleet.carry(n, to, deltas) {
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -38,10 +38,10 @@
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
 			p.answers.Set(p.book.Counts())
-			h.Answers, h.Plans = p.answers.Tell(), p.book.Plans()
+			h.Answers, h.Plans = p.answers.Report(), p.book.Plans()
 		}
 		n.FillSum = func(h *Heartbeat, all bool) {
-			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumOf(f.now, n.DataCentre)}
+			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumGroup(f.now, n.DataCentre)}
 			if all {
 				h.Sum.Answers = p.answers.Sum(f.now)
 			}
@@ -60,7 +60,7 @@
 
 // learn takes in what a heartbeat says of rollouts, as a node does.
 func (p *rolloutNode) learn(now sageclock.Instant, s *Service, h *Heartbeat) {
-	p.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
+	p.answers.UpdateNode(now, h.Node, h.DataCentre, h.Answers)
 	for _, plan := range h.Plans {
 		p.book.MergePlan(plan)
 	}
@@ -68,9 +68,9 @@
 	switch near := h.DataCentre == s.DataCentre; {
 	case h.Sum == nil || !s.IsAggregator(&m):
 	case h.Sum.FleetWide && near:
-		p.answers.LearnTotal(now, h.Sum.Answers)
+		p.answers.UpdateTotal(now, h.Sum.Answers)
 	case !h.Sum.FleetWide && !near:
-		p.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
+		p.answers.UpdateGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
 
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -37,7 +37,7 @@
 	recalled func() bool
 	flights  sageflight.Counter
 	broken   sageflight.Counter // nodes whose own exchanges broke
-	health   sagehealth.Book
+	health   sagehealth.Tracker
 	paces    paces
 	// rollouts is nil if the fleet carries none out; answers are the counts of their answers by key.
 	rollouts     *sagerollout.Tracker
@@ -190,9 +190,9 @@
 	now := sageclock.Now()
 	e := f.view.set.Load().Reachable(now, upstream)
 	switch {
-	case e == nil || f.health.Out(now, e.Service, upstream):
+	case e == nil || f.health.Excluded(now, e.Service, upstream):
 		return sagechain.SourceUnusable
-	case f.health.Suspect(now, e.Service, upstream):
+	case f.health.Suspected(now, e.Service, upstream):
 		return sagechain.SourceSuspect
 	}
 	return sagechain.SourceTrusted
@@ -246,13 +246,13 @@
 
 // Ended implements [sagerelay.Fleet].
 func (f *fleet) RecordExchange(u *sageupstream.Entry, res sagehealth.Result) {
-	f.health.Note(sageclock.Now(), u.Service, u.ID, res)
+	f.health.Record(sageclock.Now(), u.Service, u.ID, res)
 }
 
 // told takes in with how many other nodes' exchanges each upstream broke.
 func (f *fleet) told(now sageclock.Instant) {
 	set, table, loads := f.view.set.Load(), f.view.table.Load(), f.flights.Sum(now)
-	for id, nodes := range f.broken.Others(now) {
+	for id, nodes := range f.broken.SumOthers(now) {
 		e := set.Get(id)
 		if e == nil {
 			continue
@@ -261,7 +261,7 @@
 		if holdsPrompts(table, e.Service) {
 			load = loads[id]
 		}
-		if f.health.Reported(now, e.Service, id, nodes, load) {
+		if f.health.RecordReports(now, e.Service, id, nodes, load) {
 			f.view.log.Limited(sagelog.KindBelief, "Upstream is avoided, as other nodes' exchanges broke.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
 		}
 	}
@@ -279,6 +279,6 @@
 
 // Gone implements [sagerelay.Fleet].
 func (f *fleet) RecordMisdirected(u *sageupstream.Entry) {
-	f.health.Note(sageclock.Now(), u.Service, u.ID, sagehealth.Broken)
+	f.health.Record(sageclock.Now(), u.Service, u.ID, sagehealth.Broken)
 	f.placer.Forget(u.ID)
 }
--- a/internal/sagerouter/fleet_test.go
+++ b/internal/sagerouter/fleet_test.go
@@ -107,11 +107,11 @@
 	f := newFleet(t, 1, 0)
 	f.keyWithin.Store(int64(5 * time.Second))
 	require.False(t, f.Fresh(), "nothing proven")
-	f.keyProof.Own(sageclock.Now().Add(-4 * time.Second))
+	f.keyProof.RecordRead(sageclock.Now().Add(-4 * time.Second))
 	require.True(t, f.Fresh())
 	g := newFleet(t, 1, 0)
 	g.keyWithin.Store(int64(5 * time.Second))
-	g.keyProof.Own(sageclock.Now().Add(-4900 * time.Millisecond))
+	g.keyProof.RecordRead(sageclock.Now().Add(-4900 * time.Millisecond))
 	require.False(t, g.Fresh())
 }
 
--- a/internal/sagerouter/locate.go
+++ b/internal/sagerouter/locate.go
@@ -6,7 +6,7 @@
 
 // Locate returns the entry addresses that a caller of a data centre may use: those of its own data
 // centre if enough serve there, or else all. Requests and answers then cross data centres once less.
-func (n *Node) Locate(dataCentre string) []string {
+func (n *Node) EntryAddresses(dataCentre string) []string {
 	var all, near []string
 	add := func(entry, at string) {
 		all = append(all, entry)
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -40,8 +40,8 @@
 	firstListingWithin = 2 * time.Second
 	// settleEvery is how often lapsed entries are looked through.
 	settleEvery = 100 * time.Millisecond
-	// AnswerValid is how long callers may keep a directory answer; some keep it three times as long.
-	AnswerValid = time.Second
+	// DirectoryTTL is how long callers may keep a directory answer; some keep it three times as long.
+	DirectoryTTL = time.Second
 	// keptTimes is how many times AnswerValid a leaving node goes on serving new connections.
 	keptTimes = 3
 	// stopMargin is what a process needs to end after its last request.
@@ -124,7 +124,7 @@
 	n.makeRecall()
 	n.export()
 	n.kernel.Register("mesh", n.mesh)
-	for _, kind := range []string{n.Kinds.Closed, n.Kinds.Upstreams, n.Kinds.Config} {
+	for _, kind := range []string{n.Kinds.ClosedDataCentres, n.Kinds.Upstreams, n.Kinds.Config} {
 		n.kernel.Register("follow_"+kind, n.copies[kind])
 	}
 	n.kernel.Register("members", &members{node: n})
@@ -165,23 +165,23 @@
 		}
 	}
 	n.copies = sagemesh.Copies{
-		n.Kinds.Config:      follow(n.Kinds.Config, cfg.Bounds.ConfigWithinMillis, n.view.applyConfig),
-		n.Kinds.Upstreams:   follow(n.Kinds.Upstreams, cfg.Bounds.UpstreamWithinMillis, n.view.applyUpstreams),
-		n.Kinds.Closed:      follow(n.Kinds.Closed, cfg.Bounds.ClosedWithinMillis, n.view.applyClosed),
-		n.Kinds.Quarantines: follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, usualQuarantineMillis), n.applyQuarantines),
+		n.Kinds.Config:            follow(n.Kinds.Config, cfg.Bounds.ConfigWithinMillis, n.view.applyConfig),
+		n.Kinds.Upstreams:         follow(n.Kinds.Upstreams, cfg.Bounds.UpstreamWithinMillis, n.view.applyUpstreams),
+		n.Kinds.ClosedDataCentres: follow(n.Kinds.ClosedDataCentres, cfg.Bounds.ClosedWithinMillis, n.view.applyClosed),
+		n.Kinds.Quarantines:       follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, usualQuarantineMillis), n.applyQuarantines),
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.followRollouts(follow)
 	}
 	n.copies[n.Kinds.Upstreams].BatchDelay = gatherUpstreams
-	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.Closed, n.Kinds.Quarantines} {
+	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.ClosedDataCentres, n.Kinds.Quarantines} {
 		n.copies[kind].Prober = n.copies[n.Kinds.Config]
 	}
 	n.spreadFirstListing()
 	n.fleet = &fleet{
 		view: n.view, keyProof: &n.copies[n.Kinds.Config].Proof,
 		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.ColdLimiter{Self: cfg.Node},
-		retries: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
+		retries: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Tracker{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.fleet.rollouts = new(sagerollout.Tracker)
--- a/internal/sagerouter/pace.go
+++ b/internal/sagerouter/pace.go
@@ -46,8 +46,8 @@
 	s := p.services[service]
 	if s == nil {
 		s = &pace{
-			run:  sagepace.Mean{Start: startRun, Most: mostPace},
-			read: sagepace.Line{Start: startRead, Usual: usualPrompt, Most: mostPace},
+			run:  sagepace.Mean{Initial: startRun, Max: mostPace},
+			read: sagepace.Line{InitialSlope: startRead, TypicalSize: usualPrompt, Max: mostPace},
 		}
 		p.services[service] = s
 	}
--- a/internal/sagerouter/recall.go
+++ b/internal/sagerouter/recall.go
@@ -44,7 +44,7 @@
 
 // Inspector asks an upstream which prompt parts it holds.
 type Inspector interface {
-	Held(ctx context.Context, u *sageupstream.Entry) ([]uint64, error)
+	CachedParts(ctx context.Context, u *sageupstream.Entry) ([]uint64, error)
 }
 
 // recall finds out at the start which upstreams hold which prompt parts. Its exported fields are set
@@ -247,7 +247,7 @@
 func (r *recall) ask(ctx context.Context, e *sageupstream.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	parts, err := r.Inspector.Held(ctx, e)
+	parts, err := r.Inspector.CachedParts(ctx, e)
 	if err != nil {
 		r.Log.Warn("Engine did not tell what it holds.", "upstream", e.ID, "err", err)
 		return
--- a/internal/sagerouter/recall_test.go
+++ b/internal/sagerouter/recall_test.go
@@ -59,7 +59,7 @@
 }
 
 // Held implements [Inspector].
-func (f *recallFleet) Held(_ context.Context, u *sageupstream.Entry) ([]uint64, error) {
+func (f *recallFleet) CachedParts(_ context.Context, u *sageupstream.Entry) ([]uint64, error) {
 	time.Sleep(2 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -51,7 +51,7 @@
 	n.leaving.Store(true)
 	n.mesh.TriggerHeartbeats(true)
 	n.Log.Part("node").Info("Leaving.", "in_flight", n.relay.InFlight())
-	time.Sleep(min(keptTimes*AnswerValid+AnswerValid/2, time.Until(by)))
+	time.Sleep(min(keptTimes*DirectoryTTL+DirectoryTTL/2, time.Until(by)))
 	ctx, cancel := context.WithDeadline(context.Background(), by)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
@@ -81,7 +81,7 @@
 			return nil
 		case <-forget.C:
 			set := n.view.set.Load()
-			n.fleet.health.Keep(func(u string) bool { return set.Get(u) != nil })
+			n.fleet.health.Retain(func(u string) bool { return set.Get(u) != nil })
 		case <-t.C:
 			n.peers.Flush()
 			n.view.settle(n.reach.Age(sageclock.Now()) > sagefollow.LongOutage)
--- a/internal/sagerouter/tell.go
+++ b/internal/sagerouter/tell.go
@@ -32,14 +32,14 @@
 		h.Copies[kind] = f.Position()
 		h.StoreUnreachable = h.StoreUnreachable || f.Failing()
 	}
-	h.InFlight = n.fleet.flights.Tell()
-	h.Broken = n.fleet.health.Broken(sageclock.Now())
+	h.InFlight = n.fleet.flights.Report()
+	h.Broken = n.fleet.health.RecentlyBroken(sageclock.Now())
 	n.fleet.broken.Set(ones(h.Broken))
-	n.fleet.broken.Tell()
+	n.fleet.broken.Report()
 	n.fillCrashes(h)
 	if n.fleet.rollouts != nil {
 		n.fleet.answers.Set(n.fleet.rollouts.Counts())
-		h.Answers, h.Plans = n.fleet.answers.Tell(), n.fleet.rollouts.Plans()
+		h.Answers, h.Plans = n.fleet.answers.Report(), n.fleet.rollouts.Plans()
 	}
 }
 
@@ -55,7 +55,7 @@
 		if all {
 			return c.Sum(now)
 		}
-		return c.SumOf(now, n.Settings.DataCentre)
+		return c.SumGroup(now, n.Settings.DataCentre)
 	}
 	h.Sum = &sagemesh.Sum{FleetWide: all, InFlight: of(&n.fleet.flights), Broken: of(&n.fleet.broken), Answers: of(&n.fleet.answers)}
 }
@@ -67,23 +67,23 @@
 	switch {
 	case h.Sum == nil || !n.mesh.IsAggregator(&m):
 	case h.Sum.FleetWide && near:
-		n.fleet.flights.LearnTotal(now, h.Sum.InFlight)
-		n.fleet.broken.LearnTotal(now, h.Sum.Broken)
-		n.fleet.answers.LearnTotal(now, h.Sum.Answers)
+		n.fleet.flights.UpdateTotal(now, h.Sum.InFlight)
+		n.fleet.broken.UpdateTotal(now, h.Sum.Broken)
+		n.fleet.answers.UpdateTotal(now, h.Sum.Answers)
 	case !h.Sum.FleetWide && !near:
-		n.fleet.flights.LearnGroup(now, h.DataCentre, h.Sum.InFlight)
-		n.fleet.broken.LearnGroup(now, h.DataCentre, h.Sum.Broken)
-		n.fleet.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
+		n.fleet.flights.UpdateGroup(now, h.DataCentre, h.Sum.InFlight)
+		n.fleet.broken.UpdateGroup(now, h.DataCentre, h.Sum.Broken)
+		n.fleet.answers.UpdateGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
 
 // heard takes a heartbeat in.
 func (n *Node) heard(h *sagemesh.Heartbeat, stamp sageclock.Instant) {
 	now := sageclock.Now()
-	n.fleet.flights.Learn(now, h.Node, h.DataCentre, h.InFlight)
-	n.fleet.broken.Learn(now, h.Node, h.DataCentre, ones(h.Broken))
+	n.fleet.flights.UpdateNode(now, h.Node, h.DataCentre, h.InFlight)
+	n.fleet.broken.UpdateNode(now, h.Node, h.DataCentre, ones(h.Broken))
 	if n.fleet.rollouts != nil {
-		n.fleet.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
+		n.fleet.answers.UpdateNode(now, h.Node, h.DataCentre, h.Answers)
 		for _, p := range h.Plans {
 			n.learnPlan(now, p)
 		}
@@ -117,7 +117,7 @@
 
 // countsLag is the time between two statements of the other nodes' counts.
 func (n *Node) countsLag() time.Duration {
-	if n.fleet.flights.Summed(sageclock.Now()) {
+	if n.fleet.flights.HasFreshSums(sageclock.Now()) {
 		return sumLag
 	}
 	return n.mesh.Interval()
--- a/internal/sagerouter/view.go
+++ b/internal/sagerouter/view.go
@@ -19,7 +19,7 @@
 	Config    string
 	Upstreams string
 	// Closed are the data centres that are out of service.
-	Closed string
+	ClosedDataCentres string
 	// Rollouts are the orders to move a service to another version.
 	Rollouts string
 	// Quarantines are the requests that crash upstreams, this system's own.
--- a/pkg/sageflight/flight.go
+++ b/pkg/sageflight/flight.go
@@ -71,7 +71,7 @@
 }
 
 // Tell returns a copy of this node's counts, to be told to the others.
-func (c *Counter) Tell() Counts {
+func (c *Counter) Report() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(Counts, len(c.own))
@@ -81,7 +81,7 @@
 }
 
 // Learn takes in the counts of another node, which belongs to a group.
-func (c *Counter) Learn(now sageclock.Instant, node, group string, counts Counts) {
+func (c *Counter) UpdateNode(now sageclock.Instant, node, group string, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nodes == nil {
@@ -92,7 +92,7 @@
 
 // LearnGroup takes in the sum of a group's nodes, made by one of them. While it is fresh it counts
 // instead of what these nodes told themselves.
-func (c *Counter) LearnGroup(now sageclock.Instant, group string, counts Counts) {
+func (c *Counter) UpdateGroup(now sageclock.Instant, group string, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.groups == nil {
@@ -103,14 +103,14 @@
 
 // LearnTotal takes in the sum of all nodes, made by one that had this node's counts as last told.
 // While it is fresh it counts instead of everything else.
-func (c *Counter) LearnTotal(now sageclock.Instant, counts Counts) {
+func (c *Counter) UpdateTotal(now sageclock.Instant, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.total = told{at: now, counts: counts}
 }
 
 // Summed reports whether sums that are fresh stand in for what each node told itself.
-func (c *Counter) Summed(now sageclock.Instant) bool {
+func (c *Counter) HasFreshSums(now sageclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.total.fresh(now, sumStale) {
@@ -136,7 +136,7 @@
 }
 
 // Others is [Counter.Sum] without this node's own counts.
-func (c *Counter) Others(now sageclock.Instant) Counts {
+func (c *Counter) SumOthers(now sageclock.Instant) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.all(now)
@@ -157,7 +157,7 @@
 
 // SumOf returns the requests in flight from this node and the others of a group, as they told
 // themselves.
-func (c *Counter) SumOf(now sageclock.Instant, group string) Counts {
+func (c *Counter) SumGroup(now sageclock.Instant, group string) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sum(now, group)
--- a/pkg/sagefresh/proof.go
+++ b/pkg/sagefresh/proof.go
@@ -18,10 +18,10 @@
 }
 
 // Own notes an answered read that was sent at the given instant.
-func (p *Proof) Own(sent sageclock.Instant) { p.raise(int64(sent)) }
+func (p *Proof) RecordRead(sent sageclock.Instant) { p.raise(int64(sent)) }
 
 // Relayed notes a peer's proof: when the peer had received the stamp, its own was of the given age.
-func (p *Proof) Relayed(stamp sageclock.Instant, age time.Duration) {
+func (p *Proof) RecordRelayed(stamp sageclock.Instant, age time.Duration) {
 	if age < 0 || age == Unproven {
 		return
 	}
--- a/pkg/sagefresh/proof_test.go
+++ b/pkg/sagefresh/proof_test.go
@@ -19,25 +19,25 @@
 	var p Proof
 	stamp := 100 * second
 	wake := stamp + 6*second
-	p.Relayed(stamp, 200*time.Millisecond)
+	p.RecordRelayed(stamp, 200*time.Millisecond)
 	require.Equal(t, 6200*time.Millisecond, p.Age(wake))
 }
 
 func TestProofOnlyRises(t *testing.T) {
 	var p Proof
 	require.Equal(t, Unproven, p.Age(second))
-	p.Own(10 * second)
-	p.Own(9 * second)
-	p.Relayed(10*second, time.Second)
+	p.RecordRead(10 * second)
+	p.RecordRead(9 * second)
+	p.RecordRelayed(10*second, time.Second)
 	require.Equal(t, time.Second, p.Age(11*second))
-	p.Relayed(20*second, Unproven)
-	p.Relayed(20*second, -time.Second)
+	p.RecordRelayed(20*second, Unproven)
+	p.RecordRelayed(20*second, -time.Second)
 	require.Equal(t, time.Second, p.Age(11*second), "an unproven or impossible age proves nothing")
 }
 
 func ExampleProof() {
 	var p Proof
-	p.Own(sageclock.Instant(5 * time.Second))
+	p.RecordRead(sageclock.Instant(5 * time.Second))
 	fmt.Println(p.Age(sageclock.Instant(7 * time.Second)))
 	// Output: 2s
 }
--- a/pkg/sagegossip/doc.go
+++ b/pkg/sagegossip/doc.go
@@ -7,7 +7,7 @@
 // node of the own data centre; gateways, which follow from the set of nodes by rendezvous hashing
 // and need no agreement, meet a node of another data centre every second time.
 //
-// Nothing here does I/O or starts a goroutine; a [Caller] carries the messages.
+// Nothing here does I/O or starts a goroutine; a [Transport] carries the messages.
 //
 // References: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
 // PODC 1987, section 1.3 (anti-entropy, push-pull); Thaler and Ravishankar, "Using Name-Based
--- a/pkg/sagegossip/engine.go
+++ b/pkg/sagegossip/engine.go
@@ -27,8 +27,8 @@
 	Data    []byte
 }
 
-// Caller carries the messages of an exchange to the node at an address.
-type Caller interface {
+// Transport carries the messages of an exchange to the node at an address.
+type Transport interface {
 	// Meet hands over digests; the answer holds deltas and the peer's own digests.
 	Meet(ctx context.Context, addr string, digests []Part) (deltas, own []Part, err error)
 	// Push hands over deltas.
@@ -38,11 +38,11 @@
 // Observer is a [Section] that wants to know how direct contacts with peers end.
 type Observer interface {
 	// Calling is told that the node at addr is about to be met.
-	Calling(addr string)
+	Contacting(addr string)
 	// Met is told that the node at addr answered, and with which digest.
-	Met(addr string, digest []byte)
+	Contacted(addr string, digest []byte)
 	// Failed is told that the node at addr could not be met.
-	Failed(addr string)
+	ContactFailed(addr string)
 }
 
 // Engine brings this node and a peer up to date on every section. Its fields are set before first
@@ -61,7 +61,7 @@
 func (e *Engine) Panics() int64 { return e.panics.Load() }
 
 // Bad returns how many parts a section refused with an error.
-func (e *Engine) Bad() int64 { return e.bad.Load() }
+func (e *Engine) Rejected() int64 { return e.bad.Load() }
 
 // Digests returns the digest of each section.
 func (e *Engine) Digests() []Part {
@@ -129,17 +129,17 @@
 
 // Exchange meets the node at addr. A refusal of one section's part is returned, after the other
 // sections have been served.
-func (e *Engine) Exchange(ctx context.Context, c Caller, addr string) error {
-	e.observe(func(o Observer) { o.Calling(addr) })
+func (e *Engine) Exchange(ctx context.Context, c Transport, addr string) error {
+	e.observe(func(o Observer) { o.Contacting(addr) })
 	deltas, own, err := c.Meet(ctx, addr, e.Digests())
 	if err != nil {
-		e.observe(func(o Observer) { o.Failed(addr) })
+		e.observe(func(o Observer) { o.ContactFailed(addr) })
 		return fmt.Errorf("meet %s: %w", addr, err)
 	}
 	mergeErr := e.Merge(deltas)
 	e.observe(func(o Observer) {
 		if d, ok := find(own, o.(Section).Name()); ok {
-			o.Met(addr, d)
+			o.Contacted(addr, d)
 		}
 	})
 	if back := e.Deltas(own); len(back) > 0 {
--- a/pkg/sagehealth/book.go
+++ b/pkg/sagehealth/book.go
@@ -51,8 +51,8 @@
 	sum     float64 // of the failure rates
 }
 
-// Book keeps the records of all upstreams. The zero value is ready; it is safe for concurrent use.
-type Book struct {
+// Tracker keeps the records of all upstreams. The zero value is ready; it is safe for concurrent use.
+type Tracker struct {
 	// Self is the name of this node, by which the nodes spread their trials. It is set before use.
 	Self string
 
@@ -61,7 +61,7 @@
 }
 
 // Note takes in how an exchange ended.
-func (b *Book) Note(now sageclock.Instant, service, upstream string, res Result) {
+func (b *Tracker) Record(now sageclock.Instant, service, upstream string, res Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(service, upstream)
@@ -86,7 +86,7 @@
 }
 
 // Out reports whether an upstream is left out because its exchanges break.
-func (b *Book) Out(now sageclock.Instant, service, upstream string) bool {
+func (b *Tracker) Excluded(now sageclock.Instant, service, upstream string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.find(service, upstream)
@@ -95,7 +95,7 @@
 
 // Avoid reports whether other upstreams of the service are to be preferred now. A yes for a failing
 // upstream is interrupted by single trials.
-func (b *Book) Avoid(now sageclock.Instant, service, upstream string) bool {
+func (b *Tracker) Avoid(now sageclock.Instant, service, upstream string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.find(service, upstream)
@@ -113,7 +113,7 @@
 }
 
 // Keep forgets the upstreams that alive denies.
-func (b *Book) Keep(alive func(upstream string) bool) {
+func (b *Tracker) Retain(alive func(upstream string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.services {
@@ -127,7 +127,7 @@
 }
 
 // find returns an upstream's record, or nil.
-func (b *Book) find(service, upstream string) *record {
+func (b *Tracker) find(service, upstream string) *record {
 	if s := b.services[service]; s != nil {
 		return s.records[upstream]
 	}
@@ -135,7 +135,7 @@
 }
 
 // record returns an upstream's record, a new one if there is none.
-func (b *Book) record(name, upstream string) *record {
+func (b *Tracker) record(name, upstream string) *record {
 	if b.services == nil {
 		b.services = make(map[string]*service)
 	}
--- a/pkg/sagehealth/doc.go
+++ b/pkg/sagehealth/doc.go
@@ -1,7 +1,7 @@
 // Package sagehealth judges upstreams by how their answers end.
 //
 // Health checks are not asked: an upstream may pass them and fail its requests, or the reverse. A
-// [Book] counts three kinds of [Result]. A broken exchange (refused, reset, silent) takes an
+// [Tracker] counts three kinds of [Result]. A broken exchange (refused, reset, silent) takes an
 // upstream out for a while that doubles with each one in a row. Failures that the upstream itself
 // reports take it out only when it fails clearly more often than the others of its service: where
 // all fail alike, the cause lies in the requests or behind all upstreams, and avoiding one helps
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	b := &sagehealth.Book{Self: "vm1"}
+//	b := &sagehealth.Tracker{Self: "vm1"}
 //	b.Note(now, service, upstream, sagehealth.Broken)
 //	if b.Avoid(now, service, upstream) {
 //		// prefer another one
--- a/pkg/sagehealth/load_test.go
+++ b/pkg/sagehealth/load_test.go
@@ -26,7 +26,7 @@
 // requests that were sent to one of them. Which requests fail is up to fails.
 func model(seed uint64, tell bool, fails func(node, engine int) bool) float64 {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	books := make([]Book, nodes)
+	books := make([]Tracker, nodes)
 	for i := range books {
 		books[i].Self = fmt.Sprintf("vm%d", i)
 	}
@@ -38,7 +38,7 @@
 		for i := range books {
 			due := time.Duration(i) * beat / nodes
 			if tell && (at-due)/beat != (at-due-step)/beat {
-				tells[i] = books[i].Broken(now)
+				tells[i] = books[i].RecentlyBroken(now)
 				said := make(map[string]int)
 				for _, us := range tells {
 					for _, u := range us {
@@ -47,7 +47,7 @@
 				}
 				for j := range books {
 					for _, u := range tells[i] {
-						books[j].Reported(now, "s", u, said[u]-count(tells[j], u), 0)
+						books[j].RecordReports(now, "s", u, said[u]-count(tells[j], u), 0)
 					}
 				}
 			}
@@ -66,7 +66,7 @@
 			failed++
 		}
 		sent++
-		books[node].Note(now, "s", fmt.Sprint(e), res)
+		books[node].Record(now, "s", fmt.Sprint(e), res)
 	}
 	return float64(failed) / float64(sent)
 }
@@ -102,20 +102,20 @@
 
 // One node's link breaks, and all others leave good engines out on its word.
 func TestOneNodesWordIsNotEnough(t *testing.T) {
-	b := Book{Self: "a"}
+	b := Tracker{Self: "a"}
 	now := sageclock.Instant(time.Minute)
 	for range 5 {
-		require.False(t, b.Reported(now, "s", "e", 1, 0))
+		require.False(t, b.RecordReports(now, "s", "e", 1, 0))
 	}
 	require.False(t, b.Avoid(now, "s", "e"))
-	require.True(t, b.Reported(now, "s", "e", 2, 0))
-	require.False(t, b.Reported(now, "s", "e", 2, 0), "it is avoided already")
+	require.True(t, b.RecordReports(now, "s", "e", 2, 0))
+	require.False(t, b.RecordReports(now, "s", "e", 2, 0), "it is avoided already")
 	require.True(t, b.Avoid(now, "s", "e"))
-	require.Empty(t, b.Broken(now), "what others say is not told on")
+	require.Empty(t, b.RecentlyBroken(now), "what others say is not told on")
 	require.False(t, b.Avoid(now.Add(2*ejectFor), "s", "e"), "it is tried again")
-	b.Note(now, "s", "e", OK)
-	b.Reported(now, "s", "e", 3, 0)
+	b.Record(now, "s", "e", OK)
+	b.RecordReports(now, "s", "e", 3, 0)
 	require.False(t, b.Avoid(now, "s", "e"), "its own answer counts more")
-	b.Reported(now.Add(reportFor), "s", "e", 1, 0)
+	b.RecordReports(now.Add(reportFor), "s", "e", 1, 0)
 	require.False(t, b.Avoid(now.Add(reportFor), "s", "e"), "the others say so no more")
 }
--- a/pkg/sagehealth/lost_test.go
+++ b/pkg/sagehealth/lost_test.go
@@ -42,7 +42,7 @@
 func loadedModel(seed uint64, exchange func(rnd *rand.Rand, engine int) (Result, time.Duration)) loaded {
 	const beat = 300 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(seed, 2))
-	books := make([]Book, nodes)
+	books := make([]Tracker, nodes)
 	for i := range books {
 		books[i].Self = fmt.Sprintf("vm%d", i)
 	}
@@ -54,7 +54,7 @@
 		now := sageclock.Instant(at)
 		for len(ends) > 0 && ends[0].at <= at {
 			e := heap.Pop(&ends).(ending)
-			books[e.node].Note(sageclock.Instant(e.at), "s", fmt.Sprint(e.engine), e.res)
+			books[e.node].Record(sageclock.Instant(e.at), "s", fmt.Sprint(e.engine), e.res)
 			load[e.engine]--
 			total--
 		}
@@ -65,7 +65,7 @@
 			own := make([]map[string]bool, nodes)
 			for i := range books {
 				own[i] = make(map[string]bool)
-				for _, u := range books[i].Broken(now) {
+				for _, u := range books[i].RecentlyBroken(now) {
 					reports[u]++
 					own[i][u] = true
 				}
@@ -77,7 +77,7 @@
 					if own[i][u] {
 						n--
 					}
-					books[i].Reported(now, "s", u, n, known[e])
+					books[i].RecordReports(now, "s", u, n, known[e])
 				}
 			}
 		}
--- a/pkg/sagehealth/reports.go
+++ b/pkg/sagehealth/reports.go
@@ -32,7 +32,7 @@
 
 // Broken returns the upstreams with which this node's own exchanges broke of late, the last one among
 // them.
-func (b *Book) Broken(now sageclock.Instant) []string {
+func (b *Tracker) RecentlyBroken(now sageclock.Instant) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -56,7 +56,7 @@
 // It guards against the ejection of half of a service whose upstreams lose some answers: the others would exceed
 // the load bound and read again what the ejected ones hold. Of an upstream that is down all requests break, so
 // that there are as many reports as requests; of one that loses few answers there are fewer.
-func (b *Book) Reported(now sageclock.Instant, service, upstream string, nodes, load int) bool {
+func (b *Tracker) RecordReports(now sageclock.Instant, service, upstream string, nodes, load int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(service, upstream)
@@ -76,7 +76,7 @@
 
 // Suspect reports whether an upstream may have stopped: an exchange of this node or of another one broke
 // lately, and this node got no whole answer since.
-func (b *Book) Suspect(now sageclock.Instant, service, upstream string) bool {
+func (b *Tracker) Suspected(now sageclock.Instant, service, upstream string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.find(service, upstream)
--- a/pkg/sagemember/contact.go
+++ b/pkg/sagemember/contact.go
@@ -10,7 +10,7 @@
 
 // Calling implements [sagegossip.Observer]: it notes who is known at addr before the call. Of two
 // calls at once the first counts, whose answer says the least.
-func (t *Table) Calling(addr string) {
+func (t *Table) Contacting(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.calling[addr]; ok {
@@ -26,7 +26,7 @@
 }
 
 // Failed implements [sagegossip.Observer]. One failed call says nothing: the link may be bad.
-func (t *Table) Failed(addr string) {
+func (t *Table) ContactFailed(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.calling, addr)
@@ -34,7 +34,7 @@
 
 // Met implements [sagegossip.Observer]. The node that answered was asked about every suspect by the
 // digest of this exchange. Whoever else was known at its address before the call is gone.
-func (t *Table) Met(addr string, digest []byte) {
+func (t *Table) Contacted(addr string, digest []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.wake()
--- a/pkg/sagepace/line.go
+++ b/pkg/sagepace/line.go
@@ -19,11 +19,11 @@
 // safe for concurrent use.
 type Line struct {
 	// Start is the slope before there is evidence: the time for a size of one.
-	Start time.Duration
+	InitialSlope time.Duration
 	// Usual is a size that is often seen.
-	Usual float64
+	TypicalSize float64
 	// Most bounds one sample's time.
-	Most time.Duration
+	Max time.Duration
 
 	mu              sync.Mutex
 	n, x, y, xx, xy float64
@@ -41,7 +41,7 @@
 	for _, sum := range []*float64{&l.n, &l.x, &l.y, &l.xx, &l.xy} {
 		*sum *= lineKeeps
 	}
-	l.add(1, size, float64(min(took, l.Most)))
+	l.add(1, size, float64(min(took, l.Max)))
 }
 
 // Slope returns the time for a size of one.
@@ -50,17 +50,17 @@
 	defer l.mu.Unlock()
 	l.begin()
 	spread := l.n*l.xx - l.x*l.x
-	slope := float64(l.Start)
+	slope := float64(l.InitialSlope)
 	if spread > 0 {
 		slope = (l.n*l.xy - l.x*l.y) / spread
 	}
-	return time.Duration(min(max(slope, float64(l.Start)/lineRange), float64(l.Start)*lineRange))
+	return time.Duration(min(max(slope, float64(l.InitialSlope)/lineRange), float64(l.InitialSlope)*lineRange))
 }
 
 func (l *Line) begin() {
 	if l.n == 0 {
 		l.add(lineStart, 0, 0)
-		l.add(lineStart, l.Usual, l.Usual*float64(l.Start))
+		l.add(lineStart, l.TypicalSize, l.TypicalSize*float64(l.InitialSlope))
 	}
 }
 
--- a/pkg/sagepace/mean.go
+++ b/pkg/sagepace/mean.go
@@ -15,9 +15,9 @@
 // Mean is a moving mean. Start and Most are set before use; it is safe for concurrent use.
 type Mean struct {
 	// Start is the value before there is evidence.
-	Start time.Duration
+	Initial time.Duration
 	// Most bounds one sample.
-	Most time.Duration
+	Max time.Duration
 
 	mu  sync.Mutex
 	n   float64
@@ -36,7 +36,7 @@
 		m.sum *= (meanMemory - 1) / m.n
 		m.n = meanMemory - 1
 	}
-	m.sum += float64(min(d, m.Most))
+	m.sum += float64(min(d, m.Max))
 	m.n++
 }
 
@@ -50,6 +50,6 @@
 
 func (m *Mean) begin() {
 	if m.n == 0 {
-		m.n, m.sum = startWeight, startWeight*float64(m.Start)
+		m.n, m.sum = startWeight, startWeight*float64(m.Initial)
 	}
 }
--- a/pkg/sagepace/pace_test.go
+++ b/pkg/sagepace/pace_test.go
@@ -10,7 +10,7 @@
 )
 
 func ExampleMean() {
-	m := &Mean{Start: time.Second, Most: time.Minute}
+	m := &Mean{Initial: time.Second, Max: time.Minute}
 	fmt.Println(m.Value())
 	for range 500 {
 		m.Add(250 * time.Millisecond)
@@ -28,7 +28,7 @@
 
 func TestMeanFollowsAChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	m := &Mean{Start: time.Second, Most: time.Minute}
+	m := &Mean{Initial: time.Second, Max: time.Minute}
 	for _, usual := range []time.Duration{3 * time.Second, 200 * time.Millisecond} {
 		for range 500 {
 			m.Add(time.Duration(rng.ExpFloat64() * float64(usual)))
@@ -39,7 +39,7 @@
 
 // One exchange hangs for an hour, and a clock goes back.
 func TestBrokenSamplesMoveAMeanLittle(t *testing.T) {
-	m := &Mean{Start: time.Second, Most: 10 * time.Second}
+	m := &Mean{Initial: time.Second, Max: 10 * time.Second}
 	for range 300 {
 		m.Add(time.Second)
 	}
@@ -57,7 +57,7 @@
 
 func TestLineFindsTheRateAndFollowsAChange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	l := &Line{Start: 18 * time.Microsecond, Usual: 10000, Most: 10 * time.Second}
+	l := &Line{InitialSlope: 18 * time.Microsecond, TypicalSize: 10000, Max: 10 * time.Second}
 	near(t, 18*time.Microsecond, l.Slope(), 0.01)
 	for _, perToken := range []time.Duration{11 * time.Microsecond, 100 * time.Microsecond, 20 * time.Microsecond} {
 		for range 600 {
@@ -69,17 +69,17 @@
 
 // All prompts have the same length, so that nothing tells a rate from a wait.
 func TestLineWithoutSpreadStaysNearItsStart(t *testing.T) {
-	l := &Line{Start: 18 * time.Microsecond, Usual: 10000, Most: 10 * time.Second}
+	l := &Line{InitialSlope: 18 * time.Microsecond, TypicalSize: 10000, Max: 10 * time.Second}
 	for range 5000 {
 		l.Add(500, 30*time.Second)
 	}
-	require.LessOrEqual(t, l.Slope(), lineRange*l.Start)
-	require.GreaterOrEqual(t, l.Slope(), l.Start/lineRange)
+	require.LessOrEqual(t, l.Slope(), lineRange*l.InitialSlope)
+	require.GreaterOrEqual(t, l.Slope(), l.InitialSlope/lineRange)
 }
 
 func TestBrokenSamplesMoveALineLittle(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	l := &Line{Start: 18 * time.Microsecond, Usual: 10000, Most: time.Second}
+	l := &Line{InitialSlope: 18 * time.Microsecond, TypicalSize: 10000, Max: time.Second}
 	for range 600 {
 		l.Add(sample(rng, 20*time.Microsecond))
 	}
@@ -90,7 +90,7 @@
 }
 
 func BenchmarkLine(b *testing.B) {
-	l := &Line{Start: 18 * time.Microsecond, Usual: 10000, Most: time.Second}
+	l := &Line{InitialSlope: 18 * time.Microsecond, TypicalSize: 10000, Max: time.Second}
 	for i := 0; b.Loop(); i++ {
 		l.Add(float64(i%10000), time.Millisecond)
 		l.Slope()
--- a/pkg/sagerollout/pace.go
+++ b/pkg/sagerollout/pace.go
@@ -66,7 +66,7 @@
 		switch {
 		case d <= 0:
 		case means[i] == nil:
-			means[i] = &sagepace.Mean{Start: min(d, mostTime), Most: mostTime}
+			means[i] = &sagepace.Mean{Initial: min(d, mostTime), Max: mostTime}
 		default:
 			means[i].Add(d)
 		}
