--- a/pkg/sagemember/contact.go
+++ b/pkg/sagemember/contact.go
@@ -9,10 +9,10 @@
 	knownIDs  []uint64
 }
 
-// Calling implements [sagegossip.Observer]: it records which incarnations are known at addr before the
+// Contacting implements [sagegossip.Observer]: it records which incarnations are known at addr before the
 // call. When two calls to one address overlap, the record of the first is kept, since the fewest
 // conclusions follow from it.
-func (t *Table) Calling(addr string) {
+func (t *Table) Contacting(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, ok := t.pendingCalls[addr]; ok {
@@ -27,18 +27,18 @@
 	t.pendingCalls[addr] = c
 }
 
-// Failed implements [sagegossip.Observer]. A failed call doesn't change the state of the node: the
+// ContactFailed implements [sagegossip.Observer]. A failed call doesn't change the state of the node: the
 // cause may be the link.
-func (t *Table) Failed(addr string) {
+func (t *Table) ContactFailed(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.pendingCalls, addr)
 }
 
-// Met implements [sagegossip.Observer]. The digest of this exchange carried the suspects of this node,
+// Contacted implements [sagegossip.Observer]. The digest of this exchange carried the suspects of this node,
 // so the node that answered counts as checked about each of them. An address has one process at a time,
 // so every other incarnation that was known at addr before the call is marked as gone.
-func (t *Table) Met(addr string, digest []byte) {
+func (t *Table) Contacted(addr string, digest []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.nowDetectingPause()
