--- a/pkg/sagemember/contact.go
+++ b/pkg/sagemember/contact.go
@@ -58,7 +58,7 @@
 			t.setPhase(e, Gone, now)
 		}
 	}
-	t.recordMet(sender, now)
+	t.recordContact(sender, now)
 	for id, e := range t.nodes {
 		if e.State == Suspect && id != sender && !e.since.After(c.startedAt) {
 			e.checkedBy[sender] = true
--- a/pkg/sagemember/liveness.go
+++ b/pkg/sagemember/liveness.go
@@ -103,7 +103,7 @@
 	}
 	t.lastTick = now
 	t.pauses++
-	t.metSincePause = make(map[uint64]bool)
+	t.contactedSincePause = make(map[uint64]bool)
 	t.freshFrom = now.Add(t.Limits.DeadAfter)
 	for _, e := range t.nodes {
 		if !e.present() {
@@ -116,19 +116,20 @@
 	return now
 }
 
-// recordMet records a node that was met after a pause; once enough nodes were met, the view is fresh.
-func (t *Table) recordMet(id uint64, now time.Time) {
+// recordContact records contact with a node after a pause; once there was contact with enough nodes,
+// the view is fresh.
+func (t *Table) recordContact(id uint64, now time.Time) {
 	if !now.Before(t.freshFrom) {
 		return
 	}
-	t.metSincePause[id] = true
+	t.contactedSincePause[id] = true
 	others := 0
 	for _, e := range t.nodes {
 		if e.present() {
 			others++
 		}
 	}
-	if len(t.metSincePause) >= min(t.Limits.IndirectChecks, others) {
+	if len(t.contactedSincePause) >= min(t.Limits.IndirectChecks, others) {
 		t.freshFrom = now
 	}
 }
--- a/pkg/sagemember/node.go
+++ b/pkg/sagemember/node.go
@@ -24,8 +24,8 @@
 const (
 	// MaxNodes bounds the number of nodes in the table, including dead and departed ones.
 	MaxNodes = 4096
-	// maxText bounds the length in bytes of a name, an address and the name of a data centre.
-	maxText = 128
+	// maxTextBytes bounds the length in bytes of a name, an address and the name of a data centre.
+	maxTextBytes = 128
 	// maxCounter is far above what heartbeat counters reach. A higher one is invalid and rejected: if
 	// it were accepted, all real heartbeats of that node would be ignored as old.
 	maxCounter = 1 << 48
@@ -99,8 +99,8 @@
 
 // Check returns an error that wraps [ErrBadNode] if the description is incomplete or malformed.
 func (n *Node) Check() error {
-	if len(n.Name) > maxText || len(n.Address) > maxText || len(n.DataCentre) > maxText || len(n.Entry) > maxText {
-		return fmt.Errorf("text field longer than %d bytes: %w", maxText, ErrBadNode)
+	if len(n.Name) > maxTextBytes || len(n.Address) > maxTextBytes || len(n.DataCentre) > maxTextBytes || len(n.Entry) > maxTextBytes {
+		return fmt.Errorf("text field longer than %d bytes: %w", maxTextBytes, ErrBadNode)
 	}
 	if _, _, err := net.SplitHostPort(n.Address); err != nil {
 		return fmt.Errorf("address %q (want host:port): %w", n.Address, ErrBadNode)
--- a/pkg/sagemember/section.go
+++ b/pkg/sagemember/section.go
@@ -43,12 +43,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.nowDetectingPause()
-	t.digests++
+	t.digestCount++
 	sums := t.checksums()
 	d := &member.Digest{Sender: t.Self.Incarnation, Checksums: sums[:], MaxRevision: t.maxRevision()}
 	addHeartbeat(d, &t.Self)
 	for _, e := range t.window() {
-		e.recordSent(t.digests)
+		e.recordSent(t.digestCount)
 		addHeartbeat(d, &e.Node)
 	}
 	for _, e := range t.suspects() {
@@ -334,8 +334,8 @@
 }
 
 func (t *Table) markChanged(e *entry) {
-	t.changes++
-	e.changed = t.changes
+	t.changeCount++
+	e.changed = t.changeCount
 }
 
 // mergeOwnRecord merges a record of this process. If the record is in a later phase than the process,
--- a/pkg/sagemember/table.go
+++ b/pkg/sagemember/table.go
@@ -21,20 +21,20 @@
 	// set it to make a run repeatable.
 	Random func() uint64
 
-	mu            sync.Mutex
-	nodes         map[uint64]*entry
-	byShortID     map[uint32]*entry
-	remoteNodes   int
-	changes       uint64
-	digests       uint64
-	lastTick      time.Time
-	freshFrom     time.Time
-	metSincePause map[uint64]bool
-	queries       map[uint64]time.Time
-	pendingCalls  map[string]pendingCall
-	seeds         map[string]bool
-	evictions     int64
-	pauses        int64
+	mu                  sync.Mutex
+	nodes               map[uint64]*entry
+	byShortID           map[uint32]*entry
+	remoteNodes         int
+	changeCount         uint64
+	digestCount         uint64
+	lastTick            time.Time
+	freshFrom           time.Time
+	contactedSincePause map[uint64]bool
+	queries             map[uint64]time.Time
+	pendingCalls        map[string]pendingCall
+	seeds               map[string]bool
+	evictions           int64
+	pauses              int64
 }
 
 // entry is a node with what this table records about it.
@@ -68,7 +68,7 @@
 	t.queries = make(map[uint64]time.Time)
 	t.pendingCalls = make(map[string]pendingCall)
 	t.seeds = make(map[string]bool)
-	t.metSincePause = make(map[uint64]bool)
+	t.contactedSincePause = make(map[uint64]bool)
 	t.Self.Incarnation = t.newIncarnation()
 	t.Self.State = Alive
 	t.lastTick = t.now()
