--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -40,8 +40,8 @@
 	firstListingWithin = 2 * time.Second
 	// settleEvery is how often lapsed entries are looked through.
 	settleEvery = 100 * time.Millisecond
-	// AnswerValid is how long callers may keep a directory answer; some keep it three times as long.
-	AnswerValid = time.Second
+	// DirectoryTTL is how long callers may keep a directory answer; some keep it three times as long.
+	DirectoryTTL = time.Second
 	// keptTimes is how many times AnswerValid a leaving node goes on serving new connections.
 	keptTimes = 3
 	// stopMargin is what a process needs to end after its last request.
@@ -101,7 +101,7 @@
 	names   atomic.Pointer[[]string] // of the nodes in the store
 	reach   sagefresh.Proof          // of the store
 	// quarantine are the requests that crash upstreams.
-	quarantine sagequarantine.Book
+	quarantine sagequarantine.Tracker
 	leaving    atomic.Bool
 }
 
@@ -124,7 +124,7 @@
 	n.makeRecall()
 	n.export()
 	n.kernel.Register("mesh", n.mesh)
-	for _, kind := range []string{n.Kinds.Closed, n.Kinds.Upstreams, n.Kinds.Config} {
+	for _, kind := range []string{n.Kinds.ClosedDataCentres, n.Kinds.Upstreams, n.Kinds.Config} {
 		n.kernel.Register("follow_"+kind, n.copies[kind])
 	}
 	n.kernel.Register("members", &members{node: n})
@@ -147,8 +147,8 @@
 	n.mesh = &sagemesh.Service{
 		Name: cfg.Node, Address: cfg.Listen.Mesh, Entry: cfg.Listen.Entry, DataCentre: cfg.DataCentre, Seeds: cfg.meshSeeds(),
 		LinkMbps: int(cfg.LinkMbps),
-		Fill:     n.fill, FillNews: n.fillNews, FillSum: n.fillSum, Heard: n.heard,
-		Joined: n.peers.Joined, Lost: n.peers.Lost,
+		Fill:     n.fill, FillUpdates: n.fillNews, FillSum: n.fillSum, OnHeartbeat: n.heard,
+		OnJoined: n.peers.Joined, OnLost: n.peers.Lost,
 		Log: n.Log.Part("mesh"),
 	}
 }
@@ -160,39 +160,39 @@
 	n.fetcher = &sagemesh.Fetcher{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 	follow := func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower {
 		return &sagefollow.Follower{
-			Kind: kind, Source: n.Store, Peers: n.fetcher, Within: millis(within), Rank: n.mesh.Rank, Apply: apply,
-			Reach: &n.reach, Changed: n.changed, Lag: n.lag, Log: n.Log.Part("follow"),
+			Kind: kind, Source: n.Store, Peers: n.fetcher, MaxStaleness: millis(within), Rank: n.mesh.Rank, Apply: apply,
+			StoreProof: &n.reach, OnChange: n.changed, PeerProofDelay: n.lag, Log: n.Log.Part("follow"),
 		}
 	}
 	n.copies = sagemesh.Copies{
-		n.Kinds.Config:      follow(n.Kinds.Config, cfg.Bounds.ConfigWithinMillis, n.view.applyConfig),
-		n.Kinds.Upstreams:   follow(n.Kinds.Upstreams, cfg.Bounds.UpstreamWithinMillis, n.view.applyUpstreams),
-		n.Kinds.Closed:      follow(n.Kinds.Closed, cfg.Bounds.ClosedWithinMillis, n.view.applyClosed),
-		n.Kinds.Quarantines: follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, usualQuarantineMillis), n.applyQuarantines),
+		n.Kinds.Config:            follow(n.Kinds.Config, cfg.Bounds.ConfigWithinMillis, n.view.applyConfig),
+		n.Kinds.Upstreams:         follow(n.Kinds.Upstreams, cfg.Bounds.UpstreamWithinMillis, n.view.applyUpstreams),
+		n.Kinds.ClosedDataCentres: follow(n.Kinds.ClosedDataCentres, cfg.Bounds.ClosedWithinMillis, n.view.applyClosed),
+		n.Kinds.Quarantines:       follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, usualQuarantineMillis), n.applyQuarantines),
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.followRollouts(follow)
 	}
-	n.copies[n.Kinds.Upstreams].Gather = gatherUpstreams
-	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.Closed, n.Kinds.Quarantines} {
-		n.copies[kind].Scout = n.copies[n.Kinds.Config]
+	n.copies[n.Kinds.Upstreams].BatchDelay = gatherUpstreams
+	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.ClosedDataCentres, n.Kinds.Quarantines} {
+		n.copies[kind].Prober = n.copies[n.Kinds.Config]
 	}
 	n.spreadFirstListing()
 	n.fleet = &fleet{
 		view: n.view, keyProof: &n.copies[n.Kinds.Config].Proof,
-		known: n.mesh.Known, lag: n.countsLag, placer: placer, cold: sageshare.Cold{Self: cfg.Node},
-		retries: sageshare.Retries{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Book{Self: cfg.Node},
+		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.ColdLimiter{Self: cfg.Node},
+		retries: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Tracker{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
-		n.fleet.rollouts = new(sagerollout.Book)
+		n.fleet.rollouts = new(sagerollout.Tracker)
 	}
-	placer.Source = n.fleet.source
+	placer.SourceTrust = n.fleet.source
 	n.fleet.recalled = func() bool { return n.recall.informed.Load() }
 	n.fleet.bounds(&cfg.Bounds)
 	n.relay = &sagerelay.Service{
 		Dialect: n.Dialect, Fleet: n.fleet, Metrics: n.metrics, Log: n.Log.Part("relay"), Closing: n.leaving.Load, Quarantine: &n.quarantine,
-		Trials:    func() bool { return n.quarantineRank() == 0 },
-		BodyBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
+		SendsTrials:      func() bool { return n.quarantineRank() == 0 },
+		MaxBufferedBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
 	}
 }
 
@@ -200,8 +200,8 @@
 // after a start, see [view.hold].
 func (n *Node) followRollouts(follow func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower) {
 	f := follow(n.Kinds.Rollouts, orderTimes*n.Settings.Bounds.Rollouts.UndoWithinMillis, n.applyRollouts)
-	f.Scout = n.copies[n.Kinds.Config]
-	f.NotBefore = n.firstListing()
+	f.Prober = n.copies[n.Kinds.Config]
+	f.ListNotBefore = n.firstListing()
 	n.copies[n.Kinds.Rollouts] = f
 	n.view.known = make(versions)
 	n.view.ordersAsOf = f.AsOf
@@ -211,8 +211,8 @@
 	n.recall = &recall{
 		Self: n.Settings.Node, DataCentre: n.Settings.DataCentre, FirstStart: n.Settings.FirstStart,
 		Placer: n.fleet.placer, Peers: n.mesh.Live, Engines: n.engines, Named: n.registered,
-		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.Held,
-		Inspector: n.Inspector, Tell: func() { n.mesh.Nudge(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
+		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.FetchHolders,
+		Inspector: n.Inspector, Tell: func() { n.mesh.TriggerHeartbeats(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
 	}
 }
 
@@ -229,7 +229,7 @@
 	var out []*sageupstream.Entry
 	for name, s := range table.Services {
 		if s.Engine {
-			out = append(out, set.Of(name)...)
+			out = append(out, set.Available(name)...)
 		}
 	}
 	return out, true
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, f := range n.copies {
-		f.NotBefore = n.firstListing()
+		f.ListNotBefore = n.firstListing()
 	}
 }
 
@@ -300,7 +300,7 @@
 func (n *Node) Reload(cfg Settings) {
 	n.fleet.bounds(&cfg.Bounds)
 	for _, a := range cfg.meshSeeds() {
-		if err := n.mesh.Add(a); err != nil {
+		if err := n.mesh.AddPeer(a); err != nil {
 			n.Log.Part("node").Warn("Seed ignored.", "address", a, "err", err)
 		}
 	}
@@ -311,7 +311,7 @@
 	if p := n.names.Load(); p != nil {
 		return *p
 	}
-	return n.mesh.Known()
+	return n.mesh.KnownNodes()
 }
 
 // Ready says whether callers may be sent here.
--- a/internal/sagerouter/recall_test.go
+++ b/internal/sagerouter/recall_test.go
@@ -59,7 +59,7 @@
 }
 
 // Held implements [Inspector].
-func (f *recallFleet) Held(_ context.Context, u *sageupstream.Entry) ([]uint64, error) {
+func (f *recallFleet) CachedParts(_ context.Context, u *sageupstream.Entry) ([]uint64, error) {
 	time.Sleep(2 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 	for name, n := range f.nodes {
 		if name != self && n.live {
-			out = append(out, sagemesh.Member{Address: name, Identity: sagemesh.Identity{Node: name, DataCentre: n.dataCentre}, Informed: n.informed.Load()})
+			out = append(out, sagemesh.Member{Address: name, Identity: sagemesh.Identity{Node: name, DataCentre: n.dataCentre}, Synced: n.informed.Load()})
 		}
 	}
 	return out
@@ -115,18 +115,18 @@
 	if n == nil || !n.live {
 		return sagemesh.Holders{}, errors.New("no such peer")
 	}
-	return sagemesh.Holders{Told: n.Placer.All(sageclock.Now()), Listed: n.Placer.AllListed(sageclock.Now())}, nil
+	return sagemesh.Holders{Observed: n.Placer.All(sageclock.Now()), Listed: n.Placer.AllListed(sageclock.Now())}, nil
 }
 
 // tell sends one heartbeat with the node's news to all that live.
 func (f *recallFleet) tell(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	told, listed := f.nodes[name].Placer.News(heldNotes), f.nodes[name].Placer.NewsListed(listedNotes)
+	told, listed := f.nodes[name].Placer.TakeUpdates(heldNotes), f.nodes[name].Placer.TakeListedUpdates(listedNotes)
 	for other, n := range f.nodes {
 		if other != name && n.live {
-			n.Placer.Learn(sageclock.Now(), told)
-			n.Placer.LearnListed(sageclock.Now(), listed)
+			n.Placer.Merge(sageclock.Now(), told)
+			n.Placer.MergeListed(sageclock.Now(), listed)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		f := newRecallFleet(t, 12, names...)
 		for i, name := range names {
 			n := f.start(ctx, name, fmt.Sprintf("dc%d", i%3))
-			n.Placer.Note(sageclock.Now(), f.engines[i].ID, sagechain.Chain{{ID: 7, Tokens: 500}, {ID: uint64(i), Tokens: 10}})
+			n.Placer.Record(sageclock.Now(), f.engines[i].ID, sagechain.Chain{{ID: 7, Tokens: 500}, {ID: uint64(i), Tokens: 10}})
 			time.Sleep(45 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
@@ -183,7 +183,7 @@
 		f := newRecallFleet(t, 12, "n0", "n1", "n2")
 		old := f.start(ctx, "n0", "dc0")
 		time.Sleep(2 * time.Second)
-		old.Placer.Learn(sageclock.Now(), f.holds)
+		old.Placer.Merge(sageclock.Now(), f.holds)
 		clear(f.asks)
 		f.known = false
 		late := f.start(ctx, "n1", "dc0")
@@ -202,7 +202,7 @@
 		f := newRecallFleet(t, 12, "n0", "n1", "n2", "n3", "n4", "n5")
 		old := f.start(ctx, "n0", "dc0")
 		time.Sleep(2 * time.Second)
-		old.Placer.Learn(sageclock.Now(), f.holds)
+		old.Placer.Merge(sageclock.Now(), f.holds)
 		clear(f.asks)
 		late := f.start(ctx, "n1", "dc0")
 		f.mu.Lock()
--- a/internal/sagerouter/tell.go
+++ b/internal/sagerouter/tell.go
@@ -26,26 +26,26 @@
 
 // fill completes a heartbeat.
 func (n *Node) fill(h *sagemesh.Heartbeat) {
-	h.Ready, h.Leaving, h.Informed = n.Ready(), n.leaving.Load(), n.recall.informed.Load()
+	h.Ready, h.Leaving, h.Synced = n.Ready(), n.leaving.Load(), n.recall.informed.Load()
 	h.Copies = make(map[string]sagefollow.Position, len(n.copies))
 	for kind, f := range n.copies {
 		h.Copies[kind] = f.Position()
-		h.Blind = h.Blind || f.Failing()
+		h.StoreUnreachable = h.StoreUnreachable || f.Failing()
 	}
-	h.InFlight = n.fleet.flights.Tell()
-	h.Broken = n.fleet.health.Broken(sageclock.Now())
+	h.InFlight = n.fleet.flights.Report()
+	h.Broken = n.fleet.health.RecentlyBroken(sageclock.Now())
 	n.fleet.broken.Set(ones(h.Broken))
-	n.fleet.broken.Tell()
+	n.fleet.broken.Report()
 	n.fillCrashes(h)
 	if n.fleet.rollouts != nil {
 		n.fleet.answers.Set(n.fleet.rollouts.Counts())
-		h.Answers, h.Plans = n.fleet.answers.Tell(), n.fleet.rollouts.Plans()
+		h.Answers, h.Plans = n.fleet.answers.Report(), n.fleet.rollouts.Plans()
 	}
 }
 
 // fillNews adds what the other nodes have not been told.
 func (n *Node) fillNews(h *sagemesh.Heartbeat) {
-	h.Held, h.Listed = n.fleet.placer.News(heldNotes), n.fleet.placer.NewsListed(listedNotes)
+	h.Held, h.Listed = n.fleet.placer.TakeUpdates(heldNotes), n.fleet.placer.TakeListedUpdates(listedNotes)
 }
 
 // fillSum adds what this data centre's nodes count, or what all do.
@@ -55,9 +55,9 @@
 		if all {
 			return c.Sum(now)
 		}
-		return c.SumOf(now, n.Settings.DataCentre)
+		return c.SumGroup(now, n.Settings.DataCentre)
 	}
-	h.Sum = &sagemesh.Sum{All: all, InFlight: of(&n.fleet.flights), Broken: of(&n.fleet.broken), Answers: of(&n.fleet.answers)}
+	h.Sum = &sagemesh.Sum{FleetWide: all, InFlight: of(&n.fleet.flights), Broken: of(&n.fleet.broken), Answers: of(&n.fleet.answers)}
 }
 
 // hearSum takes the sum in that comes with a heartbeat, if its sender is the one to make it.
@@ -65,25 +65,25 @@
 	m := h.Member()
 	near := h.DataCentre == n.Settings.DataCentre
 	switch {
-	case h.Sum == nil || !n.mesh.IsHub(&m):
-	case h.Sum.All && near:
-		n.fleet.flights.LearnTotal(now, h.Sum.InFlight)
-		n.fleet.broken.LearnTotal(now, h.Sum.Broken)
-		n.fleet.answers.LearnTotal(now, h.Sum.Answers)
-	case !h.Sum.All && !near:
-		n.fleet.flights.LearnGroup(now, h.DataCentre, h.Sum.InFlight)
-		n.fleet.broken.LearnGroup(now, h.DataCentre, h.Sum.Broken)
-		n.fleet.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
+	case h.Sum == nil || !n.mesh.IsAggregator(&m):
+	case h.Sum.FleetWide && near:
+		n.fleet.flights.UpdateTotal(now, h.Sum.InFlight)
+		n.fleet.broken.UpdateTotal(now, h.Sum.Broken)
+		n.fleet.answers.UpdateTotal(now, h.Sum.Answers)
+	case !h.Sum.FleetWide && !near:
+		n.fleet.flights.UpdateGroup(now, h.DataCentre, h.Sum.InFlight)
+		n.fleet.broken.UpdateGroup(now, h.DataCentre, h.Sum.Broken)
+		n.fleet.answers.UpdateGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
 
 // heard takes a heartbeat in.
 func (n *Node) heard(h *sagemesh.Heartbeat, stamp sageclock.Instant) {
 	now := sageclock.Now()
-	n.fleet.flights.Learn(now, h.Node, h.DataCentre, h.InFlight)
-	n.fleet.broken.Learn(now, h.Node, h.DataCentre, ones(h.Broken))
+	n.fleet.flights.UpdateNode(now, h.Node, h.DataCentre, h.InFlight)
+	n.fleet.broken.UpdateNode(now, h.Node, h.DataCentre, ones(h.Broken))
 	if n.fleet.rollouts != nil {
-		n.fleet.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
+		n.fleet.answers.UpdateNode(now, h.Node, h.DataCentre, h.Answers)
 		for _, p := range h.Plans {
 			n.learnPlan(now, p)
 		}
@@ -93,15 +93,15 @@
 	if len(h.Broken) > 0 || h.Sum != nil {
 		n.fleet.told(now)
 	}
-	n.fleet.placer.Learn(now, h.Held)
-	n.fleet.placer.LearnListed(now, h.Listed)
+	n.fleet.placer.Merge(now, h.Held)
+	n.fleet.placer.MergeListed(now, h.Listed)
 	if stamp == 0 {
 		return
 	}
-	near := h.DataCentre == n.Settings.DataCentre || n.mesh.First()
+	near := h.DataCentre == n.Settings.DataCentre || n.mesh.IsFirstInDataCentre()
 	for kind, p := range h.Copies {
 		if f := n.copies[kind]; f != nil {
-			f.Told(context.Background(), h.Address, p, stamp, near)
+			f.HandlePosition(context.Background(), h.Address, p, stamp, near)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 
 // countsLag is the time between two statements of the other nodes' counts.
 func (n *Node) countsLag() time.Duration {
-	if n.fleet.flights.Summed(sageclock.Now()) {
+	if n.fleet.flights.HasFreshSums(sageclock.Now()) {
 		return sumLag
 	}
 	return n.mesh.Interval()
@@ -126,15 +126,15 @@
 // changed tells the peers of changed content: all of them if the store told this node, those of its
 // data centre if this node fetched it for them.
 func (n *Node) changed(own bool) {
-	if own || n.mesh.First() {
-		n.mesh.Nudge(own)
+	if own || n.mesh.IsFirstInDataCentre() {
+		n.mesh.TriggerHeartbeats(own)
 	}
 }
 
 // lag is the age that a proof gets by heartbeats: the peer's own and the stamp that it echoes.
 func (n *Node) lag() time.Duration {
-	if n.mesh.Quick() {
+	if n.mesh.IsStandby() {
 		return 0
 	}
-	return max(0, n.mesh.Lag()-mostLag)
+	return max(0, n.mesh.PropagationDelay()-mostLag)
 }
