--- a/internal/sagerelay/bench_test.go
+++ b/internal/sagerelay/bench_test.go
@@ -10,19 +10,19 @@
 	"sagestand.example/sagestand/internal/sagesse"
 )
 
-func BenchmarkPassEvent(b *testing.B) {
+func BenchmarkForwardEvent(b *testing.B) {
 	w := httptest.NewRecorder()
 	j := &job{w: w}
 	flush := http.NewResponseController(w)
 	event := "id: 1\ndata: " + strings.Repeat("x", 52) + "\n\n"
 	b.ReportAllocs()
 	for b.Loop() {
-		r := &sagesse.Reader{R: bufio.NewReaderSize(strings.NewReader(event), readAhead), MaxEventBytes: maxEvent}
+		r := &sagesse.Reader{R: bufio.NewReaderSize(strings.NewReader(event), streamBufferBytes), MaxEventBytes: maxEventBytes}
 		e, err := r.Next()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := j.passEvent(e, flush); err != nil {
+		if err := j.forwardEvent(e, flush); err != nil {
 			b.Fatal(err)
 		}
 		w.Body.Reset()
--- a/internal/sagerelay/crash.go
+++ b/internal/sagerelay/crash.go
@@ -11,20 +11,20 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// fingerprint names what the request asks for, which attempts that come again have in common.
+// fingerprint identifies the content of the request. Repeated attempts share it.
 func (j *job) fingerprint() sagequarantine.Fingerprint {
-	if j.print == nil {
+	if j.fp == nil {
 		account := ""
 		if j.account != nil {
 			account = j.account.Name
 		}
-		f := sagequarantine.FingerprintOf(account, j.r.Method, j.r.Host+j.r.URL.RequestURI(), j.bytes)
-		j.print = &f
+		f := sagequarantine.FingerprintOf(account, j.r.Method, j.r.Host+j.r.URL.RequestURI(), j.body)
+		j.fp = &f
 	}
-	return *j.print
+	return *j.fp
 }
 
-// quarantined reports whether the request must not be sent, and notes until when.
+// quarantined reports whether the request must not be sent, and sets the end of its quarantine.
 func (j *job) quarantined() bool {
 	if !j.s.Quarantine.Active() {
 		return false
@@ -35,32 +35,32 @@
 		return false
 	}
 	if j.s.SendsTrials() && j.s.Quarantine.AllowTrial(now, j.fingerprint()) {
-		j.s.Log.Info("Trial of a quarantined request.", "id", j.call.ID, "fingerprint", j.fingerprint().String())
+		j.s.Log.Info("Trial of a quarantined request.", "id", j.meta.ID, "fingerprint", j.fingerprint().String())
 		return false
 	}
-	j.freeAt = until
+	j.quarantineEnd = until
 	return true
 }
 
-// refuseQuarantined ends a quarantined request that is not under way at any upstream.
+// refuseQuarantined refuses a quarantined request that no upstream may have executed.
 func (j *job) refuseQuarantined() {
-	j.refuse(http.StatusServiceUnavailable, Quarantined, j.freeAt.Sub(sageclock.Now()).Round(time.Second))
+	j.refuse(http.StatusServiceUnavailable, Quarantined, j.quarantineEnd.Sub(sageclock.Now()).Round(time.Second))
 }
 
-// succeeded clears a request that was executed to its end.
-func (j *job) succeeded() {
+// recordSuccess records that the request was executed to completion, which clears it of suspicion.
+func (j *job) recordSuccess() {
 	if j.s.Quarantine.Active() {
 		j.s.Quarantine.RecordSuccess(sageclock.Now(), j.fingerprint())
 	}
 }
 
-// crashOf returns the crash that ends this start of an upstream.
+// crashOf returns the ID of the crash that ends this start of an upstream.
 func crashOf(u *sageupstream.Entry) sagequarantine.CrashID {
 	return sagequarantine.CrashIDOf(u.ID, u.Born)
 }
 
-// checkCrash finds out whether the upstream crashed under the request, which takes a moment. One that was leaving has
-// stopped as planned.
+// checkCrash probes in the background whether the upstream crashed while it handled the request. An
+// upstream that was leaving has stopped as planned.
 func (x *exchange) checkCrash() {
 	j, u := x.j, x.p.Upstream
 	if j.s.Fleet.Leaving(u) {
@@ -68,28 +68,29 @@
 	}
 	f := j.fingerprint()
 	go func() {
-		if j.s.crashed(u) {
-			j.s.noteCrash(u, f)
+		if j.s.probeStopped(u) {
+			j.s.recordCrash(u, f)
 		}
 	}()
 }
 
-// abandon notes that this side gave the request up, with which the upstream may go on.
-func (x *exchange) abandon() {
+// recordAbandoned records that this node cancelled the request. The upstream may still be executing
+// it.
+func (x *exchange) recordAbandoned() {
 	x.j.s.Quarantine.RecordAbandoned(sageclock.Now(), crashOf(x.p.Upstream), x.j.fingerprint())
 }
 
-// crashed probes whether an upstream has stopped. Calls at the same time share one probe.
-func (s *Service) crashed(u *sageupstream.Entry) bool {
-	stopped, _, _ := s.crashes.Do(u.ID, func() (any, error) {
-		time.Sleep(crashProbeAfter)
-		return s.upstreams.refuses(context.Background(), u.Address), nil
+// probeStopped probes whether an upstream has stopped. Concurrent calls share one probe.
+func (s *Service) probeStopped(u *sageupstream.Entry) bool {
+	stopped, _, _ := s.crashProbes.Do(u.ID, func() (any, error) {
+		time.Sleep(crashProbeDelay)
+		return s.transports.refusesConnections(context.Background(), u.Address), nil
 	})
 	return stopped.(bool)
 }
 
-// noteCrash takes in that an upstream crashed with some requests of this node.
-func (s *Service) noteCrash(u *sageupstream.Entry, requests ...sagequarantine.Fingerprint) {
+// recordCrash records that an upstream crashed while it handled requests of this node.
+func (s *Service) recordCrash(u *sageupstream.Entry, requests ...sagequarantine.Fingerprint) {
 	now := sageclock.Now()
 	for _, f := range requests {
 		s.Log.Limited(sagelog.KindBelief, "Upstream crashed under a request.", "upstream", u.ID, "service", u.Service, "fingerprint", f.String())
--- a/internal/sagerelay/crash_test.go
+++ b/internal/sagerelay/crash_test.go
@@ -15,8 +15,9 @@
 	"sagestand.example/sagestand/pkg/sageroute"
 )
 
-// stop returns an upstream that reads a request, runs for a while and ends with its listener.
-func (f *world) stop(name string, after time.Duration) upstream {
+// stopAfter returns an upstream that reads a request and, after a delay, closes the connection and
+// its listener.
+func (f *fakeFleet) stopAfter(name string, after time.Duration) upstream {
 	return func(net.Conn, *http.Request) {
 		time.Sleep(after)
 		f.mu.Lock()
@@ -25,130 +26,133 @@
 	}
 }
 
-// suspects returns how many requests a book suspects, once probes are over.
-func suspects(s *Service) int {
-	time.Sleep(2 * crashProbeAfter)
+// suspectCount waits for crash probes to end and returns the number of suspect requests.
+func suspectCount(s *Service) int {
+	time.Sleep(2 * crashProbeDelay)
 	n, _ := s.Quarantine.Counts()
 	return n
 }
 
-// Guards against breaks that are taken for crashes, and crashes that are taken for breaks.
-func TestOnlyAnUpstreamThatStoppedMakesARequestSuspect(t *testing.T) {
-	once := route(sageroute.Once)
-	stream := route(sageroute.Stream)
+// A broken connection alone must not count as a crash of the upstream, and a crash must not be
+// missed.
+func TestOnlyUpstreamCrashMakesRequestSuspect(t *testing.T) {
+	once := testRoute(sageroute.Once)
+	stream := testRoute(sageroute.Stream)
 	stream.Resumable = false
 	for _, tt := range []struct {
 		name    string
 		route   sageroute.Route
-		up      func(w *world) upstream
+		up      func(fleet *fakeFleet) upstream
 		leaving bool
 		want    int
 	}{
-		{"crashed before it answered", once, func(w *world) upstream { return w.stop("a", 0) }, false, 1},
-		{"crashed in the middle of a stream", stream, func(w *world) upstream {
-			return func(c net.Conn, r *http.Request) { events(1, 3, false)(c, r); w.stop("a", 0)(c, r) }
+		{"crash before the response", once, func(fleet *fakeFleet) upstream { return fleet.stopAfter("a", 0) }, false, 1},
+		{"crash in the middle of a stream", stream, func(fleet *fakeFleet) upstream {
+			return func(c net.Conn, r *http.Request) { events(1, 3, false)(c, r); fleet.stopAfter("a", 0)(c, r) }
 		}, false, 1},
-		{"a connection broke", once, func(*world) upstream { return crash }, false, 0},
-		{"a stream was cut", stream, func(*world) upstream { return events(1, 3, false) }, false, 0},
-		{"another's answer", once, func(*world) upstream { return foreign }, false, 0},
-		{"silent", once, func(*world) upstream { return silent }, false, 0},
-		{"stopped as planned", once, func(w *world) upstream { return w.stop("a", 0) }, true, 0},
+		{"broken connection", once, func(*fakeFleet) upstream { return crash }, false, 0},
+		{"truncated stream", stream, func(*fakeFleet) upstream { return events(1, 3, false) }, false, 0},
+		{"response with the id of another request", once, func(*fakeFleet) upstream { return respondWithOtherID }, false, 0},
+		{"stalled upstream", once, func(*fakeFleet) upstream { return stalled }, false, 0},
+		{"planned stop", once, func(fleet *fakeFleet) upstream { return fleet.stopAfter("a", 0) }, true, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, tt.route, map[string]upstream{"a": nil})
-				w.upstreams["a"] = tt.up(w)
-				w.leaving = tt.leaving
-				s := w.service()
-				w.callOn(t.Context(), s, nil, "body")
-				require.Equal(t, tt.want, suspects(s))
+				fleet := newFakeFleet(t, tt.route, map[string]upstream{"a": nil})
+				fleet.upstreams["a"] = tt.up(fleet)
+				fleet.leaving = tt.leaving
+				s := fleet.service()
+				fleet.callOn(t.Context(), s, nil, "body")
+				require.Equal(t, tt.want, suspectCount(s))
 			})
 		})
 	}
 }
 
-// Guards against a request whose caller leaves, or that times out, before its upstream crashes under it.
-func TestRequestThatWasGivenUpBecomesSuspect(t *testing.T) {
+// The upstream crashes after the caller has disconnected or the request has timed out. The request
+// must become suspect nevertheless.
+func TestAbandonedRequestBecomesSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": nil})
-		w.upstreams["a"] = w.stop("a", time.Second)
-		s := w.service()
+		fleet := newFakeFleet(t, testRoute(sageroute.Once), map[string]upstream{"a": nil})
+		fleet.upstreams["a"] = fleet.stopAfter("a", time.Second)
+		s := fleet.service()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		require.True(t, w.callOn(ctx, s, nil, "body").broken)
-		require.Zero(t, suspects(s))
+		require.True(t, fleet.callOn(ctx, s, nil, "body").aborted)
+		require.Zero(t, suspectCount(s))
 		time.Sleep(time.Second)
-		require.Equal(t, 503, w.callOn(t.Context(), s, nil, "another body").Code, "nothing listens there")
-		require.Equal(t, 1, suspects(s))
+		require.Equal(t, 503, fleet.callOn(t.Context(), s, nil, "another body").Code, "nothing listens at the address")
+		require.Equal(t, 1, suspectCount(s))
 		require.Empty(t, s.Quarantine.RecordCrash(sageclock.Now(), 1, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))))
-		require.Len(t, s.Quarantine.RecordCrash(sageclock.Now(), 2, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))), 1, "it was that one")
+		require.Len(t, s.Quarantine.RecordCrash(sageclock.Now(), 2, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))), 1, "the abandoned request is the suspect")
 	})
 }
 
-// Guards against a quarantined request that is sent all the same, and against harmless ones that are refused with it.
-func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
+// A quarantined request must not be sent, and requests with other content must not be refused with
+// it.
+func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
-		s := w.service()
-		fatal := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
+		fleet := newFakeFleet(t, testRoute(sageroute.Once), map[string]upstream{"a": respond(200, sealHeader, "fine")})
+		s := fleet.service()
+		fp := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
 		for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-			s.Quarantine.RecordCrash(sageclock.Now(), c, fatal)
+			s.Quarantine.RecordCrash(sageclock.Now(), c, fp)
 		}
-		began := time.Now()
-		out := w.callOn(t.Context(), s, nil, "body")
+		start := time.Now()
+		out := fleet.callOn(t.Context(), s, nil, "body")
 		require.Equal(t, 503, out.Code)
 		require.Equal(t, `{"reason":"quarantined"}`, out.Body.String())
 		require.Equal(t, "1800", out.Header().Get("Retry-After"))
-		require.Zero(t, time.Since(began))
-		require.Empty(t, w.sent)
-		require.Equal(t, 200, w.callOn(t.Context(), s, nil, "bod").Code)
-		require.Len(t, w.sent, 1)
+		require.Zero(t, time.Since(start))
+		require.Empty(t, fleet.sent)
+		require.Equal(t, 200, fleet.callOn(t.Context(), s, nil, "bod").Code)
+		require.Len(t, fleet.sent, 1)
 	})
 }
 
-// Guards against a harmless request that stays quarantined by mistake, and against tries by every node.
-func TestOneNodeTriesAQuarantinedRequest(t *testing.T) {
+// A harmless request must not stay quarantined for good, and only one node may send trials of it.
+func TestOnlyTrialNodeSendsQuarantinedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
-		s := w.service()
+		fleet := newFakeFleet(t, testRoute(sageroute.Once), map[string]upstream{"a": respond(200, sealHeader, "fine")})
+		s := fleet.service()
 		for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
 			s.Quarantine.RecordCrash(sageclock.Now().Add(-5*time.Minute), c, sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body")))
 		}
-		require.Equal(t, 503, w.callOn(t.Context(), s, nil, "body").Code)
-		w.trials = true
-		require.Equal(t, 200, w.callOn(t.Context(), s, nil, "body").Code)
-		w.trials = false
-		require.Equal(t, 200, w.callOn(t.Context(), s, nil, "body").Code, "it succeeded")
+		require.Equal(t, 503, fleet.callOn(t.Context(), s, nil, "body").Code)
+		fleet.sendsTrials = true
+		require.Equal(t, 200, fleet.callOn(t.Context(), s, nil, "body").Code)
+		fleet.sendsTrials = false
+		require.Equal(t, 200, fleet.callOn(t.Context(), s, nil, "body").Code, "the trial succeeded and ended the quarantine")
 	})
 }
 
-// Guards against a node that sends a request on after the upstream's crash that quarantines it.
-func TestRequestThatIsQuarantinedUnderWayGoesNowhereElse(t *testing.T) {
+// The crash of the first upstream quarantines the request. The node must not send it to another one.
+func TestRequestQuarantinedInFlightIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, route(sageroute.Idempotent), map[string]upstream{"b": reply(200, seal, "fine")})
-		s := w.service()
-		fatal := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
-		w.names, w.upstreams["a"] = []string{"a", "b"}, func(net.Conn, *http.Request) {
+		fleet := newFakeFleet(t, testRoute(sageroute.Idempotent), map[string]upstream{"b": respond(200, sealHeader, "fine")})
+		s := fleet.service()
+		fp := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
+		fleet.names, fleet.upstreams["a"] = []string{"a", "b"}, func(net.Conn, *http.Request) {
 			for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-				s.Quarantine.RecordCrash(sageclock.Now(), c, fatal)
+				s.Quarantine.RecordCrash(sageclock.Now(), c, fp)
 			}
 		}
-		out := w.callOn(t.Context(), s, nil, "body")
-		require.Equal(t, 502, out.Code, "it ran")
+		out := fleet.callOn(t.Context(), s, nil, "body")
+		require.Equal(t, 502, out.Code, "the request may have been executed")
 		require.Equal(t, `{"reason":"quarantined"}`, out.Body.String())
-		require.Len(t, w.sent, 1)
+		require.Len(t, fleet.sent, 1)
 	})
 }
 
-// Guards against quarantine of a request that upstreams execute.
-func TestSuccessIsReported(t *testing.T) {
+// A request that upstreams execute successfully must not be quarantined.
+func TestSuccessClearsSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, route(sageroute.Once), map[string]upstream{"a": reply(200, seal, "fine")})
-		s := w.service()
-		f := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
-		s.Quarantine.RecordCrash(sageclock.Now(), 1, f)
-		s.Quarantine.RecordCrash(sageclock.Now(), 2, f)
-		require.Equal(t, 200, w.callOn(t.Context(), s, nil, "body").Code)
-		require.Empty(t, s.Quarantine.RecordCrash(sageclock.Now(), 3, f))
+		fleet := newFakeFleet(t, testRoute(sageroute.Once), map[string]upstream{"a": respond(200, sealHeader, "fine")})
+		s := fleet.service()
+		fp := sagequarantine.FingerprintOf("acc", "POST", "h.example/x?y=1", []byte("body"))
+		s.Quarantine.RecordCrash(sageclock.Now(), 1, fp)
+		s.Quarantine.RecordCrash(sageclock.Now(), 2, fp)
+		require.Equal(t, 200, fleet.callOn(t.Context(), s, nil, "body").Code)
+		require.Empty(t, s.Quarantine.RecordCrash(sageclock.Now(), 3, fp))
 	})
 }
--- a/internal/sagerelay/doc.go
+++ b/internal/sagerelay/doc.go
@@ -1,20 +1,22 @@
-// Package sagerelay takes callers' requests to upstreams and the answers back.
+// Package sagerelay forwards callers' requests to upstreams and returns the responses.
 //
-// One [Service] is an http.Handler. A request is matched to a route and an account, checked against
-// the freshness of the configuration, read whole, and sent to an upstream that the [Fleet] picks.
-// What happens next depends on whether the request may be executed again:
+// [Service] is an http.Handler. It matches a request to a route and an account, checks that the
+// configuration is fresh, buffers the body and sends the request to an upstream that the [Fleet]
+// picks. If that fails, the next step depends on whether the request may be executed again:
 //
-//   - nothing was sent, or the upstream says that it did not execute the request: another upstream;
-//   - the exchange failed and the request is repeatable: another upstream, within the route's
-//     attempts and the fleet's retry budget; a resumable stream goes on after its last whole event;
-//   - the exchange failed and the request may be executed once: 502, never a refusal that would say
-//     it did not run.
+//   - Nothing was sent, or the upstream declined the request: another upstream is tried.
+//   - The exchange failed and the request is repeatable: another upstream is tried, within the
+//     route's maximum of attempts and the fleet's retry budget. A resumable stream continues after
+//     its last complete event.
+//   - The exchange failed and the request must be executed at most once: the response is 502, never
+//     a refusal that would say that the request was not executed.
 //
-// An answer is passed on only if it bears the request's id and, for a success, the upstream's seal;
-// plain answers are held until they are whole, streams are passed on event by event, and one that
-// can't be completed ends with a closed connection, never with a regular end.
+// A response is forwarded only if it bears the request's ID and, unless the upstream declined, the
+// upstream's seal. Plain responses are buffered until they are complete, streams are forwarded event
+// by event. If a stream can't be completed, the caller's connection is closed without the regular
+// end of the body, so that a truncated stream can't be taken for a complete one.
 //
-// How ids, keys, deadlines and refusals are written on the wire is the [Dialect]'s matter.
+// A [Dialect] defines how IDs, keys, deadlines and refusals are written in headers.
 //
 // # Usage
 //
--- a/internal/sagerelay/exchange.go
+++ b/internal/sagerelay/exchange.go
@@ -16,112 +16,114 @@
 	"sagestand.example/sagestand/pkg/sagehealth"
 )
 
-// Bounds on one exchange.
+// Limits of one exchange.
 const (
-	// maxHeld is the greatest plain answer that is held until it is whole.
-	maxHeld = 4 << 20
-	// silentShare is the part of the objective after which a repeatable request that brought nothing
-	// goes to another upstream, which then still has the rest of the objective.
-	silentShare = 0.6
-	// silentLeast is the least such time: four times the usual work of a plain service, so that a
-	// slow answer isn't taken for a lost one.
-	silentLeast = 200 * time.Millisecond
-	// silentReads is how many times the time in which an idle engine reads the prompt is added: it may read
-	// one or two others first (an estimate).
-	silentReads = 2.75
+	// maxPlainResponseBytes is the maximum size of a response that isn't a stream; it is buffered
+	// completely.
+	maxPlainResponseBytes = 4 << 20
+	// firstByteShare is the fraction of the route's objective after which a repeatable request
+	// without any response data is sent to another upstream. The rest of the objective is left for
+	// that upstream.
+	firstByteShare = 0.6
+	// minStallTimeout is the lower limit of first-byte and stall timeouts. It is four times the usual
+	// response time of a plain service, so that a slow response isn't taken for a lost one.
+	minStallTimeout = 200 * time.Millisecond
+	// prefillFactor multiplies the prefill time of an idle engine in the first-byte timeout. The
+	// engine may prefill one or two other prompts first; the factor is an estimate.
+	prefillFactor = 2.75
 )
 
-// errSilent cancels an exchange that brought nothing for too long.
-var errSilent = errors.New("the upstream stays silent")
+// errStalled is the cause with which a stalled exchange is cancelled.
+var errStalled = errors.New("upstream stalled: no data within the timeout")
 
-// exchange is one send of a request to one upstream.
+// exchange is one attempt to send a request to one upstream.
 type exchange struct {
-	j      *job
-	p      *Pick
-	began  time.Time
-	sent   sageconn.Tracker
-	cancel context.CancelCauseFunc
+	j       *job
+	p       *Pick
+	start   time.Time
+	tracker sageconn.Tracker
+	cancel  context.CancelCauseFunc
 }
 
-// try sends the request to an upstream and passes its answer on.
-func (j *job) try(ctx context.Context, p *Pick) verdict {
-	if !j.s.Fleet.Usable(p.Upstream) || j.keyed && !j.s.Fleet.Fresh() {
-		j.tried, j.cause = append(j.tried, p.Upstream.ID), "no longer usable"
+// sendTo sends the request to an upstream and forwards the response.
+func (j *job) sendTo(ctx context.Context, p *Pick) verdict {
+	if !j.s.Fleet.Usable(p.Upstream) || j.keyChecked && !j.s.Fleet.Fresh() {
+		j.tried, j.cause = append(j.tried, p.Upstream.ID), "upstream no longer usable"
 		return notSent
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x := &exchange{j: j, p: p, began: time.Now(), cancel: cancel}
+	x := &exchange{j: j, p: p, start: time.Now(), cancel: cancel}
 	j.sends++
 	j.tried = append(j.tried, p.Upstream.ID)
-	silent := x.watchSilence()
-	if silent != nil {
-		defer silent.Stop()
+	stallTimer := x.startStallTimer()
+	if stallTimer != nil {
+		defer stallTimer.Stop()
 	}
 	res, err := x.send(ctx)
 	if err != nil {
-		return x.broken(ctx, err)
+		return x.failExchange(ctx, err)
 	}
 	defer func() { _ = res.Body.Close() }()
-	return x.reply(ctx, res, silent)
+	return x.handleResponse(ctx, res, stallTimer)
 }
 
-// watchSilence sets a timer that cancels the exchange of a repeatable request if nothing comes in
-// time for another upstream to answer. It asks for the retry first: without one, a late answer is
-// better than none.
-func (x *exchange) watchSilence() *time.Timer {
+// startStallTimer starts a timer that cancels the exchange of a repeatable request if no response
+// data arrives while another upstream could still respond in time. The timer first asks for the
+// retry: without one, a late response is better than none.
+func (x *exchange) startStallTimer() *time.Timer {
 	j := x.j
-	if !j.route.Repeatable() || j.runs+1 >= j.route.MaxAttempts || j.sends >= maxSends {
+	if !j.route.Repeatable() || j.possibleRuns+1 >= j.route.MaxAttempts || j.sends >= maxSends {
 		return nil
 	}
-	within := j.silence()
-	return time.AfterFunc(within, func() {
-		if j.s.Fleet.AllowRetry(j.target) {
-			j.granted.Store(true)
-			x.cancel(errSilent)
+	timeout := j.firstByteTimeout()
+	return time.AfterFunc(timeout, func() {
+		if j.s.Fleet.AllowRetry(j.serviceName) {
+			j.retryGranted.Store(true)
+			x.cancel(errStalled)
 		}
 	})
 }
 
-// silence is how long the first byte of a repeatable request may take.
+// firstByteTimeout is the time allowed for the first byte of the response to a repeatable request.
 //
-// It guards against prompts that are given up while an engine still reads them: the next engine
-// starts from the beginning and is given up as well, and since only a prompt that was read to its end
-// stays in the cache, the same prompt fails again and again.
-func (j *job) silence() time.Duration {
-	within := max(silentLeast, time.Duration(silentShare*float64(j.route.Objective)))
-	return within + time.Duration(silentReads*float64(j.s.Fleet.PrefillTime(j.target, j.call.Chain.Tokens())))
+// It includes the prefill time of the prompt. Otherwise the exchange is cancelled during prefill, the
+// next engine starts from the beginning and is cancelled as well. Only completely read prompts stay
+// in the cache, so the same prompt would fail again and again.
+func (j *job) firstByteTimeout() time.Duration {
+	timeout := max(minStallTimeout, time.Duration(firstByteShare*float64(j.route.Objective)))
+	return timeout + time.Duration(prefillFactor*float64(j.s.Fleet.PrefillTime(j.serviceName, j.meta.Chain.Tokens())))
 }
 
-// send makes the round trip up to the header of the answer.
+// send sends the request and returns when the response header has arrived.
 func (x *exchange) send(ctx context.Context) (*http.Response, error) {
 	j := x.j
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.sent.GotConn})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.tracker.GotConn})
 	u := *j.r.URL
 	u.Scheme, u.Host = "http", x.p.Upstream.Address
 	req := (&http.Request{Method: j.r.Method, URL: &u, Host: j.r.Host, Header: sageheader.EndToEnd(j.r.Header), ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
-	if len(j.bytes) > 0 {
-		req.Body = io.NopCloser(onceReader{bytes.NewReader(j.bytes)})
-		req.ContentLength = int64(len(j.bytes))
+	if len(j.body) > 0 {
+		req.Body = io.NopCloser(onceReader{bytes.NewReader(j.body)})
+		req.ContentLength = int64(len(j.body))
 	}
-	s := ForwardMetadata{Upstream: x.p.Upstream, Deadline: j.until, Priority: j.priority(), CacheSource: x.p.CacheSource, LastEventID: j.lastEvent}
+	s := ForwardMetadata{Upstream: x.p.Upstream, Deadline: j.deadline, Priority: j.priority(), CacheSource: x.p.CacheSource, LastEventID: j.lastEventID}
 	if j.account != nil {
 		s.Account = j.account.Name
 	}
 	j.s.Dialect.SetForwardHeader(req.Header, &s)
 	if req.Header.Get("User-Agent") == "" {
-		req.Header["User-Agent"] = []string{""} // no name that the caller didn't give
+		req.Header["User-Agent"] = []string{""} // suppresses the default of net/http
 	}
-	if len(j.call.Chain) > 0 {
-		j.s.Fleet.RecordPrompt(x.p.Upstream, j.call.Chain)
+	if len(j.meta.Chain) > 0 {
+		j.s.Fleet.RecordPrompt(x.p.Upstream, j.meta.Chain)
 	}
-	return j.s.upstreams.of(j.route.Repeatable()).RoundTrip(req)
+	return j.s.transports.forRequest(j.route.Repeatable()).RoundTrip(req)
 }
 
-// onceReader hides the reader's type, so that net/http doesn't send the body again by itself.
+// onceReader hides the type of the reader, so that net/http can't resend the body on its own.
 type onceReader struct{ io.Reader }
 
-// priority is the account's urgency, or else the route's.
+// priority returns the priority of the account if it has one, otherwise that of the route.
 func (j *job) priority() int {
 	if j.account != nil && j.account.Priority != nil {
 		return *j.account.Priority
@@ -129,147 +131,150 @@
 	return j.route.Priority
 }
 
-// broken settles an exchange that brought no header of an answer.
-func (x *exchange) broken(ctx context.Context, err error) verdict {
+// failExchange handles an exchange that broke before its response was complete.
+func (x *exchange) failExchange(ctx context.Context, err error) verdict {
 	j := x.j
 	j.cause = err.Error()
-	unsent := x.sent.Seal()
-	x.sent.Close()
+	unsent := x.tracker.Seal()
+	x.tracker.Close()
 	if j.r.Context().Err() != nil {
 		if !unsent {
-			x.abandon()
+			x.recordAbandoned()
 		}
 		return callerGone
 	}
-	silent := errors.Is(context.Cause(ctx), errSilent)
-	timedOut := ctx.Err() != nil && !silent
+	stalled := errors.Is(context.Cause(ctx), errStalled)
+	timedOut := ctx.Err() != nil && !stalled
 	if !timedOut {
-		j.ended(x.p, sagehealth.Broken)
+		j.recordExchange(x.p, sagehealth.Broken)
 	}
 	if unsent {
-		if refused(err) {
-			j.s.noteCrash(x.p.Upstream)
+		if isConnRefused(err) {
+			j.s.recordCrash(x.p.Upstream)
 		}
 		return notSent
 	}
-	if silent || timedOut {
-		x.abandon()
-		x.answered(ResponseResult{Failed: true})
+	if stalled || timedOut {
+		x.recordAbandoned()
+		x.recordResponse(ResponseResult{Failed: true})
 	} else {
 		x.checkCrash()
 	}
-	j.runs++
+	j.possibleRuns++
 	return failed
 }
 
-// reply judges the header of an answer and passes the rest on.
-func (x *exchange) reply(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
+// handleResponse checks the response header and forwards the response.
+func (x *exchange) handleResponse(ctx context.Context, res *http.Response, stallTimer *time.Timer) verdict {
 	j := x.j
-	rep := j.s.Dialect.ParseResponse(res)
-	if rep.Misdirected {
+	meta := j.s.Dialect.ParseResponse(res)
+	if meta.Misdirected {
 		j.s.Fleet.RecordMisdirected(x.p.Upstream)
 		j.cause = "the address belongs to another upstream"
 		return notRun
 	}
-	if rep.NotRun {
+	if meta.NotRun {
 		j.cause = "declined with status " + strconv.Itoa(res.StatusCode)
 		return notRun
 	}
-	if rep.ID != j.call.ID || !rep.Sealed {
-		// The late answer to an earlier request on this connection, or bytes of nobody's.
-		return x.spoilt("the answer is another request's or has no seal")
+	if meta.ID != j.meta.ID || !meta.Sealed {
+		// A late response to an earlier request on this connection, or unrelated data.
+		return x.rejectResponse("response has the id of another request or no seal")
 	}
 	if res.StatusCode >= http.StatusInternalServerError {
-		return x.failure(ctx, res, silent)
+		return x.handleFailure(ctx, res, stallTimer)
 	}
 	if sageheader.IsEventStream(res) {
-		return x.stream(ctx, res, silent)
+		return x.forwardStream(ctx, res, stallTimer)
 	}
-	if j.started {
-		// The caller is in the middle of a stream: a plain answer would be written into it.
-		return x.spoilt("a stream was to go on and came as a plain answer")
+	if j.headerSent {
+		// A plain response must not be written into a stream that the caller has begun to read.
+		return x.rejectResponse("upstream answered a resumed stream with a plain response")
 	}
-	return x.plain(ctx, res, silent)
+	return x.forwardPlain(ctx, res, stallTimer)
 }
 
-// answered reports to the fleet how the upstream answered.
-func (x *exchange) answered(a ResponseResult) { x.j.s.Fleet.RecordResponse(x.p, x.j.route.Name, a) }
+// recordResponse records the result of the response for the upstream and the route.
+func (x *exchange) recordResponse(a ResponseResult) {
+	x.j.s.Fleet.RecordResponse(x.p, x.j.route.Name, a)
+}
 
-// spoilt settles an exchange whose answer can't be trusted.
-func (x *exchange) spoilt(cause string) verdict {
-	x.sent.Close()
+// rejectResponse handles an exchange whose response can't be trusted.
+func (x *exchange) rejectResponse(cause string) verdict {
+	x.tracker.Close()
 	x.j.cause = cause
-	x.j.runs++
-	x.j.ended(x.p, sagehealth.Broken)
+	x.j.possibleRuns++
+	x.j.recordExchange(x.p, sagehealth.Broken)
 	return failed
 }
 
-// failure settles a failure that the upstream answered itself. It is kept, to be passed on if no
-// other upstream gives a better answer.
-func (x *exchange) failure(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
+// handleFailure buffers a server error that the upstream returned. It is forwarded if no other
+// upstream gives a better response.
+func (x *exchange) handleFailure(ctx context.Context, res *http.Response, stallTimer *time.Timer) verdict {
 	j := x.j
-	h, v := x.hold(ctx, res, silent)
+	h, v := x.readResponse(ctx, res, stallTimer)
 	if h == nil {
 		return v
 	}
-	j.runs++
-	j.ended(x.p, sagehealth.Failed)
-	x.answered(ResponseResult{Failed: true})
+	j.possibleRuns++
+	j.recordExchange(x.p, sagehealth.Failed)
+	x.recordResponse(ResponseResult{Failed: true})
 	j.cause = "upstream status " + strconv.Itoa(res.StatusCode)
-	if !j.started {
-		j.held = h
+	if !j.headerSent {
+		j.upstreamFailure = h
 	}
 	return failed
 }
 
-// plain passes on an answer that is not a stream, once it is whole.
-func (x *exchange) plain(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
-	h, v := x.hold(ctx, res, silent)
+// forwardPlain forwards a response that isn't a stream once it is complete.
+func (x *exchange) forwardPlain(ctx context.Context, res *http.Response, stallTimer *time.Timer) verdict {
+	h, v := x.readResponse(ctx, res, stallTimer)
 	if h == nil {
 		return v
 	}
-	x.j.ended(x.p, sagehealth.OK)
-	x.answered(ResponseResult{Duration: time.Since(x.began)})
-	h.pass(x.j)
+	x.j.recordExchange(x.p, sagehealth.OK)
+	x.recordResponse(ResponseResult{Duration: time.Since(x.start)})
+	h.writeTo(x.j)
 	return answered
 }
 
-// heldAnswer is a whole answer.
-type heldAnswer struct {
+// bufferedResponse is a complete response.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// hold reads a whole answer; nil means that it broke, with the verdict on that.
-func (x *exchange) hold(ctx context.Context, res *http.Response, silent *time.Timer) (*heldAnswer, verdict) {
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxHeld+1))
-	if silent != nil {
-		silent.Stop()
+// readResponse reads a complete response. If that fails it returns nil and the verdict of the
+// exchange.
+func (x *exchange) readResponse(ctx context.Context, res *http.Response, stallTimer *time.Timer) (*bufferedResponse, verdict) {
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxPlainResponseBytes+1))
+	if stallTimer != nil {
+		stallTimer.Stop()
 	}
-	if err == nil && len(b) > maxHeld {
-		return nil, x.spoilt("the answer is too large to hold")
+	if err == nil && len(b) > maxPlainResponseBytes {
+		return nil, x.rejectResponse("response too large to buffer")
 	}
 	if err != nil {
-		return nil, x.broken(ctx, err)
+		return nil, x.failExchange(ctx, err)
 	}
-	return &heldAnswer{status: res.StatusCode, header: sageheader.EndToEnd(res.Header), body: b}, answered
+	return &bufferedResponse{status: res.StatusCode, header: sageheader.EndToEnd(res.Header), body: b}, answered
 }
 
-// pass gives a held answer to the caller.
-func (h *heldAnswer) pass(j *job) {
-	copyInto(j.w.Header(), h.header)
+// writeTo writes the response to the caller.
+func (h *bufferedResponse) writeTo(j *job) {
+	copyHeader(j.w.Header(), h.header)
 	if j.r.Method != http.MethodHead {
 		j.w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
 	}
 	j.w.WriteHeader(h.status)
-	_, _ = j.w.Write(h.body) // a caller that left meanwhile needs no answer
+	_, _ = j.w.Write(h.body) // fails only if the caller has disconnected
 }
 
-// copyInto passes an answer's header on.
-func copyInto(dst, src http.Header) {
+// copyHeader copies the end-to-end headers of a response.
+func copyHeader(dst, src http.Header) {
 	sageheader.Copy(dst, src)
 	if _, ok := src["Content-Type"]; !ok {
-		dst["Content-Type"] = nil // net/http would guess one
+		dst["Content-Type"] = nil // suppresses content sniffing by net/http
 	}
 }
--- a/internal/sagerelay/fakes_test.go
+++ b/internal/sagerelay/fakes_test.go
@@ -27,7 +27,7 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// The headers of the tests' own dialect.
+// Headers of testDialect.
 const (
 	testID       = "Test-Id"
 	testKey      = "Test-Key"
@@ -71,51 +71,51 @@
 	}
 }
 
-func (testDialect) SetRefusalHeader(h http.Header, _ string, after time.Duration) {
-	if after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+func (testDialect) SetRefusalHeader(h http.Header, _ string, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 }
 
-// upstream answers one request on one connection. It returns when the connection is to be closed.
+// upstream handles one request on one connection. The connection is closed when it returns.
 type upstream func(c net.Conn, req *http.Request)
 
-// world is a fleet with scripted upstreams.
-type world struct {
+// fakeFleet is a Fleet with scripted upstreams.
+type fakeFleet struct {
 	table *sageroute.Table
-	// upstreams by name, chosen in the order of names.
-	upstreams map[string]upstream
-	names     []string
-	unfresh   bool
-	trials    bool // this node sends trials of quarantined requests
-	leaving   bool // the upstreams are about to stop
-	budget    int
-
-	mu      sync.Mutex
-	sent    []*http.Request
-	results []sagehealth.Result
-	gone    []string
-	begun   []int // tokens to read of streams that began
-	answers []noted
-	ran     int
-	stopped []string // upstreams that no longer listen
-	picks   func()   // called before each pick
+	// upstreams by name; they are picked in the order of names.
+	upstreams   map[string]upstream
+	names       []string
+	stale       bool
+	sendsTrials bool // this node sends trials of quarantined requests
+	leaving     bool // the upstreams are about to stop
+	retryBudget int
+
+	mu             sync.Mutex
+	sent           []*http.Request
+	results        []sagehealth.Result
+	misdirected    []string
+	uncachedTokens []int // UncachedTokens of each stream's first event
+	responses      []recordedResponse
+	served         int
+	stopped        []string // upstreams that no longer listen
+	beforePick     func()   // called before each pick
 }
 
-func (f *world) Table() *sageroute.Table { return f.table }
-func (f *world) ProofAge() time.Duration { return 0 }
-func (f *world) Fresh() bool             { return !f.unfresh }
-func (f *world) RecordFirstSend(string)  {}
-func (f *world) AllowRetry(string) bool {
+func (f *fakeFleet) Table() *sageroute.Table { return f.table }
+func (f *fakeFleet) ProofAge() time.Duration { return 0 }
+func (f *fakeFleet) Fresh() bool             { return !f.stale }
+func (f *fakeFleet) RecordFirstSend(string)  {}
+func (f *fakeFleet) AllowRetry(string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget--
-	return f.budget >= 0
+	f.retryBudget--
+	return f.retryBudget >= 0
 }
 
-func (f *world) Pick(q *Query) *Pick {
-	if f.picks != nil {
-		f.picks()
+func (f *fakeFleet) Pick(q *Query) *Pick {
+	if f.beforePick != nil {
+		f.beforePick()
 	}
 	for _, n := range f.names {
 		if !slices.Contains(q.Tried, n) {
@@ -125,34 +125,36 @@
 	return nil
 }
 
-func (f *world) Usable(*sageupstream.Entry) bool  { return true }
-func (f *world) Leaving(*sageupstream.Entry) bool { return f.leaving }
+func (f *fakeFleet) Usable(*sageupstream.Entry) bool  { return true }
+func (f *fakeFleet) Leaving(*sageupstream.Entry) bool { return f.leaving }
 
-func (f *world) RecordPrompt(*sageupstream.Entry, sagechain.Chain) {}
-func (f *world) RecordMisdirected(u *sageupstream.Entry)           { f.gone = append(f.gone, u.ID) }
-func (f *world) RecordFirstEvent(p *Pick, _ time.Duration) {
-	f.begun = append(f.begun, p.UncachedTokens)
+func (f *fakeFleet) RecordPrompt(*sageupstream.Entry, sagechain.Chain) {}
+func (f *fakeFleet) RecordMisdirected(u *sageupstream.Entry) {
+	f.misdirected = append(f.misdirected, u.ID)
+}
+func (f *fakeFleet) RecordFirstEvent(p *Pick, _ time.Duration) {
+	f.uncachedTokens = append(f.uncachedTokens, p.UncachedTokens)
 }
 
-func (f *world) RecordServiceTime(string, time.Duration) { f.ran++ }
+func (f *fakeFleet) RecordServiceTime(string, time.Duration) { f.served++ }
 
-func (f *world) PrefillTime(_ string, tokens int) time.Duration {
+func (f *fakeFleet) PrefillTime(_ string, tokens int) time.Duration {
 	return time.Duration(tokens) * 18 * time.Microsecond
 }
 
-func (f *world) AwaitCacheSync(context.Context, string, sagechain.Chain) {}
+func (f *fakeFleet) AwaitCacheSync(context.Context, string, sagechain.Chain) {}
 
-func (f *world) RecordResponse(_ *Pick, route string, a ResponseResult) {
+func (f *fakeFleet) RecordResponse(_ *Pick, route string, a ResponseResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.answers = append(f.answers, noted{route, a})
+	f.responses = append(f.responses, recordedResponse{route, a})
 }
 
-func (f *world) RecordExchange(_ *sageupstream.Entry, r sagehealth.Result) {
+func (f *fakeFleet) RecordExchange(_ *sageupstream.Entry, r sagehealth.Result) {
 	f.results = append(f.results, r)
 }
 
-func (f *world) dial(_ context.Context, _, address string) (net.Conn, error) {
+func (f *fakeFleet) dial(_ context.Context, _, address string) (net.Conn, error) {
 	name := strings.TrimSuffix(address, ":80")
 	up := f.upstreams[name]
 	f.mu.Lock()
@@ -168,7 +170,7 @@
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(req.Body) // a request that breaks off has no more body
+		body, _ := io.ReadAll(req.Body) // a truncated request has a shorter body
 		req.Body = io.NopCloser(strings.NewReader(string(body)))
 		f.mu.Lock()
 		f.sent = append(f.sent, req)
@@ -178,14 +180,14 @@
 	return a, nil
 }
 
-// noted is an answer that was reported to the fleet.
-type noted struct {
+// recordedResponse is a result that was reported by RecordResponse.
+type recordedResponse struct {
 	route string
 	ResponseResult
 }
 
-// route is a route with usual figures; kinds differ per test.
-func route(kind sageroute.Kind) sageroute.Route {
+// testRoute returns a route of the kind with typical values.
+func testRoute(kind sageroute.Kind) sageroute.Route {
 	return sageroute.Route{
 		Name: "r", Host: "h.example", Prefix: "/", Kind: kind, MaxAttempts: 2, Timeout: 4 * time.Second,
 		Objective: 300 * time.Millisecond, MaxEventGap: 500 * time.Millisecond, Resumable: kind == sageroute.Stream,
@@ -193,98 +195,99 @@
 	}
 }
 
-func newWorld(t *testing.T, r sageroute.Route, ups map[string]upstream) *world {
+func newFakeFleet(t *testing.T, r sageroute.Route, ups map[string]upstream) *fakeFleet {
 	t.Helper()
 	tab, err := sageroute.New(1, []sageroute.Route{r}, nil, []sageroute.Account{{Name: "acc", Keys: []string{"good"}}}, sageroute.Limits{BodyBytes: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{table: tab, upstreams: ups, budget: 10}
+	fleet := &fakeFleet{table: tab, upstreams: ups, retryBudget: 10}
 	for n := range ups {
-		w.names = append(w.names, n)
+		fleet.names = append(fleet.names, n)
 	}
-	slices.Sort(w.names)
-	t.Cleanup(func() { time.Sleep(2 * crashProbeAfter) }) // probes of broken exchanges end by then
-	return w
+	slices.Sort(fleet.names)
+	t.Cleanup(func() { time.Sleep(2 * crashProbeDelay) }) // wait for crash probes that are still running
+	return fleet
 }
 
-// outcome is what the caller saw.
-type outcome struct {
+// callerResult is what the caller received.
+type callerResult struct {
 	*httptest.ResponseRecorder
-	// broken says that the connection was closed in the middle.
-	broken bool
+	// aborted is set if the connection was closed before the response was complete.
+	aborted bool
 }
 
-func (f *world) service() *Service {
+func (f *fakeFleet) service() *Service {
 	s := &Service{Dialect: testDialect{}, Fleet: f, Metrics: metrics.NewSet(), Log: sagelog.Logger{}, Closing: func() bool { return false }, Quarantine: new(sagequarantine.Tracker),
-		SendsTrials: func() bool { return f.trials }}
-	s.upstreams.dial = f.dial
+		SendsTrials: func() bool { return f.sendsTrials }}
+	s.transports.dial = f.dial
 	return s
 }
 
-func (f *world) call(ctx context.Context, header map[string]string, body string) outcome {
+func (f *fakeFleet) call(ctx context.Context, header map[string]string, body string) callerResult {
 	return f.callOn(ctx, f.service(), header, body)
 }
 
-func (f *world) callOn(ctx context.Context, s *Service, header map[string]string, body string) outcome {
+func (f *fakeFleet) callOn(ctx context.Context, s *Service, header map[string]string, body string) callerResult {
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example/x?y=1", strings.NewReader(body))
 	req.Header.Set(testID, "id1")
 	req.Header.Set(testKey, "good")
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
-	out := outcome{ResponseRecorder: httptest.NewRecorder()}
+	out := callerResult{ResponseRecorder: httptest.NewRecorder()}
 	func() {
 		defer func() {
 			if r := recover(); r != nil {
-				out.broken = true
+				out.aborted = true
 			}
 		}()
 		s.ServeHTTP(out, req)
 	}()
-	s.upstreams.of(true).CloseIdleConnections()
+	s.transports.forRequest(true).CloseIdleConnections()
 	return out
 }
 
-// reply writes a plain answer.
-func reply(status int, header, body string) upstream {
+// respond returns an upstream that sends a plain response.
+func respond(status int, header, body string) upstream {
 	return func(c net.Conn, req *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, testID, req.Header.Get(testID), header, len(body), body)
 	}
 }
 
-const seal = testSeal + ": s\r\n"
+const sealHeader = testSeal + ": s\r\n"
 
-// events writes a stream in chunks: events from..to, and its end if whole.
-func events(from, to int, whole bool) upstream {
+// events returns an upstream that sends the events from..to in chunks, and the end of the stream if
+// complete.
+func events(from, to int, complete bool) upstream {
 	return func(c net.Conn, req *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: from-%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", testID, req.Header.Get(testID), testSeal, from)
 		for i := from; i <= to; i++ {
 			e := fmt.Sprintf("id: %d\ndata: w%d\n\n", i, i)
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(e), e)
 		}
-		if whole {
+		if complete {
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		}
 	}
 }
 
-// silent reads the request and never answers.
-func silent(c net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, c) }
+// stalled reads the request and never responds.
+func stalled(c net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, c) }
 
-// after answers with up once d has passed.
-func after(d time.Duration, up upstream) upstream {
+// delayed returns an upstream that waits for d and then responds like up.
+func delayed(d time.Duration, up upstream) upstream {
 	return func(c net.Conn, req *http.Request) {
 		time.Sleep(d)
 		up(c, req)
 	}
 }
 
-// crash closes the connection without an answer.
+// crash closes the connection without a response.
 func crash(net.Conn, *http.Request) {}
 
-// foreign answers for another request.
-func foreign(c net.Conn, req *http.Request) {
+// respondWithOtherID sends a response with the ID of another request.
+func respondWithOtherID(c net.Conn, req *http.Request) {
 	req.Header.Set(testID, "other")
-	reply(200, seal, "theirs")(c, req)
+	respond(200, sealHeader, "theirs")(c, req)
 }
--- /dev/null
+++ b/internal/sagerelay/interfaces.go
@@ -0,0 +1,162 @@
+package sagerelay
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"sagestand.example/sagestand/pkg/sagechain"
+	"sagestand.example/sagestand/pkg/sagehealth"
+	"sagestand.example/sagestand/pkg/sageroute"
+	"sagestand.example/sagestand/pkg/sageupstream"
+)
+
+// RequestMetadata is the information in the headers of a caller's request.
+type RequestMetadata struct {
+	// ID identifies this attempt of the caller.
+	ID string
+	// Key is the API key; empty if the request has none.
+	Key string
+	// Deadline is the time by which the caller needs the response; zero if it doesn't say.
+	Deadline time.Time
+	// Chain identifies the parts of the prompt.
+	Chain sagechain.Chain
+	// LastEventID is the ID of the event after which a stream is to be resumed.
+	LastEventID string
+}
+
+// ForwardMetadata is the information that this node adds to the headers of a forwarded request.
+type ForwardMetadata struct {
+	Upstream *sageupstream.Entry
+	// Account is the client account; empty on public routes.
+	Account  string
+	Deadline time.Time
+	Priority int
+	// CacheSource is the address of an upstream that has more of the prompt in its cache; empty if
+	// none has.
+	CacheSource string
+	// LastEventID is the ID of the event after which a stream is resumed; empty for a new stream.
+	LastEventID string
+}
+
+// ResponseMetadata is the information in the headers of an upstream's response.
+type ResponseMetadata struct {
+	// ID is the ID of the request that the response belongs to.
+	ID string
+	// Sealed is set if the response bears the upstream's seal.
+	Sealed bool
+	// NotRun is set if the upstream did not execute the request and won't.
+	NotRun bool
+	// Misdirected is set if the address now belongs to another upstream.
+	Misdirected bool
+	// Leaving is set if the upstream is about to stop.
+	Leaving bool
+}
+
+// Dialect reads and writes the platform's headers.
+type Dialect interface {
+	// ParseRequest reads the headers of a caller's request.
+	ParseRequest(r *http.Request) (RequestMetadata, error)
+	// SetForwardHeader sets the headers of a request to an upstream; h holds the caller's end-to-end
+	// headers.
+	SetForwardHeader(h http.Header, s *ForwardMetadata)
+	// ParseResponse reads the headers of an upstream's response.
+	ParseResponse(res *http.Response) ResponseMetadata
+	// SetRefusalHeader sets the headers of a response that this node generates itself.
+	SetRefusalHeader(h http.Header, id string, retryAfter time.Duration)
+}
+
+// Reason is the outcome of a request or the cause of its failure.
+type Reason string
+
+// The reasons, as they appear in responses, logs and metrics.
+const (
+	NoConfig     Reason = "no_config"
+	NotFresh     Reason = "not_fresh"
+	BadRequest   Reason = "bad_request"
+	NoRoute      Reason = "no_route"
+	Unauthorized Reason = "unauthorized"
+	TooLarge     Reason = "too_large"
+	NoMemory     Reason = "no_memory"
+	NoUpstream   Reason = "no_upstream"
+	UpstreamFull Reason = "upstream_full"
+	// UpstreamFailed: the caller gets an error response that an upstream returned.
+	UpstreamFailed Reason = "upstream_failed"
+	AnswerLost     Reason = "answer_lost"
+	TimedOut       Reason = "timed_out"
+	// Quarantined: upstreams crashed while they handled the request.
+	Quarantined Reason = "quarantined"
+	CallerLeft  Reason = "caller_left"
+	Answered    Reason = "answered"
+)
+
+// Pick is a chosen upstream. Done must be called when the exchange is over.
+type Pick struct {
+	Upstream *sageupstream.Entry
+	// CacheSource is the address of an upstream that has more of the prompt in its cache.
+	CacheSource string
+	// Rule names the placement rule that decided, for the log.
+	Rule string
+	Load int
+	// UncachedTokens is the number of prompt tokens that the upstream doesn't have in its cache.
+	UncachedTokens int
+	Done           func()
+}
+
+// Query describes a request that needs an upstream.
+type Query struct {
+	Service string
+	// Route is the name of the request's route.
+	Route string
+	Chain sagechain.Chain
+	// Tried lists the IDs of upstreams that were already chosen for the request.
+	Tried []string
+}
+
+// ResponseResult is the result and timing of an upstream's response. A time is zero if it isn't
+// known.
+type ResponseResult struct {
+	// Failed is set if the response was an error or late.
+	Failed bool
+	// TimeToFirstEvent and MeanEventGap are the timing of a stream.
+	TimeToFirstEvent, MeanEventGap time.Duration
+	// Duration is the time until a response that isn't a stream was complete.
+	Duration time.Duration
+}
+
+// Fleet is the node's view of the configuration and the upstreams.
+type Fleet interface {
+	// Table returns the configuration in force; nil before the first one.
+	Table() *sageroute.Table
+	// Fresh reports whether the configuration is fresh enough to trust API keys.
+	Fresh() bool
+	// ProofAge returns the age of the configuration's freshness proof, for the log.
+	ProofAge() time.Duration
+	// AwaitCacheSync waits briefly on a node that has just started until it knows which engines hold
+	// the chain.
+	AwaitCacheSync(ctx context.Context, service string, c sagechain.Chain)
+	// Pick chooses an upstream; nil if none may be used.
+	Pick(q *Query) *Pick
+	// Usable reports whether a chosen upstream may still get requests.
+	Usable(u *sageupstream.Entry) bool
+	// Leaving reports whether an upstream is about to stop or has left.
+	Leaving(u *sageupstream.Entry) bool
+	// RecordFirstSend records the first send of a request to a service.
+	RecordFirstSend(service string)
+	// AllowRetry reports whether the request may be sent to the service once more, and counts that send.
+	AllowRetry(service string) bool
+	// RecordFirstEvent records the time to the first event of a stream.
+	RecordFirstEvent(p *Pick, took time.Duration)
+	// RecordServiceTime records the duration of an exchange that brought the final response.
+	RecordServiceTime(service string, took time.Duration)
+	// PrefillTime returns the time in which an idle engine of the service prefills that many tokens.
+	PrefillTime(service string, tokens int) time.Duration
+	// RecordExchange records the result of an exchange with an upstream.
+	RecordExchange(u *sageupstream.Entry, res sagehealth.Result)
+	// RecordResponse records the result of an upstream's response to a request of a route.
+	RecordResponse(p *Pick, route string, a ResponseResult)
+	// RecordPrompt records that an upstream is sent a chain, which will then be in its cache.
+	RecordPrompt(u *sageupstream.Entry, c sagechain.Chain)
+	// RecordMisdirected records that the upstream's address now belongs to another one.
+	RecordMisdirected(u *sageupstream.Entry)
+}
--- a/internal/sagerelay/job.go
+++ b/internal/sagerelay/job.go
@@ -14,131 +14,132 @@
 	"sagestand.example/sagestand/pkg/sageroute"
 )
 
-// Bounds on one request.
+// Limits of one request.
 const (
-	// maxSends bounds how many upstreams one request is offered to, refusals included.
+	// maxSends is the maximum number of upstreams that one request is sent to, including those that
+	// decline it.
 	maxSends = 4
-	// leastTime is the least time left with which a request is sent: less than an upstream needs
-	// for the shortest answer.
-	leastTime = 5 * time.Millisecond
+	// minRemaining is the minimum time before the deadline at which a request is still sent. No
+	// upstream can respond in less.
+	minRemaining = 5 * time.Millisecond
 )
 
-// verdict is how one exchange ended.
+// verdict is the outcome of one exchange.
 type verdict int
 
 const (
-	// answered: the caller has its final answer.
+	// answered: the caller has received the final response.
 	answered verdict = iota
-	// notSent: no byte left this node.
+	// notSent: no byte of the request left this node.
 	notSent
-	// notRun: the upstream says that it did not execute the request.
+	// notRun: the upstream states that it did not execute the request.
 	notRun
-	// failed: the request may have been executed and nothing was passed on.
+	// failed: the request may have been executed and nothing was forwarded to the caller.
 	failed
-	// cut: the stream broke after events were passed on.
-	cut
-	// callerGone: nobody waits any more.
+	// streamTruncated: the stream broke off after events had been forwarded.
+	streamTruncated
+	// callerGone: the caller has disconnected.
 	callerGone
 )
 
-// job is one request under way.
+// job is the state of one request.
 type job struct {
-	s       *Service
-	w       http.ResponseWriter
-	r       *http.Request
-	began   time.Time
-	call    RequestMetadata
-	route   *sageroute.Route
-	version uint64 // of the configuration
-	account *sageroute.Account
-	keyed   bool
-	bytes   []byte
-	// reserved is the memory taken for the body.
-	reserved int64
-
-	until     time.Time
-	target    string // service
-	sends     int
-	runs      int // sends after which the request may have been executed
-	tried     []string
-	started   bool   // the header has been passed on
-	lastEvent string // id of the last event that the caller has
-	// lastPosition is lastEvent as a number; 0 before the first event.
-	lastPosition uint64
-	held         *heldAnswer
-	granted      atomic.Bool // a retry was granted before the exchange was given up
-	cause        string      // of the last failed exchange, for the log
-	print        *sagequarantine.Fingerprint
-	freeAt       sageclock.Instant // end of the request's quarantine
+	s          *Service
+	w          http.ResponseWriter
+	r          *http.Request
+	start      time.Time
+	meta       RequestMetadata
+	route      *sageroute.Route
+	version    uint64 // of the configuration that the request was matched against
+	account    *sageroute.Account
+	keyChecked bool
+	body       []byte
+	// reservedBytes is the part of the buffer limit that is reserved for the body.
+	reservedBytes int64
+
+	deadline     time.Time
+	serviceName  string
+	sends        int
+	possibleRuns int // sends after which the request may have been executed
+	tried        []string
+	headerSent   bool   // the response header has been written to the caller
+	lastEventID  string // ID of the last event written to the caller
+	// lastEventNumber is lastEventID as a number; 0 before the first event.
+	lastEventNumber uint64
+	upstreamFailure *bufferedResponse
+	retryGranted    atomic.Bool // a retry was granted before the exchange was cancelled
+	cause           string      // of the last failed exchange, for the log
+	fp              *sagequarantine.Fingerprint
+	quarantineEnd   sageclock.Instant // end of the request's quarantine
 }
 
-// serve sends the request until it is answered or nothing more may be tried.
+// serve sends the request to upstreams until one responds or no further attempt is allowed.
 func (j *job) serve() {
-	j.until = j.deadline()
-	j.lastEvent = j.call.LastEventID
-	j.lastPosition, _ = strconv.ParseUint(j.call.LastEventID, 10, 64) // one that isn't a number is passed on as it is
-	j.target = j.service()
-	ctx, cancel := context.WithDeadline(j.r.Context(), j.until)
+	j.deadline = j.finalDeadline()
+	j.lastEventID = j.meta.LastEventID
+	j.lastEventNumber, _ = strconv.ParseUint(j.meta.LastEventID, 10, 64) // 0 if not numeric
+	j.serviceName = j.pickService()
+	ctx, cancel := context.WithDeadline(j.r.Context(), j.deadline)
 	defer cancel()
-	j.writeUntil()
-	j.s.Fleet.RecordFirstSend(j.target)
-	j.s.Fleet.AwaitCacheSync(ctx, j.target, j.call.Chain)
+	j.setWriteDeadline()
+	j.s.Fleet.RecordFirstSend(j.serviceName)
+	j.s.Fleet.AwaitCacheSync(ctx, j.serviceName, j.meta.Chain)
 	if j.quarantined() {
 		j.finish(ctx, Quarantined)
 		return
 	}
 	for {
-		p := j.s.Fleet.Pick(&Query{Service: j.target, Route: j.route.Name, Chain: j.call.Chain, Tried: j.tried})
+		p := j.s.Fleet.Pick(&Query{Service: j.serviceName, Route: j.route.Name, Chain: j.meta.Chain, Tried: j.tried})
 		if p == nil {
 			j.finish(ctx, NoUpstream)
 			return
 		}
-		began := time.Now()
-		v := j.try(ctx, p)
+		start := time.Now()
+		v := j.sendTo(ctx, p)
 		p.Done()
-		j.s.countSend(j.target, v)
+		j.s.countSend(j.serviceName, v)
 		if v == answered {
-			j.succeeded()
-			j.s.Fleet.RecordServiceTime(j.target, time.Since(began))
-			j.s.count(Answered)
-			j.s.observe(j)
-			j.logServed(p)
+			j.recordSuccess()
+			j.s.Fleet.RecordServiceTime(j.serviceName, time.Since(start))
+			j.s.countEnd(Answered)
+			j.s.observeDuration(j)
+			j.logAnswered(p)
 			return
 		}
-		j.note(p, v)
+		j.logFailure(p, v)
 		if v == callerGone {
-			j.s.count(CallerLeft)
+			j.s.countEnd(CallerLeft)
 			panic(http.ErrAbortHandler)
 		}
-		if reason, ok := j.again(ctx, v); !ok {
+		if reason, ok := j.mayResend(ctx, v); !ok {
 			j.finish(ctx, reason)
 			return
 		}
 	}
 }
 
-// note logs an exchange that brought no final answer.
-func (j *job) note(p *Pick, v verdict) {
-	j.s.Log.Limited(sagelog.KindExchange, "Exchange failed.", "id", j.call.ID, "upstream", p.Upstream.ID, "verdict", v.String(),
-		"cause", j.cause, "send", j.sends, "why", p.Rule, "load", p.Load, "fingerprint", j.fingerprint().String(), "age_ms", time.Since(j.began).Milliseconds())
+// logFailure logs an exchange that produced no final response.
+func (j *job) logFailure(p *Pick, v verdict) {
+	j.s.Log.Limited(sagelog.KindExchange, "Exchange failed.", "id", j.meta.ID, "upstream", p.Upstream.ID, "verdict", v.String(),
+		"cause", j.cause, "send", j.sends, "why", p.Rule, "load", p.Load, "fingerprint", j.fingerprint().String(), "age_ms", time.Since(j.start).Milliseconds())
 }
 
-// String returns the verdict's name for the log.
+// String returns the name of the verdict in logs and metrics.
 func (v verdict) String() string {
 	return [...]string{"answered", "not_sent", "not_run", "failed", "cut", "caller_gone"}[v]
 }
 
-// again reports whether one more upstream may have the request.
-func (j *job) again(ctx context.Context, v verdict) (Reason, bool) {
+// mayResend reports whether the request may be sent to another upstream, and otherwise why not.
+func (j *job) mayResend(ctx context.Context, v verdict) (Reason, bool) {
 	reason := AnswerLost
 	switch {
-	case j.runs == 0:
+	case j.possibleRuns == 0:
 		reason = UpstreamFull
-	case j.held != nil:
+	case j.upstreamFailure != nil:
 		reason = UpstreamFailed
 	}
 	switch {
-	case ctx.Err() != nil || time.Until(j.until) < leastTime:
+	case ctx.Err() != nil || time.Until(j.deadline) < minRemaining:
 		return TimedOut, false
 	case j.sends >= maxSends:
 		return reason, false
@@ -146,69 +147,72 @@
 		return Quarantined, false
 	case v == notSent:
 		return "", true
-	case v != notRun && !(j.route.Repeatable() && j.runs < j.route.MaxAttempts):
+	case v != notRun && !(j.route.Repeatable() && j.possibleRuns < j.route.MaxAttempts):
 		return reason, false
-	case !j.granted.Swap(false) && !j.s.Fleet.AllowRetry(j.target):
+	case !j.retryGranted.Swap(false) && !j.s.Fleet.AllowRetry(j.serviceName):
 		return reason, false
 	}
 	return "", true
 }
 
-// finish gives the final answer of a request that no upstream answered to the end.
+// finish ends a request for which no upstream produced a complete response.
 //
-// Only a request that was never sent, or whose every send was declined, is called not run.
+// It reports the request as not executed only if it was never sent or every upstream declined it.
 func (j *job) finish(ctx context.Context, reason Reason) {
-	j.log(reason)
+	j.logGivenUp(reason)
 	switch {
-	case j.started:
-		panic(http.ErrAbortHandler) // a cut stream must not look finished
+	case j.headerSent:
+		panic(http.ErrAbortHandler) // a truncated stream must not look complete
 	case j.r.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
-	case j.held != nil:
-		j.held.pass(j)
-	case j.runs > 0 && ctx.Err() != nil:
+	case j.upstreamFailure != nil:
+		j.upstreamFailure.writeTo(j)
+	case j.possibleRuns > 0 && ctx.Err() != nil:
 		j.refuse(http.StatusGatewayTimeout, TimedOut, 0)
-	case j.runs > 0:
+	case j.possibleRuns > 0:
 		j.refuse(http.StatusBadGateway, reason, 0)
 	case reason == Quarantined:
 		j.refuseQuarantined()
 	default:
-		j.refuse(http.StatusServiceUnavailable, reason, retrySoon)
+		j.refuse(http.StatusServiceUnavailable, reason, shortRetryAfter)
 	}
 }
 
-func (j *job) log(reason Reason) {
-	j.s.Log.Limited(sagelog.KindGivenUp, "Request given up.", "id", j.call.ID, "reason", string(reason), "route", j.route.Name, "service", j.target,
-		"sends", j.sends, "runs", j.runs, "cause", j.cause, "fingerprint", j.fingerprint().String(), "config_version", j.version, "age_ms", time.Since(j.began).Milliseconds())
+func (j *job) logGivenUp(reason Reason) {
+	j.s.Log.Limited(sagelog.KindGivenUp, "Request given up.", "id", j.meta.ID, "reason", string(reason), "route", j.route.Name, "service", j.serviceName,
+		"sends", j.sends, "runs", j.possibleRuns, "cause", j.cause, "fingerprint", j.fingerprint().String(), "config_version", j.version, "age_ms", time.Since(j.start).Milliseconds())
 }
 
-// logServed tells of an answered request; most of these lines are left out and counted.
-func (j *job) logServed(p *Pick) {
-	j.s.Log.Limited(sagelog.KindServed, "Request answered.", "id", j.call.ID, "route", j.route.Name, "upstream", p.Upstream.ID, "why", p.Rule,
-		"load", p.Load, "sends", j.sends, "config_version", j.version, "age_ms", time.Since(j.began).Milliseconds())
+// logAnswered logs an answered request. The logger drops and counts most of these lines.
+func (j *job) logAnswered(p *Pick) {
+	j.s.Log.Limited(sagelog.KindServed, "Request answered.", "id", j.meta.ID, "route", j.route.Name, "upstream", p.Upstream.ID, "why", p.Rule,
+		"load", p.Load, "sends", j.sends, "config_version", j.version, "age_ms", time.Since(j.start).Milliseconds())
 }
 
-// refuse answers for this node itself.
-func (j *job) refuse(status int, reason Reason, after time.Duration) {
-	j.s.count(reason)
+// refuse writes a response that this node generates itself.
+func (j *job) refuse(status int, reason Reason, retryAfter time.Duration) {
+	j.s.countEnd(reason)
 	if status != http.StatusNotFound && status != http.StatusUnauthorized {
-		j.s.Log.Limited(sagelog.KindRefused, "Request refused.", "id", j.call.ID, "status", status, "reason", string(reason),
-			"config_version", j.version, "proof_age_ms", j.s.Fleet.ProofAge().Milliseconds(), "age_ms", time.Since(j.began).Milliseconds())
+		j.s.Log.Limited(sagelog.KindRefused, "Request refused.", "id", j.meta.ID, "status", status, "reason", string(reason),
+			"config_version", j.version, "proof_age_ms", j.s.Fleet.ProofAge().Milliseconds(), "age_ms", time.Since(j.start).Milliseconds())
 	}
 	h := j.w.Header()
-	j.s.Dialect.SetRefusalHeader(h, j.call.ID, after)
+	j.s.Dialect.SetRefusalHeader(h, j.meta.ID, retryAfter)
 	body := `{"reason":` + strconv.Quote(string(reason)) + `}`
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	j.w.WriteHeader(status)
-	_, _ = j.w.Write([]byte(body)) // a caller that left meanwhile needs no answer
+	_, _ = j.w.Write([]byte(body)) // fails only if the caller has disconnected
 }
 
-// writeUntil bounds the writes to a caller that doesn't read.
-func (j *job) writeUntil() {
-	// Writers without deadlines, as in tests, are left alone.
-	_ = http.NewResponseController(j.w).SetWriteDeadline(j.until.Add(writeSlack))
+// setWriteDeadline limits the time for writes to a caller that doesn't read.
+func (j *job) setWriteDeadline() {
+	// Ignores the error of writers without deadline support, such as test recorders.
+	_ = http.NewResponseController(j.w).SetWriteDeadline(j.deadline.Add(writeGrace))
 }
 
-// ended tells the fleet how an exchange ended, unless it was this side that ended it.
-func (j *job) ended(p *Pick, res sagehealth.Result) { j.s.Fleet.RecordExchange(p.Upstream, res) }
+// recordExchange records the result of an exchange. It isn't called for exchanges that ended because
+// the caller left or its deadline passed, which say nothing about the upstream.
+func (j *job) recordExchange(p *Pick, res sagehealth.Result) {
+	j.s.Fleet.RecordExchange(p.Upstream, res)
+}
--- a/internal/sagerelay/service.go
+++ b/internal/sagerelay/service.go
@@ -17,44 +17,44 @@
 	"sagestand.example/sagestand/pkg/sageroute"
 )
 
-// How long things may take.
+// Timeouts and intervals.
 const (
-	// firstConfigWithin is how long a request waits for the first configuration of a process that
-	// has just started: an eighth of the shortest objective of users' requests, a time in which a
-	// refusal is still prompt.
-	firstConfigWithin = 60 * time.Millisecond
-	// configPoll is how often it looks.
-	configPoll = 5 * time.Millisecond
-	// retrySoon is when a caller may come back after a refusal whose cause passes within moments.
-	retrySoon = 300 * time.Millisecond
-	// writeSlack is how long after its deadline a request may still write its last bytes.
-	writeSlack = time.Second
-	// defaultDeadline bounds a request of which neither caller nor route says how long it may take.
-	defaultDeadline = 30 * time.Second
+	// firstConfigTimeout limits the wait of a request for the first configuration after the start of
+	// the process. It is an eighth of the shortest response-time objective, so that a refusal is
+	// still prompt.
+	firstConfigTimeout = 60 * time.Millisecond
+	// configPollInterval is the interval of checks during that wait.
+	configPollInterval = 5 * time.Millisecond
+	// shortRetryAfter is the Retry-After of refusals whose cause is expected to pass within moments.
+	shortRetryAfter = 300 * time.Millisecond
+	// writeGrace is the time after its deadline in which a request may still write its last bytes.
+	writeGrace = time.Second
+	// defaultTimeout limits requests for which neither the caller nor the route sets a time limit.
+	defaultTimeout = 30 * time.Second
 )
 
-// Service relays requests. Exported fields are set before it serves.
+// Service forwards requests. Exported fields must be set before it serves.
 type Service struct {
 	Dialect Dialect
 	Fleet   Fleet
 	Metrics *metrics.Set
 	Log     sagelog.Logger
-	// Closing reports whether callers should use another connection next.
+	// Closing reports whether responses should tell callers to close their connection.
 	Closing func() bool
-	// Quarantine keeps the requests that crash upstreams.
+	// Quarantine holds the requests that crash upstreams.
 	Quarantine *sagequarantine.Tracker
-	// Trials reports whether this node is the one that sends trials of quarantined requests.
+	// SendsTrials reports whether this node sends the trials of quarantined requests.
 	SendsTrials func() bool
-	// BodyBytes bounds the bodies that are held at a time; 0 means no bound.
+	// MaxBufferedBytes limits the total size of buffered request bodies; 0 means no limit.
 	MaxBufferedBytes int64
 
-	bodies    atomic.Int64 // bytes reserved for bodies
-	upstreams transports
-	crashes   singleflight.Group
-	inFlight  atomic.Int64
+	bufferedBytes atomic.Int64 // reserved for request bodies
+	transports    upstreamTransports
+	crashProbes   singleflight.Group
+	inFlight      atomic.Int64
 }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of requests in progress.
 func (s *Service) InFlight() int64 { return s.inFlight.Load() }
 
 // ServeHTTP implements [http.Handler].
@@ -64,24 +64,25 @@
 	if s.Closing() {
 		w.Header().Set("Connection", "close")
 	}
-	j := &job{s: s, w: w, r: r, began: time.Now()}
-	defer func() { s.bodies.Add(-j.reserved) }()
+	j := &job{s: s, w: w, r: r, start: time.Now()}
+	defer func() { s.bufferedBytes.Add(-j.reservedBytes) }()
 	if s.accept(j) {
 		j.serve()
 	}
 }
 
-// accept decodes and checks a request, and refuses it unless it may go on.
+// accept parses and checks a request. If the request can't proceed, it is refused and the result is
+// false.
 func (s *Service) accept(j *job) bool {
-	call, err := s.Dialect.ParseRequest(j.r)
+	meta, err := s.Dialect.ParseRequest(j.r)
 	if err != nil {
 		j.refuse(http.StatusBadRequest, BadRequest, 0)
 		return false
 	}
-	j.call = call
-	t := s.table(j.r.Context())
+	j.meta = meta
+	t := s.awaitTable(j.r.Context())
 	if t == nil {
-		j.refuse(http.StatusServiceUnavailable, NoConfig, retrySoon)
+		j.refuse(http.StatusServiceUnavailable, NoConfig, shortRetryAfter)
 		return false
 	}
 	j.version = t.Version
@@ -94,46 +95,47 @@
 	if !j.authorize(t) {
 		return false
 	}
-	return s.body(j, t.Limits)
+	return s.readBody(j, t.Limits)
 }
 
-// table returns the configuration, waiting a moment for the first one.
-func (s *Service) table(ctx context.Context) *sageroute.Table {
+// awaitTable returns the configuration. It waits briefly for the first one; nil if there is none.
+func (s *Service) awaitTable(ctx context.Context) *sageroute.Table {
 	t := s.Fleet.Table()
-	for until := time.Now().Add(firstConfigWithin); t == nil && time.Now().Before(until) && ctx.Err() == nil; t = s.Fleet.Table() {
-		time.Sleep(configPoll)
+	for deadline := time.Now().Add(firstConfigTimeout); t == nil && time.Now().Before(deadline) && ctx.Err() == nil; t = s.Fleet.Table() {
+		time.Sleep(configPollInterval)
 	}
 	return t
 }
 
-// authorize finds the account of the request's key.
+// authorize sets the account of the request's key.
 //
-// It guards against a key that was taken away while this node could not hear of it: without a proof
-// that the configuration is fresh, no key is trusted, and the caller is sent elsewhere at once.
+// No key is trusted without a proof that the configuration is fresh, since a key may have been
+// revoked while this node could not reach the store. The caller is refused immediately and can go to
+// another node.
 func (j *job) authorize(t *sageroute.Table) bool {
 	if j.route.Public || !t.RequiresKey() {
 		return true
 	}
 	if !j.s.Fleet.Fresh() {
-		j.refuse(http.StatusServiceUnavailable, NotFresh, retrySoon)
+		j.refuse(http.StatusServiceUnavailable, NotFresh, shortRetryAfter)
 		return false
 	}
-	a := t.Account(j.call.Key)
+	a := t.Account(j.meta.Key)
 	if a == nil {
 		j.refuse(http.StatusUnauthorized, Unauthorized, 0)
 		return false
 	}
-	j.account, j.keyed = a, true
+	j.account, j.keyChecked = a, true
 	return true
 }
 
-// body reads the whole body, so that the request can be sent again.
-func (s *Service) body(j *job, limits sageroute.Limits) bool {
+// readBody reads the complete body, so that the request can be sent again.
+func (s *Service) readBody(j *job, limits sageroute.Limits) bool {
 	if j.r.Body == nil || j.r.Body == http.NoBody {
 		return true
 	}
-	if !s.reserve(j, limits) {
-		j.refuse(http.StatusServiceUnavailable, NoMemory, retrySoon)
+	if !s.reserveBody(j, limits) {
+		j.refuse(http.StatusServiceUnavailable, NoMemory, shortRetryAfter)
 		return false
 	}
 	in := j.r.Body
@@ -141,67 +143,67 @@
 		in = http.MaxBytesReader(j.w, in, limits.BodyBytes)
 	}
 	b, err := io.ReadAll(in)
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		j.refuse(http.StatusRequestEntityTooLarge, TooLarge, 0)
 		return false
 	case err != nil:
-		j.s.count(CallerLeft)
-		panic(http.ErrAbortHandler) // the caller broke its request off
+		j.s.countEnd(CallerLeft)
+		panic(http.ErrAbortHandler) // the caller aborted its request
 	}
-	j.bytes = b
+	j.body = b
 	return true
 }
 
-// reserve takes memory for a request's body, or reports that there is none.
+// reserveBody reserves buffer space for the request's body and reports whether there was enough.
 //
-// It guards against a node that ends for lack of memory while callers send many large bodies at once:
-// each is held whole, so that it can be sent again.
-func (s *Service) reserve(j *job, limits sageroute.Limits) bool {
+// Bodies are buffered completely so that requests can be sent again. Without a limit, many large
+// bodies at the same time would exhaust the node's memory.
+func (s *Service) reserveBody(j *job, limits sageroute.Limits) bool {
 	n := j.r.ContentLength
 	if n < 0 {
-		n = limits.BodyBytes // sent in chunks: it may be as large as allowed
+		n = limits.BodyBytes // chunked: up to the maximum size
 	}
-	if sum := s.bodies.Add(n); s.MaxBufferedBytes > 0 && sum > s.MaxBufferedBytes && sum > n {
-		s.bodies.Add(-n)
+	if sum := s.bufferedBytes.Add(n); s.MaxBufferedBytes > 0 && sum > s.MaxBufferedBytes && sum > n {
+		s.bufferedBytes.Add(-n)
 		return false
 	}
-	j.reserved = n
+	j.reservedBytes = n
 	return true
 }
 
-// deadline returns when the final answer of a request is due.
-func (j *job) deadline() time.Time {
-	at := j.began.Add(defaultDeadline)
+// finalDeadline returns the time by which the final response is due.
+func (j *job) finalDeadline() time.Time {
+	deadline := j.start.Add(defaultTimeout)
 	if j.route.Timeout > 0 {
-		at = j.began.Add(j.route.Timeout)
+		deadline = j.start.Add(j.route.Timeout)
 	}
-	if d := j.call.Deadline; !d.IsZero() && d.Before(at) {
-		at = d
+	if d := j.meta.Deadline; !d.IsZero() && d.Before(deadline) {
+		deadline = d
 	}
-	return at
+	return deadline
 }
 
-// service draws the service of a split route.
-func (j *job) service() string {
+// pickService draws one of the services of the route.
+func (j *job) pickService() string {
 	if len(j.route.Services) == 1 {
 		return j.route.Services[0].Service
 	}
 	return j.route.PickService(rand.Float64())
 }
 
-// count counts the end of a request.
-func (s *Service) count(r Reason) {
+// countEnd counts a request that ended.
+func (s *Service) countEnd(r Reason) {
 	s.Metrics.GetOrCreateCounter(`sagestand_requests_ended_total{reason="` + string(r) + `"}`).Inc()
 }
 
-// countSend counts the end of one exchange with an upstream.
+// countSend counts an exchange that ended.
 func (s *Service) countSend(service string, v verdict) {
 	s.Metrics.GetOrCreateCounter(`sagestand_sends_total{service="` + service + `",verdict="` + v.String() + `"}`).Inc()
 }
 
-// observe notes how long an answered request took.
-func (s *Service) observe(j *job) {
-	s.Metrics.GetOrCreateHistogram(`sagestand_request_duration_seconds{kind="` + string(j.route.Kind) + `"}`).UpdateDuration(j.began)
+// observeDuration records the duration of an answered request.
+func (s *Service) observeDuration(j *job) {
+	s.Metrics.GetOrCreateHistogram(`sagestand_request_duration_seconds{kind="` + string(j.route.Kind) + `"}`).UpdateDuration(j.start)
 }
--- a/internal/sagerelay/stream.go
+++ b/internal/sagerelay/stream.go
@@ -14,102 +14,104 @@
 	"sagestand.example/sagestand/pkg/sagehealth"
 )
 
-// Bounds on streams.
+// Limits of streams.
 const (
-	// maxEvent is the greatest event.
-	maxEvent = 256 << 10
-	// readAhead is the buffer of one stream, some dozens of usual events.
-	readAhead = 2 << 10
-	// stallGaps is after how many of the longest pauses that callers expect a resumable stream is
-	// taken up elsewhere. One is already late for the caller; a preempted run may need two.
-	stallGaps = 1.6
+	// maxEventBytes is the maximum size of an event.
+	maxEventBytes = 256 << 10
+	// streamBufferBytes is the size of a stream's read buffer, enough for dozens of typical events.
+	streamBufferBytes = 2 << 10
+	// stallGapFactor is the stall timeout of a resumable stream as a multiple of the longest gap
+	// between events that callers expect. One gap is already late for the caller, but a preempted
+	// execution may take two.
+	stallGapFactor = 1.6
 )
 
 var errCallerGone = errors.New("the caller stopped reading")
 
-// stream passes on the events of one exchange.
+// forwardStream forwards the events of one exchange.
 //
-// Events count only when whole, and only those beyond the last one passed on: a run that goes on
-// elsewhere may repeat some, and an event that is missing would join two answers.
-func (x *exchange) stream(ctx context.Context, res *http.Response, silent *time.Timer) verdict {
+// It forwards complete events only, and only those after the last one forwarded: an execution that
+// was resumed at another upstream may repeat events, and a missing event would join two different
+// responses.
+func (x *exchange) forwardStream(ctx context.Context, res *http.Response, stallTimer *time.Timer) verdict {
 	j := x.j
-	r := &sagesse.Reader{R: bufio.NewReaderSize(res.Body, readAhead), MaxEventBytes: maxEvent}
+	r := &sagesse.Reader{R: bufio.NewReaderSize(res.Body, streamBufferBytes), MaxEventBytes: maxEventBytes}
 	flush := http.NewResponseController(j.w)
-	stall := x.stallAfter()
-	var seen eventTimes
+	stall := x.stallTimeout()
+	var times eventTimes
 	for {
 		e, err := r.Next()
 		if err != nil && r.CleanEOF() {
-			x.answered(seen.answer(x.began))
-			return x.ended(res)
+			x.recordResponse(times.result(x.start))
+			return x.finishStream(res)
 		}
 		if err != nil {
-			return x.cutOff(ctx, err)
+			return x.failStream(ctx, err)
 		}
-		if seen.add(time.Now()); seen.n == 1 {
-			j.s.Fleet.RecordFirstEvent(x.p, seen.first.Sub(x.began))
+		if times.add(time.Now()); times.count == 1 {
+			j.s.Fleet.RecordFirstEvent(x.p, times.first.Sub(x.start))
 		}
-		if silent != nil {
-			silent.Reset(stall)
+		if stallTimer != nil {
+			stallTimer.Reset(stall)
 		}
-		if e.ID > 0 && e.ID <= j.lastPosition {
+		if e.ID > 0 && e.ID <= j.lastEventNumber {
 			continue
 		}
-		if e.ID > 0 && j.lastPosition > 0 && e.ID != j.lastPosition+1 {
-			return x.cutOff(ctx, fmt.Errorf("event %d follows %d", e.ID, j.lastPosition))
+		if e.ID > 0 && j.lastEventNumber > 0 && e.ID != j.lastEventNumber+1 {
+			return x.failStream(ctx, fmt.Errorf("missing events: event %d follows event %d", e.ID, j.lastEventNumber))
 		}
-		x.begin(res)
-		if err := j.passEvent(e, flush); err != nil {
+		x.writeHeaderOnce(res)
+		if err := j.forwardEvent(e, flush); err != nil {
 			j.cause = err.Error()
-			x.sent.Close()
-			x.abandon()
+			x.tracker.Close()
+			x.recordAbandoned()
 			return callerGone
 		}
 	}
 }
 
-// eventTimes are when the events of an exchange came.
+// eventTimes holds the arrival times of the events of an exchange.
 type eventTimes struct {
-	n           int
+	count       int
 	first, last time.Time
 }
 
 func (t *eventTimes) add(at time.Time) {
-	if t.n == 0 {
+	if t.count == 0 {
 		t.first = at
 	}
-	t.n, t.last = t.n+1, at
+	t.count, t.last = t.count+1, at
 }
 
-// answer returns the times of a whole stream that was sent for at an instant.
-func (t *eventTimes) answer(began time.Time) ResponseResult {
+// result returns the timing of a complete stream whose exchange began at start.
+func (t *eventTimes) result(start time.Time) ResponseResult {
 	var a ResponseResult
-	if t.n > 0 {
-		a.TimeToFirstEvent = t.first.Sub(began)
+	if t.count > 0 {
+		a.TimeToFirstEvent = t.first.Sub(start)
 	}
-	if t.n > 1 {
-		a.MeanEventGap = t.last.Sub(t.first) / time.Duration(t.n-1)
+	if t.count > 1 {
+		a.MeanEventGap = t.last.Sub(t.first) / time.Duration(t.count-1)
 	}
 	return a
 }
 
-// stallAfter is how long a stream may pause before it is taken up elsewhere.
-func (x *exchange) stallAfter() time.Duration {
-	return max(silentLeast, time.Duration(stallGaps*float64(x.j.route.MaxEventGap)))
+// stallTimeout is the maximum gap between events before the stream is resumed at another upstream.
+func (x *exchange) stallTimeout() time.Duration {
+	return max(minStallTimeout, time.Duration(stallGapFactor*float64(x.j.route.MaxEventGap)))
 }
 
-// begin passes the header on, once for all exchanges of a request.
-func (x *exchange) begin(res *http.Response) {
+// writeHeaderOnce writes the response header to the caller unless an earlier exchange has done so.
+func (x *exchange) writeHeaderOnce(res *http.Response) {
 	j := x.j
-	if j.started {
+	if j.headerSent {
 		return
 	}
-	j.started = true
-	copyInto(j.w.Header(), sageheader.EndToEnd(res.Header))
+	j.headerSent = true
+	copyHeader(j.w.Header(), sageheader.EndToEnd(res.Header))
 	j.w.WriteHeader(res.StatusCode)
 }
 
-func (j *job) passEvent(e *sagesse.Event, flush *http.ResponseController) error {
+func (j *job) forwardEvent(e *sagesse.Event, flush *http.ResponseController) error {
 	if _, err := j.w.Write(e.Raw); err != nil {
 		return fmt.Errorf("%v: %w", err, errCallerGone)
 	}
@@ -117,24 +119,24 @@
 		return fmt.Errorf("flush: %v: %w", err, errCallerGone)
 	}
 	if e.ID > 0 {
-		j.lastPosition = e.ID
-		j.lastEvent = fmt.Sprint(e.ID)
+		j.lastEventNumber = e.ID
+		j.lastEventID = fmt.Sprint(e.ID)
 	}
 	return nil
 }
 
-// ended settles a stream that its upstream ended regularly.
-func (x *exchange) ended(res *http.Response) verdict {
-	x.begin(res)
-	x.j.ended(x.p, sagehealth.OK)
+// finishStream handles a stream that the upstream ended properly.
+func (x *exchange) finishStream(res *http.Response) verdict {
+	x.writeHeaderOnce(res)
+	x.j.recordExchange(x.p, sagehealth.OK)
 	return answered
 }
 
-// cutOff settles a stream that broke.
-func (x *exchange) cutOff(ctx context.Context, err error) verdict {
-	v := x.broken(ctx, err)
-	if v == failed && x.j.started {
-		return cut
+// failStream handles a stream that broke off.
+func (x *exchange) failStream(ctx context.Context, err error) verdict {
+	v := x.failExchange(ctx, err)
+	if v == failed && x.j.headerSent {
+		return streamTruncated
 	}
 	return v
 }
--- a/internal/sagerelay/transport.go
+++ b/internal/sagerelay/transport.go
@@ -14,40 +14,42 @@
 	"sagestand.example/sagestand/internal/sageconn"
 )
 
-// Connections to upstreams.
+// Parameters of the connections to upstreams.
 const (
-	// connectWithin is how long a new connection may take. Data centres are a few milliseconds
-	// apart; an address that is dark answers never, and the request has to go elsewhere in time.
-	connectWithin = 250 * time.Millisecond
-	// idleFor is how long an unused connection is kept: below the shortest idle timeouts that
-	// upstreams use, so that a reused one is rarely closed at its other end.
-	idleFor = 3 * time.Second
-	// idlePerUpstream is how many are kept for one upstream.
-	idlePerUpstream = 8
-	// probeAfter and probes find connections that went silent without a reset.
-	probeAfter = time.Second
-	probes     = 3
+	// connectTimeout limits the time to open a connection. The round trip between data centres takes
+	// a few milliseconds. An unreachable address never answers, and the request has to go to another
+	// upstream in time.
+	connectTimeout = 250 * time.Millisecond
+	// idleTimeout is the time after which an unused connection is closed. It is shorter than the
+	// shortest idle timeout of upstreams, so that a connection is rarely closed by the upstream when
+	// it is reused.
+	idleTimeout = 3 * time.Second
+	// maxIdlePerUpstream is the maximum number of idle connections to one upstream.
+	maxIdlePerUpstream = 8
+	// TCP keep-alive detects connections whose other end vanished without a reset.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 3
 )
 
-// crashProbeAfter is how long after a broken exchange the upstream's address is probed: a process that ends closes its
-// listener and its connections within milliseconds, in any order.
-const crashProbeAfter = 20 * time.Millisecond
+// crashProbeDelay is the time between a broken exchange and the probe of the upstream's address. A
+// process that exits closes its listener and its connections within milliseconds, in any order.
+const crashProbeDelay = 20 * time.Millisecond
 
-// transports hold the connections to upstreams.
-type transports struct {
-	// dial connects; nil means TCP.
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	once   sync.Once
-	reused *http.Transport
-	fresh  *http.Transport
-	// connect opens a plain connection.
+// upstreamTransports holds the connections to upstreams.
+type upstreamTransports struct {
+	// dial opens a connection; nil means TCP with the parameters above.
+	dial     func(ctx context.Context, network, address string) (net.Conn, error)
+	once     sync.Once
+	pooled   *http.Transport
+	unpooled *http.Transport
+	// connect is dial or its default, without the tracking of sageconn.
 	connect func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-func (t *transports) init() {
+func (t *upstreamTransports) init() {
 	d := &net.Dialer{
-		Timeout:         connectWithin,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probes},
+		Timeout:         connectTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	t.connect = t.dial
 	if t.connect == nil {
@@ -62,37 +64,38 @@
 	}
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
-	t.reused = &http.Transport{
+	t.pooled = &http.Transport{
 		DialContext: dial, Protocols: p, DisableCompression: true,
-		MaxIdleConnsPerHost: idlePerUpstream, IdleConnTimeout: idleFor,
+		MaxIdleConnsPerHost: maxIdlePerUpstream, IdleConnTimeout: idleTimeout,
 	}
-	t.fresh = &http.Transport{DialContext: dial, Protocols: p, DisableCompression: true, DisableKeepAlives: true}
+	t.unpooled = &http.Transport{DialContext: dial, Protocols: p, DisableCompression: true, DisableKeepAlives: true}
 }
 
-// of returns the transport for a request.
+// forRequest returns the transport for a request.
 //
-// A request that may be executed once gets a connection of its own: on a reused one that the
-// upstream is just closing, it could not be told whether the request was read.
-func (t *transports) of(repeatable bool) *http.Transport {
+// A request that must be executed at most once gets a new connection. If the upstream closes a reused
+// connection just then, it is unknown whether it has read the request.
+func (t *upstreamTransports) forRequest(repeatable bool) *http.Transport {
 	t.once.Do(t.init)
 	if repeatable {
-		return t.reused
+		return t.pooled
 	}
-	return t.fresh
+	return t.unpooled
 }
 
-// refuses reports whether nothing listens at an address. No answer at all doesn't say so: the address may be cut off.
-func (t *transports) refuses(ctx context.Context, address string) bool {
+// refusesConnections reports whether nothing listens at an address. A timeout isn't taken for a
+// refusal: the address may be unreachable from here.
+func (t *upstreamTransports) refusesConnections(ctx context.Context, address string) bool {
 	t.once.Do(t.init)
-	ctx, cancel := context.WithTimeout(ctx, connectWithin)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	c, err := t.connect(ctx, "tcp", address)
 	if err == nil {
-		_ = c.Close() // it was opened for the answer alone
+		_ = c.Close() // opened only for the probe
 		return false
 	}
-	return refused(err)
+	return isConnRefused(err)
 }
 
-// refused reports whether an error says that nothing listens at the other end.
-func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnRefused reports whether an error says that nothing listens at the address.
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
