--- a/pkg/sageupstream/doc.go
+++ b/pkg/sageupstream/doc.go
@@ -1,23 +1,23 @@
-// Package sageupstream keeps what a node believes of the upstreams that registered themselves.
+// Package sageupstream keeps a node's view of the upstreams that have registered themselves.
 //
-// A [Registry] is fed with entries as they change in the platform's store and answers with an
-// immutable [Set]. An upstream may be used if its entry says that it is ready and its data centre is
-// in service.
+// A [Registry] is updated with the entries of the platform's store and returns immutable [Set]
+// snapshots. An upstream may get requests if its entry says that it is ready, its data centre is in
+// service and it isn't excluded.
 //
-// # Entries that lapse while the store is away
+// # Entries that lapse during a store outage
 //
-// Entries are leases that their upstreams renew at the store. When the store was away, leases lapse
-// although the upstreams live, and are renewed within a short while after its return. A deletion
-// that comes with the return is therefore held back until that while is over. Without it, a store
-// outage of a few seconds would take every upstream out of use at once.
+// Entries are leases that their upstreams renew in the store. During a store outage leases lapse even
+// though the upstreams are alive; they are renewed shortly after the store is reachable again. A
+// deletion that arrives then is therefore applied only after a grace period. Without it, a store
+// outage of a few seconds would take all upstreams out of use at the same time.
 //
 // # Usage
 //
 //	r := &sageupstream.Registry{}
 //	r.Put(sageupstream.Entry{...})
-//	r.Away(now)       // the store does not answer
-//	r.Back(now)       // it answers again
-//	r.Delete(now, id) // held back shortly after an outage
-//	r.Settle(now)     // drops what stayed missing
-//	set := r.Set()
+//	r.StoreUnreachable()
+//	r.StoreReachable(now)
+//	r.Delete(now, id)   // delayed shortly after an outage
+//	r.ExpireLapsed(now) // removes entries that were not renewed
+//	set := r.Snapshot()
 package sageupstream
--- a/pkg/sageupstream/registry.go
+++ b/pkg/sageupstream/registry.go
@@ -9,62 +9,63 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// LapseGrace is how long an entry that lapsed during an outage of the store may stay missing after
-// the store's return: the platform promises renewed entries within about two seconds.
+// LapseGrace is the time after a store outage in which an entry that lapsed may still be renewed. The
+// platform promises renewed entries within about two seconds.
 const LapseGrace = 2 * time.Second
 
-// returnWindow is how long after an outage a deletion may still be a lapse: the store drops what
-// lapsed when it comes back, and a watch may deliver that somewhat later.
-const returnWindow = 1500 * time.Millisecond
+// lapseWindow is the time after a store outage in which a deletion may still be a lapse. The store
+// deletes lapsed entries when it returns, and a watch may deliver the deletions somewhat later.
+const lapseWindow = 1500 * time.Millisecond
 
-// LingerTime is how long an upstream whose entry is gone usually goes on running: the shortest time for
-// which the platform keeps leaving upstreams up.
+// LingerTime is the time for which an upstream usually continues to run after its entry is gone. It
+// is the shortest time for which the platform keeps leaving upstreams running.
 const LingerTime = 2 * time.Second
 
-// Entry is what an upstream says of itself.
+// Entry is the registration of an upstream.
 type Entry struct {
-	// ID names one start of an upstream, or several of the same one (see Born).
+	// ID identifies one start of an upstream, or its successive starts (see Born).
 	ID         string
 	Service    string
 	Address    string
 	DataCentre string
-	// Version is that of the upstream's software.
+	// Version is the version of the upstream's software.
 	Version string
-	// Revision is the store's revision at which this start of the upstream was first seen.
+	// Revision is the store revision at which this start of the upstream was first observed.
 	Revision uint64
 	Slots    int
 	Draining bool
-	// ColdUntil is when the upstream will be warm; zero means that it is.
+	// ColdUntil is the time at which the upstream will be warm; zero if it is warm.
 	ColdUntil sageclock.Instant
-	// Born distinguishes the starts of one ID; 0 if it isn't told.
+	// Born distinguishes the starts of one ID, later ones having greater values; 0 if unknown.
 	Born int64
 }
 
-// Set is an immutable view of the upstreams.
+// Set is an immutable snapshot of the upstreams.
 type Set struct {
-	services map[string][]*Entry
-	all      map[string][]*Entry
-	byID     map[string]*Entry
-	closed   map[string]bool
-	held     map[string]bool
-	left     map[string]departed
+	available         map[string][]*Entry
+	all               map[string][]*Entry
+	byID              map[string]*Entry
+	closedDataCentres map[string]bool
+	excluded          map[string]bool
+	departed          map[string]departedEntry
 }
 
-// departed is an upstream whose entry is gone.
-type departed struct {
+// departedEntry is the entry of an upstream that was removed, with the time until which it may still
+// run.
+type departedEntry struct {
 	entry *Entry
 	until sageclock.Instant
 }
 
-// Of returns the entries of a service that may get new requests, ordered by ID.
+// Available returns the entries of a service that may get new requests, ordered by ID.
 func (s *Set) Available(service string) []*Entry {
 	if s == nil {
 		return nil
 	}
-	return s.services[service]
+	return s.available[service]
 }
 
-// All returns the entries of a service, usable or not.
+// All returns all entries of a service, usable or not.
 func (s *Set) All(service string) []*Entry {
 	if s == nil {
 		return nil
@@ -72,16 +73,16 @@
 	return s.all[service]
 }
 
-// Usable reports whether the very entry may get new requests now.
+// Usable reports whether this start of the upstream, at this address, may get new requests.
 func (s *Set) Usable(e *Entry) bool {
 	if s == nil {
 		return false
 	}
-	now, ok := s.byID[e.ID]
-	return ok && now.Address == e.Address && now.Born == e.Born && !now.Draining && !s.closed[now.DataCentre] && !s.held[now.ID]
+	current, ok := s.byID[e.ID]
+	return ok && current.Address == e.Address && current.Born == e.Born && !current.Draining && !s.closedDataCentres[current.DataCentre] && !s.excluded[current.ID]
 }
 
-// Get returns the entry of an ID, usable or not, or nil.
+// Get returns the entry with the ID, usable or not; nil if there is none.
 func (s *Set) Get(id string) *Entry {
 	if s == nil {
 		return nil
@@ -89,8 +90,8 @@
 	return s.byID[id]
 }
 
-// Reachable returns the entry of an ID, also for a while after it is gone, or nil. Such an upstream
-// gets no requests, but others can still copy from it.
+// Reachable returns the entry with the ID, also for [LingerTime] after its removal; nil if there is
+// none. A removed upstream gets no requests, but others can still copy from its cache.
 func (s *Set) Reachable(now sageclock.Instant, id string) *Entry {
 	if s == nil {
 		return nil
@@ -98,7 +99,7 @@
 	if e := s.byID[id]; e != nil {
 		return e
 	}
-	if d, ok := s.left[id]; ok && now < d.until {
+	if d, ok := s.departed[id]; ok && now < d.until {
 		return d.entry
 	}
 	return nil
@@ -112,21 +113,21 @@
 	return len(s.byID)
 }
 
-// Registry collects entries. It is not safe for concurrent use; the sets that it gives are.
+// Registry holds the current entries. It is not safe for concurrent use; its snapshots are.
 type Registry struct {
-	entries map[string]*Entry
-	lapsed  map[string]sageclock.Instant // deleted, still used until then
-	left    map[string]departed
-	ended   []string // stopped, not yet told by Ended
-	closed  map[string]bool
-	held    map[string]bool
+	entries           map[string]*Entry
+	lapsed            map[string]sageclock.Instant // end of the grace period of deleted entries
+	departed          map[string]departedEntry
+	stopped           []string // not yet returned by TakeStopped
+	closedDataCentres map[string]bool
+	excluded          map[string]bool
 
-	away     bool
-	backAt   sageclock.Instant
-	returned bool
+	storeUnreachable bool
+	storeReachableAt sageclock.Instant
+	hadOutage        bool
 }
 
-// Put takes an entry in, or replaces the one of the same ID.
+// Put adds an entry or replaces the one with the same ID.
 func (r *Registry) Put(e Entry) {
 	if r.entries == nil {
 		r.entries = make(map[string]*Entry)
@@ -135,20 +136,22 @@
 	r.entries[e.ID] = &e
 }
 
-// Delete drops an entry, at once or after [LapseGrace] if it may only have lapsed.
+// Delete removes an entry immediately, or after [LapseGrace] if it may have lapsed during a store
+// outage.
 //
-// It guards against the loss of every upstream after an outage of the store, whose leases lapse
-// together: callers would be refused until the upstreams have registered again. What lapsed is back two
-// seconds after the store's return, so the grace ends then, however late the removal is seen: a node that
-// was merely cut off sees upstreams leave that did not lapse.
+// The leases of all upstreams lapse together during an outage. Without the grace period callers would
+// be refused until the upstreams have registered again. Lapsed entries are renewed within two seconds
+// of the store's return, so the grace period starts then, however late the deletion arrives. A node
+// that alone was cut off from the store would otherwise keep upstreams that left meanwhile for too
+// long.
 func (r *Registry) Delete(now sageclock.Instant, id string) {
 	e, ok := r.entries[id]
 	if !ok {
 		return
 	}
-	lapse := r.away || r.returned && now.Sub(r.backAt) < returnWindow
-	if !lapse || e.Draining {
-		r.drop(now, e)
+	mayHaveLapsed := r.storeUnreachable || r.hadOutage && now.Sub(r.storeReachableAt) < lapseWindow
+	if !mayHaveLapsed || e.Draining {
+		r.remove(now, e)
 		return
 	}
 	if r.lapsed == nil {
@@ -158,116 +161,120 @@
 		return
 	}
 	from := now
-	if !r.away {
-		from = r.backAt
+	if !r.storeUnreachable {
+		from = r.storeReachableAt
 	}
 	r.lapsed[id] = from.Add(LapseGrace)
 }
 
-// drop takes an entry out.
-func (r *Registry) drop(now sageclock.Instant, e *Entry) {
+// remove removes an entry and adds it to the departed ones.
+func (r *Registry) remove(now sageclock.Instant, e *Entry) {
 	delete(r.entries, e.ID)
 	delete(r.lapsed, e.ID)
-	if r.left == nil {
-		r.left = make(map[string]departed)
+	if r.departed == nil {
+		r.departed = make(map[string]departedEntry)
 	}
-	r.sweep(now)
-	r.left[e.ID] = departed{entry: e, until: now.Add(LingerTime)}
+	r.sweepDeparted(now)
+	r.departed[e.ID] = departedEntry{entry: e, until: now.Add(LingerTime)}
 }
 
-// sweep takes note of the departed upstreams that have stopped.
-func (r *Registry) sweep(now sageclock.Instant) {
-	for id, d := range r.left {
+// sweepDeparted moves departed upstreams whose linger time is over to the stopped ones, unless they
+// have registered again.
+func (r *Registry) sweepDeparted(now sageclock.Instant) {
+	for id, d := range r.departed {
 		if now < d.until {
 			continue
 		}
-		delete(r.left, id)
+		delete(r.departed, id)
 		if r.entries[id] == nil {
-			r.ended = append(r.ended, id)
+			r.stopped = append(r.stopped, id)
 		}
 	}
 }
 
-// Ended returns the IDs of departed upstreams that have stopped since it was last called.
+// TakeStopped returns the IDs of departed upstreams that have stopped since the last call.
 func (r *Registry) TakeStopped(now sageclock.Instant) []string {
-	r.sweep(now)
-	out := r.ended
-	r.ended = nil
+	r.sweepDeparted(now)
+	out := r.stopped
+	r.stopped = nil
 	return out
 }
 
-// Keep deletes every entry whose ID the complete listing does not hold.
-func (r *Registry) Retain(now sageclock.Instant, listed map[string]bool) {
+// Retain deletes every entry whose ID isn't in present, a complete listing of the store.
+func (r *Registry) Retain(now sageclock.Instant, present map[string]bool) {
 	for id := range r.entries {
-		if !listed[id] {
+		if !present[id] {
 			r.Delete(now, id)
 		}
 	}
 }
 
-// Away notes that the store does not answer.
-func (r *Registry) StoreUnreachable() { r.away = true }
+// StoreUnreachable records that the store doesn't answer.
+func (r *Registry) StoreUnreachable() { r.storeUnreachable = true }
 
-// Back notes that the store answers. Lapsed entries get their grace from here on.
+// StoreReachable records that the store answers. The grace period of lapsed entries starts now.
 func (r *Registry) StoreReachable(now sageclock.Instant) {
-	if !r.away {
+	if !r.storeUnreachable {
 		return
 	}
-	r.away, r.returned, r.backAt = false, true, now
+	r.storeUnreachable, r.hadOutage, r.storeReachableAt = false, true, now
 	for id := range r.lapsed {
 		r.lapsed[id] = now.Add(LapseGrace)
 	}
 }
 
-// Settle drops the lapsed entries whose grace is over, and reports whether there were any.
+// ExpireLapsed removes the lapsed entries whose grace period is over and reports whether there were
+// any.
 func (r *Registry) ExpireLapsed(now sageclock.Instant) bool {
-	if r.away {
+	if r.storeUnreachable {
 		return false
 	}
 	dropped := false
 	for id, until := range r.lapsed {
 		if now >= until {
-			r.drop(now, r.entries[id])
+			r.remove(now, r.entries[id])
 			dropped = true
 		}
 	}
 	return dropped
 }
 
-// Close takes data centres out of service; those not named are in service.
-func (r *Registry) SetClosedDataCentres(dataCentres map[string]bool) { r.closed = dataCentres }
+// SetClosedDataCentres sets the data centres that are out of service. All others are in service.
+func (r *Registry) SetClosedDataCentres(dataCentres map[string]bool) {
+	r.closedDataCentres = dataCentres
+}
 
-// Hold keeps the upstreams of some IDs without requests; those not named may get some.
-func (r *Registry) SetExcluded(ids map[string]bool) { r.held = ids }
+// SetExcluded sets the IDs of upstreams that get no requests. It replaces the previous ones.
+func (r *Registry) SetExcluded(ids map[string]bool) { r.excluded = ids }
 
-// Each calls visit for each entry.
+// Each calls visit for each entry, in no particular order.
 func (r *Registry) Each(visit func(e *Entry)) {
 	for _, e := range r.entries {
 		visit(e)
 	}
 }
 
-// Set returns the present view.
+// Snapshot returns the current set of upstreams.
 func (r *Registry) Snapshot() *Set {
 	s := &Set{
-		services: make(map[string][]*Entry),
-		all:      make(map[string][]*Entry),
-		byID:     make(map[string]*Entry, len(r.entries)),
-		closed:   make(map[string]bool, len(r.closed)),
-		held:     r.held,
-		left:     maps.Clone(r.left),
+		available:         make(map[string][]*Entry),
+		all:               make(map[string][]*Entry),
+		byID:              make(map[string]*Entry, len(r.entries)),
+		closedDataCentres: make(map[string]bool, len(r.closedDataCentres)),
+		excluded:          r.excluded,
+		departed:          maps.Clone(r.departed),
 	}
-	for dc := range r.closed {
-		s.closed[dc] = true
+	for dc := range r.closedDataCentres {
+		s.closedDataCentres[dc] = true
 	}
 	for id, e := range r.entries {
 		s.byID[id] = e
 		s.all[e.Service] = append(s.all[e.Service], e)
-		if !e.Draining && !s.closed[e.DataCentre] && !s.held[id] {
-			s.services[e.Service] = append(s.services[e.Service], e)
+		if !e.Draining && !s.closedDataCentres[e.DataCentre] && !s.excluded[id] {
+			s.available[e.Service] = append(s.available[e.Service], e)
 		}
 	}
-	for _, es := range s.services {
+	for _, es := range s.available {
 		slices.SortFunc(es, func(a, b *Entry) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return s
--- a/pkg/sageupstream/registry_test.go
+++ b/pkg/sageupstream/registry_test.go
@@ -24,9 +24,9 @@
 	return out
 }
 
-// Callers are refused after a store outage of five seconds though every engine works: the leases
-// lapsed meanwhile, the deletions arrive with the return, and the renewals a second later.
-func TestLapsedEntriesStayUntilTheyCouldBeRenewed(t *testing.T) {
+// During a store outage of five seconds the leases of running engines lapse. The deletions arrive
+// when the store returns, the renewals a second later. Callers must not be refused in between.
+func TestLapsedEntriesAreKeptDuringGrace(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Put(entry("b"))
@@ -38,12 +38,12 @@
 	r.Put(entry("a"))
 	require.False(t, r.ExpireLapsed(at(6900)))
 	require.True(t, r.ExpireLapsed(at(7100)))
-	require.Equal(t, []string{"a"}, ids(r.Snapshot()), "b stayed missing and is gone")
+	require.Equal(t, []string{"a"}, ids(r.Snapshot()), "b was not renewed")
 }
 
-// An engine that left gets work for two more seconds after the next outage, or for ever, if its
-// deletion counts as a lapse without one.
-func TestDeletionWithoutOutageTakesEffectAtOnce(t *testing.T) {
+// An engine that has left must not get requests for another two seconds because its deletion is taken
+// for a lapse although there was no outage.
+func TestDeletionWithoutOutageIsImmediate(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.StoreUnreachable()
@@ -52,8 +52,8 @@
 	require.Empty(t, ids(r.Snapshot()))
 }
 
-// A drained engine whose entry goes during an outage has left; it isn't a lapse.
-func TestDrainingEntryNeverLapses(t *testing.T) {
+// The entry of a drained engine that is deleted during an outage didn't lapse: the engine has left.
+func TestDrainingEntryIsDeletedImmediately(t *testing.T) {
 	r := new(Registry)
 	e := entry("a")
 	e.Draining = true
@@ -63,9 +63,9 @@
 	require.Zero(t, r.Snapshot().Len())
 }
 
-// A request picked an engine, then the address went to another service or the data centre was taken
-// out: the check at the moment of sending has to see it.
-func TestUsableLooksAtTheVeryEntry(t *testing.T) {
+// After a request has chosen an engine, the address may go to another upstream or the data centre may
+// be taken out of service. The check before the send must notice it.
+func TestUsableRequiresUnchangedEntry(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	old := r.Snapshot().Get("a")
@@ -77,7 +77,7 @@
 	again := entry("a")
 	again.Born = 7
 	r.Put(again)
-	require.False(t, r.Snapshot().Usable(old), "a new start under the same id")
+	require.False(t, r.Snapshot().Usable(old), "new start with the same id")
 	r.Put(entry("a"))
 	r.SetClosedDataCentres(map[string]bool{"north": true})
 	require.False(t, r.Snapshot().Usable(old))
@@ -96,9 +96,9 @@
 	// Output: e1
 }
 
-// Engines whose entry was taken back without notice go on running for seconds; their cache is lost to
-// the fleet if nobody can name their address.
-func TestDepartedStaysReachableForAWhile(t *testing.T) {
+// Engines whose entry was removed without notice run on for seconds. Others can copy from their cache
+// only while their address is known.
+func TestDepartedIsReachableForLingerTime(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Delete(at(100), "a")
@@ -108,29 +108,30 @@
 	require.Nil(t, s.Reachable(at(2200), "a"))
 	r.Put(entry("b"))
 	r.Delete(at(5000), "b")
-	require.Len(t, r.left, 1, "what is over is forgotten")
+	require.Len(t, r.departed, 1, "a's linger time is over")
 }
 
-// What an upstream held is forgotten when it has stopped; one that lapsed and came back has not.
-func TestEndedNamesEachStoppedUpstreamOnce(t *testing.T) {
+// The cache contents of an upstream are forgotten when it has stopped, but not when its entry lapsed
+// and was renewed.
+func TestTakeStoppedReturnsEachUpstreamOnce(t *testing.T) {
 	r := new(Registry)
 	for _, id := range []string{"a", "b", "c"} {
 		r.Put(entry(id))
 	}
 	r.Delete(at(100), "a")
 	r.Delete(at(100), "b")
-	require.Empty(t, r.TakeStopped(at(2000)), "they still run")
+	require.Empty(t, r.TakeStopped(at(2000)), "both may still run")
 	r.Put(entry("b"))
-	r.Delete(at(2200), "c") // sweeps as well
+	r.Delete(at(2200), "c") // calls sweepDeparted as well
 	require.Equal(t, []string{"a"}, r.TakeStopped(at(2300)))
 	require.Empty(t, r.TakeStopped(at(2400)))
 	require.Equal(t, []string{"c"}, r.TakeStopped(at(9000)))
 }
 
-// A node was cut off from the store, which went on serving the others, and is back for more than a second
-// when an upstream leaves. Its entry's removal was taken for a lapse in an outage and the upstream used
-// for two more seconds from the removal on, 41 ms longer than a leaving one may be.
-func TestRemovalSomeTimeAfterTheReturnIsNoNewGrace(t *testing.T) {
+// A node alone was cut off from the store and has been back for more than a second when an upstream
+// leaves. If the grace period started with the deletion, the upstream would get requests for two more
+// seconds, 41 ms longer than is allowed for a leaving one.
+func TestGraceStartsWithStoreReturn(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.Put(entry("b"))
@@ -138,9 +139,9 @@
 	r.Delete(at(900), "b")
 	r.StoreReachable(at(1000))
 	r.Delete(at(2300), "a")
-	require.Equal(t, []string{"a", "b"}, ids(r.Snapshot()), "both may only have lapsed")
+	require.Equal(t, []string{"a", "b"}, ids(r.Snapshot()), "both may have lapsed")
 	require.False(t, r.ExpireLapsed(at(2900)))
-	require.True(t, r.ExpireLapsed(at(3000)), "what lapsed is back two seconds after the store's return")
+	require.True(t, r.ExpireLapsed(at(3000)), "the grace ends two seconds after the store's return")
 	require.Empty(t, ids(r.Snapshot()))
 	r.Put(entry("c"))
 	r.Delete(at(3100), "c")
