--- a/pkg/sageretry/budget.go
+++ b/pkg/sageretry/budget.go
@@ -1,31 +1,30 @@
 package sageretry
 
-// Budget is a token bucket that first attempts fill and retries empty. Over any span, retries are
-// at most Ratio times the first attempts plus Burst.
+// Budget is a token bucket that is filled by first attempts and emptied by retries. In any period,
+// the number of retries is at most Ratio times the number of first attempts plus Burst.
 type Budget struct {
-	// Ratio is the tokens that one first attempt adds; zero means [DefaultRatio].
+	// Ratio is the number of tokens added by one first attempt; zero means [DefaultRatio].
 	Ratio float64
-	// Burst is the greatest number of tokens, and the number at the start; zero means
-	// [DefaultBurst].
+	// Burst is the initial and maximum number of tokens; zero means [DefaultBurst].
 	Burst float64
 
-	spent float64 // tokens below Burst
+	used float64 // Burst minus the current number of tokens
 }
 
-// Defaults of a [Budget].
+// Defaults of [Budget].
 const (
 	DefaultRatio = 0.1
 	DefaultBurst = 10
 )
 
-// Deposit counts a first attempt.
-func (b *Budget) Deposit() { b.spent = max(0, b.spent-b.ratio()) }
+// Deposit adds the tokens of a first attempt.
+func (b *Budget) Deposit() { b.used = max(0, b.used-b.ratio()) }
 
-// Has reports whether a retry is covered.
-func (b *Budget) CanWithdraw() bool { return b.burst()-b.spent >= 1 }
+// CanWithdraw reports whether there is a token for a retry.
+func (b *Budget) CanWithdraw() bool { return b.burst()-b.used >= 1 }
 
-// Withdraw counts a retry, which [Budget.CanWithdraw] said is covered.
-func (b *Budget) Withdraw() { b.spent++ }
+// Withdraw takes the token of a retry. It may be called only if [Budget.CanWithdraw] returned true.
+func (b *Budget) Withdraw() { b.used++ }
 
 func (b *Budget) ratio() float64 {
 	if b.Ratio > 0 {
--- a/pkg/sageretry/policy_test.go
+++ b/pkg/sageretry/policy_test.go
@@ -26,8 +26,8 @@
 
 func newPolicy(seed uint64) *Policy { return &Policy{Rand: rand.New(rand.NewPCG(seed, 0))} }
 
-// Story: a third of the engines fail, each failed request is sent three more times, and the load
-// that this adds fails the rest too. Over any run, retries stay within the budget.
+// A third of the engines fail. If each failed request were sent three more times, the added load
+// would make the others fail as well.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPolicy(rapid.Uint64().Draw(t, "seed"))
@@ -48,18 +48,18 @@
 	})
 }
 
-func TestRetryRefusals(t *testing.T) {
+func TestRetryDenied(t *testing.T) {
 	ok := Attempt{Idempotent: true, Tried: []string{"a"}, Untried: 1, Deadline: start.Add(time.Minute)}
 	for _, c := range []struct {
 		name   string
 		change func(*Attempt)
 		want   Reason
 	}{
-		{"sent again to another", func(*Attempt) {}, ""},
-		{"a booking is never sent twice", func(a *Attempt) { a.Idempotent = false }, ReasonNotIdempotent},
-		{"unless the upstream says that it did not run", func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, ""},
-		{"no other upstream", func(a *Attempt) { a.Untried = 0 }, ReasonNoOtherUpstream},
-		{"attempts", func(a *Attempt) { a.Tried = []string{"a", "b", "c"} }, ReasonMaxAttempts},
+		{"retried at another upstream", func(*Attempt) {}, ""},
+		{"not idempotent", func(a *Attempt) { a.Idempotent = false }, ReasonNotIdempotent},
+		{"not idempotent but not executed", func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, ""},
+		{"no untried upstream", func(a *Attempt) { a.Untried = 0 }, ReasonNoOtherUpstream},
+		{"maximum of attempts", func(a *Attempt) { a.Tried = []string{"a", "b", "c"} }, ReasonMaxAttempts},
 		{"deadline", func(a *Attempt) { a.Deadline = start }, ReasonDeadline},
 	} {
 		a := ok
@@ -70,9 +70,9 @@
 	}
 }
 
-// Story: one failing engine eats the router's whole budget, and a stray failure elsewhere gets no
-// second attempt. The budget of the failing engine must run out first.
-func TestOneUpstreamLeavesBudgetForOthers(t *testing.T) {
+// One failing engine must not use up the router's whole budget, which would leave no retry for a
+// failure at another engine. Its own budget must run out first.
+func TestFailingUpstreamLeavesBudgetForOthers(t *testing.T) {
 	p := newPolicy(1)
 	p.Budget = Budget{Ratio: 0.1, Burst: 4}
 	for range 300 {
@@ -87,21 +87,21 @@
 	require.True(t, p.Retry(start, Attempt{Idempotent: true, Tried: []string{"b"}, Untried: 1, Deadline: start.Add(time.Hour)}).OK)
 }
 
-func TestCircuitOpensTriesOnceAndCloses(t *testing.T) {
+func TestCircuitOpensAllowsOneTrialAndCloses(t *testing.T) {
 	p := newPolicy(1)
 	later := start.Add(time.Minute)
 	for range 4 {
 		p.RecordFailure(start, "u")
 	}
-	require.Equal(t, Closed, p.Circuit("u"), "four are too few to judge")
+	require.Equal(t, Closed, p.Circuit("u"), "four results are fewer than MinResults")
 	p.RecordFailure(start, "u")
 	require.Equal(t, Open, p.Circuit("u"))
 	require.False(t, p.Allow(start, "u", later))
 	require.Equal(t, 1, p.OpenCircuits())
 	now := start.Add(time.Second)
-	require.True(t, p.Allow(now, "u", later), "one trial")
-	require.False(t, p.Allow(now, "u", later), "and no second")
-	require.True(t, p.Allow(later, "u", later.Add(time.Second)), "a trial that never ends is replaced")
+	require.True(t, p.Allow(now, "u", later), "one trial is allowed")
+	require.False(t, p.Allow(now, "u", later), "a second trial is not")
+	require.True(t, p.Allow(later, "u", later.Add(time.Second)), "a trial without result is replaced after its deadline")
 	p.RecordFailure(later, "u")
 	require.Equal(t, Open, p.Circuit("u"))
 	require.False(t, p.Allow(later.Add(499*time.Millisecond), "u", later), "open for longer than the first time")
