--- a/pkg/sageshare/cold.go
+++ b/pkg/sageshare/cold.go
@@ -9,42 +9,44 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// coldSenders is how many nodes may send to one cold upstream: each may send one request at any
-// moment, so the sum in a second is this number beside the rate. Five is the least slack that the
-// platform's bounds grant beyond the rate.
-const coldSenders = 5
+// maxColdSenders is the maximum number of nodes that send to one cold upstream. Each has a burst of
+// one request, so in any second the upstream gets at most this number of requests beyond the rate.
+// Five is the smallest such excess that the platform's limits allow.
+const maxColdSenders = 5
 
-// ColdLimiter lets requests through to cold upstreams. It is not safe for concurrent use.
+// ColdLimiter limits the requests to cold upstreams. It is not safe for concurrent use.
 //
-// It guards against a cold upstream that falls over under the traffic of many nodes, each of which
-// keeps to the bound by itself. Only a few nodes send to one cold upstream, chosen by rendezvous
-// hashing, each at an equal part of the rate with bursts of one.
+// If each of many nodes kept to the limit on its own, their sum would overload a cold upstream.
+// Therefore only a few nodes, chosen by rendezvous hashing, send to one cold upstream, each at an
+// equal share of the rate with a burst of one.
 type ColdLimiter struct {
-	// Self is this node's name.
+	// Self is the name of this node.
 	Self string
 
-	next map[string]sageclock.Instant
+	nextSend map[string]sageclock.Instant
 }
 
-// Allow reports whether one request may go to a cold upstream that bears perSecond requests a
-// second from all nodes together, and counts it. Nodes are the names of all known nodes.
+// Allow reports whether a request may be sent to a cold upstream, and counts it. perSecond is the
+// request rate that the upstream can take from all nodes together; 0 means no limit. nodes lists the
+// names of all known nodes.
 func (c *ColdLimiter) Allow(now sageclock.Instant, nodes []string, upstream string, perSecond float64) bool {
 	if perSecond <= 0 {
 		return true
 	}
-	senders := min(coldSenders, max(1, len(nodes)))
-	if !c.sender(nodes, upstream, senders) || now < c.next[upstream] {
+	senders := min(maxColdSenders, max(1, len(nodes)))
+	if !c.isSender(nodes, upstream, senders) || now < c.nextSend[upstream] {
 		return false
 	}
-	if c.next == nil {
-		c.next = make(map[string]sageclock.Instant)
+	if c.nextSend == nil {
+		c.nextSend = make(map[string]sageclock.Instant)
 	}
-	c.next[upstream] = now.Add(time.Duration(float64(senders) / perSecond * float64(time.Second)))
+	c.nextSend[upstream] = now.Add(time.Duration(float64(senders) / perSecond * float64(time.Second)))
 	return true
 }
 
-// sender reports whether this node is among the first n in the upstream's order of nodes.
-func (c *ColdLimiter) sender(nodes []string, upstream string, n int) bool {
+// isSender reports whether this node is among the first n nodes in the rendezvous order of the
+// upstream.
+func (c *ColdLimiter) isSender(nodes []string, upstream string, n int) bool {
 	if len(nodes) <= n {
 		return true
 	}
@@ -57,11 +59,11 @@
 	return before < n
 }
 
-// Keep forgets all upstreams but those named.
+// Retain drops the state of all upstreams that aren't listed.
 func (c *ColdLimiter) Retain(upstreams []string) {
-	for u := range c.next {
+	for u := range c.nextSend {
 		if !slices.Contains(upstreams, u) {
-			delete(c.next, u)
+			delete(c.nextSend, u)
 		}
 	}
 }
--- a/pkg/sageshare/doc.go
+++ b/pkg/sageshare/doc.go
@@ -1,11 +1,11 @@
-// Package sageshare splits bounds that hold for all nodes together into shares that each node keeps
-// without asking.
+// Package sageshare divides fleet-wide limits into shares that each node enforces without
+// communication.
 //
-// [ColdLimiter] bounds what a cold upstream gets in any second. [RetryLimiter] bounds what a service gets beyond
-// the first send of each request in any window. Both hold when nodes disagree about who lives, are
-// cut off or frozen, since a share depends on the nodes that were ever known, not on those that
-// answer now: a lost node's share stays unused, which costs little, while a share taken over too
-// early would break the bound when its owner comes back.
+// [ColdLimiter] limits the requests to a cold upstream in any second. [RetryLimiter] limits the sends
+// to a service beyond the first one of each request in any window. Both limits hold when nodes
+// disagree about which nodes are alive, are partitioned or paused, since a share depends on the nodes
+// that were ever known, not on those that respond now. The share of a lost node stays unused, which
+// costs little; a share taken over too early would exceed the limit when its owner returns.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 //		... // send
 //	}
 //	r := &sageshare.RetryLimiter{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
-//	r.First(now, "chat")
+//	r.RecordFirstSend(now, "chat")
 //	if r.Allow(now, "chat", len(nodes)) {
 //		... // send again
 //	}
--- a/pkg/sageshare/retries.go
+++ b/pkg/sageshare/retries.go
@@ -6,87 +6,87 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// The parts of the fleet's bound that the nodes use, so that requests in flight between two windows
-// and nodes that are unknown to each other don't break it.
+// Fractions of the fleet-wide limit that nodes use. The rest covers requests in flight between two
+// windows and nodes that don't know each other.
 const (
-	ratioUsed = 0.7
-	slackUsed = 0.7
+	ratioFraction = 0.7
+	slackFraction = 0.7
 )
 
-// buckets is into how many parts the window of a [RetryLimiter] is divided.
-const buckets = 20
+// windowBuckets is the number of buckets into which the window of a [RetryLimiter] is divided.
+const windowBuckets = 20
 
-// RetryLimiter bounds sends beyond the first of each request, by service. It is not safe for concurrent
-// use.
+// RetryLimiter limits, for each service, the sends beyond the first one of each request. It is not
+// safe for concurrent use.
 //
-// It guards against retries that multiply the load of upstreams that already fail: in any window a
-// service gets at most Ratio times its requests plus Slack such sends from all nodes together. A node
-// spends that ratio of its own requests and an equal part of the slack.
+// Unlimited retries would multiply the load of upstreams that already fail. In any window all nodes
+// together send to a service at most Ratio times its requests plus Slack retries. Each node uses
+// Ratio of its own requests and an equal share of Slack.
 type RetryLimiter struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 
-	services map[string]*window
+	services map[string]*sendWindow
 }
 
-// First notes a request for a service.
+// RecordFirstSend records the first send of a request to a service.
 func (r *RetryLimiter) RecordFirstSend(now sageclock.Instant, service string) {
-	r.at(now, service).first[0]++
+	r.currentWindow(now, service).firstSends[0]++
 }
 
-// Allow reports whether one more send may go to a service, and counts it. Nodes is the number of all
-// known nodes, this one included.
+// Allow reports whether a retry may be sent to a service, and counts it. nodes is the number of all
+// known nodes, including this one.
 func (r *RetryLimiter) Allow(now sageclock.Instant, service string, nodes int) bool {
-	w := r.at(now, service)
-	first, again := w.sums()
-	limit := ratioUsed*r.Ratio*float64(first) + slackUsed*r.Slack/float64(max(1, nodes))
-	if float64(again+1) > limit {
+	w := r.currentWindow(now, service)
+	first, retries := w.totals()
+	limit := ratioFraction*r.Ratio*float64(first) + slackFraction*r.Slack/float64(max(1, nodes))
+	if float64(retries+1) > limit {
 		return false
 	}
-	w.again[0]++
+	w.retries[0]++
 	return true
 }
 
-func (r *RetryLimiter) at(now sageclock.Instant, service string) *window {
+func (r *RetryLimiter) currentWindow(now sageclock.Instant, service string) *sendWindow {
 	if r.services == nil {
-		r.services = make(map[string]*window)
+		r.services = make(map[string]*sendWindow)
 	}
 	w := r.services[service]
 	if w == nil {
-		w = new(window)
+		w = new(sendWindow)
 		r.services[service] = w
 	}
-	w.advance(int64(now) / max(1, int64(r.Window)/buckets))
+	w.advance(int64(now) / max(1, int64(r.Window)/windowBuckets))
 	return w
 }
 
-// window counts in buckets, the current one first. One more bucket than the window has makes every
-// sliding window of that length covered.
-type window struct {
-	slot  int64
-	first [buckets + 1]int
-	again [buckets + 1]int
+// sendWindow counts sends in buckets, the current one first. It has one bucket more than the window,
+// so that it covers every sliding window of that length.
+type sendWindow struct {
+	bucket     int64
+	firstSends [windowBuckets + 1]int
+	retries    [windowBuckets + 1]int
 }
 
-func (w *window) advance(slot int64) {
-	steps := min(max(0, slot-w.slot), buckets+1)
-	for range steps {
-		copy(w.first[1:], w.first[:buckets])
-		copy(w.again[1:], w.again[:buckets])
-		w.first[0], w.again[0] = 0, 0
+func (w *sendWindow) advance(bucket int64) {
+	elapsed := min(max(0, bucket-w.bucket), windowBuckets+1)
+	for range elapsed {
+		copy(w.firstSends[1:], w.firstSends[:windowBuckets])
+		copy(w.retries[1:], w.retries[:windowBuckets])
+		w.firstSends[0], w.retries[0] = 0, 0
 	}
-	w.slot = max(w.slot, slot)
+	w.bucket = max(w.bucket, bucket)
 }
 
-// sums leaves the oldest bucket out for requests and counts it for retries, so that a partly passed
-// bucket errs to the careful side.
-func (w *window) sums() (first, again int) {
-	for i := range buckets + 1 {
-		if i < buckets {
-			first += w.first[i]
+// totals excludes the oldest bucket from the first sends and includes it in the retries. The oldest
+// bucket is only partly in the window, so both errors are on the safe side.
+func (w *sendWindow) totals() (first, retries int) {
+	for i := range windowBuckets + 1 {
+		if i < windowBuckets {
+			first += w.firstSends[i]
 		}
-		again += w.again[i]
+		retries += w.retries[i]
 	}
-	return first, again
+	return first, retries
 }
--- a/pkg/sageshare/share_test.go
+++ b/pkg/sageshare/share_test.go
@@ -21,9 +21,9 @@
 	return out
 }
 
-// Engines come back cold and fall over again: every node sends what it holds for bearable, and
-// together that is many times the bound. Here every node asks in each millisecond.
-func TestColdUpstreamsGetAtMostTheBoundFromAllNodes(t *testing.T) {
+// Engines that have just restarted are overloaded if every node sends them as much as one node may:
+// the sum is many times the limit. Here every node asks in each millisecond.
+func TestColdUpstreamRateOfAllNodesIsLimited(t *testing.T) {
 	const perSecond, bound = 10, 10*1.5 + 5
 	for _, n := range []int{1, 2, 8, 9, 91} {
 		all := names(n)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestWarmUpstreamsHaveNoBound(t *testing.T) {
+func TestZeroRateMeansNoLimit(t *testing.T) {
 	c := &ColdLimiter{Self: "a"}
 	require.True(t, c.Allow(at(1), nil, "u", 0))
 	require.True(t, c.Allow(at(1), nil, "u", 0))
@@ -59,13 +59,14 @@
 	require.True(t, c.Allow(at(3), nil, "u", 1))
 }
 
-// A third of the engines fails everything, and the others get each request again until they fail as
-// well. In every sliding window the retries of all nodes together stay within the fleet's bound.
-func TestRetriesOfAllNodesStayWithinTheBound(t *testing.T) {
+// A third of the engines fails all requests. If each request were sent again to the others, these
+// would fail as well. In every sliding window the retries of all nodes together must stay within the
+// fleet's limit.
+func TestRetriesOfAllNodesAreLimited(t *testing.T) {
 	const ratio, slack, window, n = 0.2, 56.0, 10_000, 8
 	type send struct {
 		ms    int
-		again bool
+		retry bool
 	}
 	var sent []send
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -83,23 +84,23 @@
 		}
 	}
 	for from := 0; from < 30_000; from += 100 {
-		first, again := 0, 0
+		first, retries := 0, 0
 		for _, s := range sent {
 			if s.ms < from || s.ms >= from+window {
 				continue
 			}
-			if s.again {
-				again++
+			if s.retry {
+				retries++
 			} else {
 				first++
 			}
 		}
-		require.LessOrEqual(t, float64(again), ratio*float64(first)+slack, "window from %d ms", from)
-		require.Greater(t, float64(again), 0.5*ratio*float64(first))
+		require.LessOrEqual(t, float64(retries), ratio*float64(first)+slack, "window from %d ms", from)
+		require.Greater(t, float64(retries), 0.5*ratio*float64(first))
 	}
 }
 
-func BenchmarkRetries(b *testing.B) {
+func BenchmarkRetryLimiter(b *testing.B) {
 	r := &RetryLimiter{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -108,7 +109,7 @@
 	}
 }
 
-func ExampleCold() {
+func ExampleColdLimiter() {
 	c := &ColdLimiter{Self: "vm1"}
 	fmt.Println(c.Allow(at(1000), []string{"vm1"}, "engine", 2), c.Allow(at(1100), []string{"vm1"}, "engine", 2))
 	// Output: true false
