--- a/pkg/sageroute/doc.go
+++ b/pkg/sageroute/doc.go
@@ -1,8 +1,8 @@
-// Package sageroute answers which route, service and client account a request belongs to.
+// Package sageroute finds the route, the service and the client account of a request.
 //
-// A [Table] is one version of the configuration, immutable once made, so that readers swap whole
-// tables and never see half of one. Routes are chosen by host and by the longest path prefix that
-// begins the path. A route may split its requests over several services by weight.
+// A [Table] is one version of the configuration. It is immutable: readers replace the whole table and
+// never see a partly updated one. A route is chosen by host and by the longest prefix of the path. It
+// may split its requests over several services by weight.
 //
 // # Usage
 //
@@ -12,5 +12,5 @@
 //		// no route
 //	}
 //	a := t.Account(key)
-//	service := r.Pick(rand.Float64())
+//	service := r.PickService(rand.Float64())
 package sageroute
--- a/pkg/sageroute/table.go
+++ b/pkg/sageroute/table.go
@@ -9,14 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a configuration.
+// Errors of [New].
 var (
 	ErrPrefix    = errors.New("path prefix does not begin and end with a slash")
 	ErrKind      = errors.New("unknown kind of route")
 	ErrNoService = errors.New("route without a service")
 )
 
-// Kind says how often a request of a route may be executed.
+// Kind defines how often a request of a route may be executed.
 type Kind string
 
 // The kinds of routes.
@@ -26,35 +26,35 @@
 	Stream     Kind = "stream"
 )
 
-// WeightedService is one service of a split route.
+// WeightedService is one service of a route and its weight.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route leads requests of a host and a path prefix to services.
+// Route maps requests by host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Services has at least one entry; weights are relative.
+	// Services has at least one element. The weights are relative.
 	Services []WeightedService
-	// Attempts is the greatest number of upstreams that may execute one request.
+	// MaxAttempts is the maximum number of upstreams that may execute one request.
 	MaxAttempts int
-	// Timeout is the longest time from request to final answer.
+	// Timeout is the maximum time from the request to the final response.
 	Timeout time.Duration
 	// Objective is the time to the first byte that callers expect.
 	Objective time.Duration
-	// Gap is the longest pause between two events that callers expect of a stream.
+	// MaxEventGap is the longest gap between two events of a stream that callers expect.
 	MaxEventGap time.Duration
-	// Priority is the urgency, 0 the highest.
+	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Public routes need no key.
+	// Public is set if requests need no key.
 	Public bool
-	// Resumable streams may be continued at another upstream after an event's id.
+	// Resumable is set if another upstream can continue a stream after an event's ID.
 	Resumable bool
-	// Cached routes carry the parts of their prompts, by which they are placed.
+	// Cached is set if requests carry the IDs of their prompt parts, which are used to place them.
 	Cached bool
 }
 
@@ -63,30 +63,31 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw from [0, 1).
+// PickService returns the service for a random number from [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0.0
 	for _, w := range r.Services {
 		total += w.Weight
 	}
-	at := draw * total
+	rest := draw * total
 	for _, w := range r.Services {
-		if at < w.Weight {
+		if rest < w.Weight {
 			return w.Service
 		}
-		at -= w.Weight
+		rest -= w.Weight
 	}
 	return r.Services[len(r.Services)-1].Service
 }
 
-// Service is a set of equal upstreams.
+// Service is a set of equivalent upstreams.
 type Service struct {
 	Name string
-	// MaxConns is how many connections one upstream takes from all callers together.
+	// MaxConns is the number of connections that one upstream accepts from all callers together.
 	MaxConns int
-	// ColdPerSecond is how many requests a second a cold upstream bears; 0 means no bound.
+	// ColdPerSecond is the number of requests per second that a cold upstream can take; 0 means no
+	// limit.
 	ColdPerSecond float64
-	// Engine says that the upstreams are model engines with a prefix cache.
+	// Engine is set if the upstreams are model engines with a prefix cache.
 	Engine bool
 }
 
@@ -94,11 +95,11 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority is the account's urgency, 0 the highest; nil leaves it to the route.
+	// Priority overrides the priority of the route; nil doesn't.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits are the maximum sizes of a caller's request.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -110,12 +111,12 @@
 	Services map[string]*Service
 	Limits   Limits
 
-	// byHost leads from a host to its routes by prefix.
+	// byHost maps a host to its routes by prefix.
 	byHost map[string]map[string]*Route
 	byKey  map[string]*Account
 }
 
-// New makes a table. It takes the ownership of its arguments.
+// New returns a table. It takes ownership of its arguments.
 func New(version uint64, routes []Route, services []Service, accounts []Account, limits Limits) (*Table, error) {
 	t := &Table{
 		Version: version, Limits: limits,
@@ -127,10 +128,10 @@
 	}
 	for i := range routes {
 		r := &routes[i]
-		if err := check(r); err != nil {
+		if err := validate(r); err != nil {
 			return nil, fmt.Errorf("route %q: %w", r.Name, err)
 		}
-		host := canonical(r.Host)
+		host := canonicalHost(r.Host)
 		if t.byHost[host] == nil {
 			t.byHost[host] = make(map[string]*Route)
 		}
@@ -147,7 +148,7 @@
 	return t, nil
 }
 
-func check(r *Route) error {
+func validate(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fmt.Errorf("%q: %w", r.Prefix, ErrPrefix)
 	}
@@ -160,17 +161,17 @@
 	return nil
 }
 
-// canonical returns a host without its port, in lower case.
-func canonical(host string) string {
+// canonicalHost returns the host in lower case without its port.
+func canonicalHost(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
 	return strings.ToLower(host)
 }
 
-// Match returns the route with the longest prefix that begins path, or nil.
+// Match returns the route of the host with the longest prefix of path; nil if there is none.
 func (t *Table) Match(host, path string) *Route {
-	routes := t.byHost[canonical(host)]
+	routes := t.byHost[canonicalHost(host)]
 	for end := len(path); end > 0; end-- {
 		if path[end-1] != '/' {
 			continue
@@ -182,8 +183,8 @@
 	return nil
 }
 
-// Keyed reports whether requests need a key, unless their route is public.
+// RequiresKey reports whether requests need a key on routes that aren't public.
 func (t *Table) RequiresKey() bool { return t.byKey != nil }
 
-// Account returns the account that holds the key, or nil.
+// Account returns the account with the key; nil if there is none.
 func (t *Table) Account(key string) *Account { return t.byKey[key] }
--- a/pkg/sageroute/table_test.go
+++ b/pkg/sageroute/table_test.go
@@ -11,7 +11,7 @@
 	return Route{Name: name, Host: "Chat.example", Prefix: prefix, Kind: Idempotent, Services: []WeightedService{{Service: "s", Weight: 1}}}
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	tab, err := New(3, []Route{route("short", "/a/"), route("long", "/a/b/"), route("all", "/")}, nil, nil, Limits{})
 	require.NoError(t, err)
 	for _, c := range []struct{ host, path, want string }{
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestNewRefuses(t *testing.T) {
+func TestNewErrors(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Route)
 		want   error
@@ -53,12 +53,12 @@
 	require.True(t, tab.RequiresKey())
 	require.Equal(t, "a", tab.Account("k2").Name)
 	require.Nil(t, tab.Account(""))
-	open, err := New(1, nil, nil, nil, Limits{})
+	noKeys, err := New(1, nil, nil, nil, Limits{})
 	require.NoError(t, err)
-	require.False(t, open.RequiresKey())
+	require.False(t, noKeys.RequiresKey())
 }
 
-func TestPickFollowsWeights(t *testing.T) {
+func TestPickServiceByWeight(t *testing.T) {
 	r := Route{Services: []WeightedService{{"a", 90}, {"b", 10}, {"c", 0}}}
 	for _, c := range []struct {
 		draw float64
