--- a/pkg/sagelocate/answer.go
+++ b/pkg/sagelocate/answer.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadAnswer reports an answer that a caller can't use.
+// ErrBadAnswer is the error of an answer that can't be used.
 var ErrBadAnswer = errors.New("malformed locate answer")
 
-// Answer names the addresses to try, in order, until ValidUntil.
+// Answer lists the addresses to try, in this order, until ValidUntil.
 type Answer struct {
 	Addresses  []string  `json:"addresses"`
 	ValidUntil time.Time `json:"valid_until"`
@@ -19,7 +19,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Check reports an answer without addresses or deadline, wrapped around [ErrBadAnswer].
+// Check returns an error that wraps [ErrBadAnswer] if the answer has no addresses or no deadline.
 func (a *Answer) Check() error {
 	if len(a.Addresses) == 0 {
 		return fmt.Errorf("no addresses: %w", ErrBadAnswer)
--- a/pkg/sagelocate/rank.go
+++ b/pkg/sagelocate/rank.go
@@ -6,48 +6,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VM is a live VM that may be named.
+// VM is a live VM that callers may connect to.
 type VM struct {
 	Address    string
 	DataCentre string
-	// Load is its number of requests in flight, as a hint that lags.
+	// Load is its number of requests in flight. It may be out of date.
 	Load uint32
-	// Suspect says that it may be dead.
+	// Suspect is set if the VM may have failed.
 	Suspect bool
 }
 
-// Query says who asks.
+// Query describes the caller.
 type Query struct {
 	Account string
 	Chat    string
-	// DataCentre is where the caller is, when it says so. It is not taken from the VM that happens
-	// to be asked: asking another VM must not move the chat.
+	// DataCentre is the caller's data centre if the caller names it. The data centre of the VM that
+	// handles the query isn't used instead, since a query to another VM must not move the chat.
 	DataCentre string
 }
 
-// Ranker orders VMs. Its fields are set before first use; it keeps no state.
+// Ranker ranks VMs. Its fields must be set before first use; it has no other state.
 type Ranker struct {
-	// Slots is how many VMs of a data centre an account is spread over, at most.
+	// Slots is the number of slots of an account, and with it the maximum number of VMs of a data
+	// centre that its chats are spread over.
 	Slots int
-	// Count is how many addresses an answer names, at most.
+	// Count is the maximum number of addresses in an answer.
 	Count int
-	// Bound is the multiple of the mean load above which a VM goes behind the others; 0 means none.
+	// LoadBound is the multiple of the mean load above which a VM is tried after the others; 0 means
+	// no bound.
 	LoadBound float64
-	// Floor is a load up to which the bound doesn't apply: a mean of almost nothing says nothing.
+	// LoadFloor is the load up to which the bound doesn't apply, since multiples of a very small mean
+	// are meaningless.
 	LoadFloor uint32
 }
 
-// DefaultRanker returns the values used when the settings name none.
+// DefaultRanker returns the ranker that is used unless the settings say otherwise.
 func DefaultRanker() Ranker { return Ranker{Slots: 8, Count: 3, LoadBound: 1.5, LoadFloor: 16} }
 
-// hashed is a VM with the hash of its address.
-type hashed struct {
+// hashedVM is a VM with the hash of its address.
+type hashedVM struct {
 	vm   *VM
 	hash uint64
 }
 
-// Rank returns addresses of vms in the order in which the caller should try them. The last of them
-// is in another data centre, where there is one, for the case that the near one is lost.
+// Rank returns addresses of vms in the order in which the caller should try them. The last one is in
+// another data centre if possible, in case the whole near data centre is lost.
 func (r Ranker) Rank(q Query, vms []VM) []string {
 	near, far, rest := r.split(q, vms)
 	nearCount := r.Count
@@ -55,23 +58,23 @@
 		nearCount--
 	}
 	slots := uint64(max(1, r.Slots))
-	first := hashText(q.Account, q.Chat) % slots
+	first := chatHash(q.Account, q.Chat) % slots
 	var list []string
-	list = fill(list, nearCount, q.Account, first, slots, near)
-	list = fill(list, r.Count, q.Account, first, slots, far)
-	list = fill(list, r.Count, q.Account, first, slots, near)
-	return fill(list, r.Count, q.Account, first, slots, rest)
+	list = appendWinners(list, nearCount, q.Account, first, slots, near)
+	list = appendWinners(list, r.Count, q.Account, first, slots, far)
+	list = appendWinners(list, r.Count, q.Account, first, slots, near)
+	return appendWinners(list, r.Count, q.Account, first, slots, rest)
 }
 
-// split returns the VMs near the caller, those elsewhere, and those that should only be tried when
-// nothing else is left: suspected or loaded above the bound.
-func (r Ranker) split(q Query, vms []VM) (near, far, rest []hashed) {
-	limit := r.limit(vms)
-	near = make([]hashed, 0, len(vms))
-	far = make([]hashed, 0, len(vms))
+// split returns the VMs in the caller's data centre, those elsewhere, and those that are suspect or
+// loaded above the bound and should only be tried if no others are left.
+func (r Ranker) split(q Query, vms []VM) (near, far, rest []hashedVM) {
+	limit := r.loadLimit(vms)
+	near = make([]hashedVM, 0, len(vms))
+	far = make([]hashedVM, 0, len(vms))
 	for i := range vms {
 		v := &vms[i]
-		h := hashed{vm: v, hash: xxhash.Sum64String(v.Address)}
+		h := hashedVM{vm: v, hash: xxhash.Sum64String(v.Address)}
 		switch {
 		case v.Suspect || float64(v.Load) > limit:
 			rest = append(rest, h)
@@ -84,8 +87,8 @@
 	return near, far, rest
 }
 
-// limit returns the greatest load with which a VM keeps its place.
-func (r Ranker) limit(vms []VM) float64 {
+// loadLimit returns the maximum load of a VM that isn't moved behind the others.
+func (r Ranker) loadLimit(vms []VM) float64 {
 	sum := 0.0
 	for _, v := range vms {
 		sum += float64(v.Load)
@@ -97,16 +100,16 @@
 	return max(float64(r.LoadFloor), r.LoadBound*sum/float64(len(vms)))
 }
 
-// fill appends the winners of the account's slots, from the chat's own slot on, until the list holds
-// count addresses.
-func fill(list []string, count int, account string, first, slots uint64, vms []hashed) []string {
+// appendWinners appends the winners of the account's slots, beginning with slot first, until the list
+// holds count addresses.
+func appendWinners(list []string, count int, account string, first, slots uint64, vms []hashedVM) []string {
 	for i := uint64(0); i < slots && len(list) < count && len(vms) > 0; i++ {
-		list = appendNew(list, winner(slotHash(account, (first+i)%slots), vms))
+		list = appendUnique(list, winner(slotHash(account, (first+i)%slots), vms))
 	}
 	return list
 }
 
-func appendNew(list []string, address string) []string {
+func appendUnique(list []string, address string) []string {
 	for _, a := range list {
 		if a == address {
 			return list
@@ -115,9 +118,9 @@
 	return append(list, address)
 }
 
-// winner returns the VM with the highest score for a slot. Each slot decides by itself, so that a
-// VM that departs or arrives changes no slot but its own.
-func winner(slot uint64, vms []hashed) string {
+// winner returns the VM with the highest score for a slot. Slots are independent of each other, so
+// that a VM that departs or arrives changes only its own slots.
+func winner(slot uint64, vms []hashedVM) string {
 	best, score := "", uint64(0)
 	for i := range vms {
 		s := mix(slot ^ vms[i].hash)
@@ -148,7 +151,7 @@
 	return d.Sum64()
 }
 
-func hashText(account, chat string) uint64 {
+func chatHash(account, chat string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(account)
--- a/pkg/sagelocate/rank_test.go
+++ b/pkg/sagelocate/rank_test.go
@@ -18,29 +18,29 @@
 	return vms
 }
 
-// A VM is replaced, and millions of chats elsewhere lose their warm caches as well. Cause: the
-// account's subset was drawn anew over the VMs that were left.
+// If the account's subset were drawn again from the remaining VMs when one departs, chats of all
+// other VMs would lose their warm caches as well.
 func TestOnlyChatsOfTheDepartedVMMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := sagelocate.Ranker{Slots: rapid.IntRange(1, 12).Draw(t, "slots"), Count: 3}
 		vms := vmsOf(rapid.IntRange(2, 60).Draw(t, "vms"), rapid.IntRange(1, 4).Draw(t, "dcs"))
-		gone := rapid.IntRange(0, len(vms)-1).Draw(t, "gone")
-		left := append(append([]sagelocate.VM(nil), vms[:gone]...), vms[gone+1:]...)
+		departed := rapid.IntRange(0, len(vms)-1).Draw(t, "gone")
+		remaining := append(append([]sagelocate.VM(nil), vms[:departed]...), vms[departed+1:]...)
 		q := sagelocate.Query{Account: rapid.StringMatching("[a-z]{1,6}").Draw(t, "account")}
 		if rapid.Bool().Draw(t, "near") {
 			q.DataCentre = "dc0"
 		}
 		for c := range 50 {
 			q.Chat = fmt.Sprint(c)
-			before, after := r.Rank(q, vms)[0], r.Rank(q, left)[0]
-			if before != after && before != vms[gone].Address {
-				t.Fatalf("chat %d moved from %s to %s, but %s departed", c, before, after, vms[gone].Address)
+			before, after := r.Rank(q, vms)[0], r.Rank(q, remaining)[0]
+			if before != after && before != vms[departed].Address {
+				t.Fatalf("chat %d moved from %s to %s, but %s departed", c, before, after, vms[departed].Address)
 			}
 		}
 	})
 }
 
-// An account that breaks what it touches must not reach every VM.
+// An account whose requests crash VMs must not reach all VMs.
 func TestAccountStaysWithinItsSlots(t *testing.T) {
 	r, vms := sagelocate.DefaultRanker(), vmsOf(45, 1)
 	for a := range 50 {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestNearFirstAndOneElsewhere(t *testing.T) {
+func TestNearVMsFirstAndOneRemote(t *testing.T) {
 	r, vms := sagelocate.DefaultRanker(), vmsOf(12, 3)
 	dcOf := make(map[string]string)
 	for _, v := range vms {
@@ -72,8 +72,9 @@
 	require.Equal(t, []string{vms[0].Address}, r.Rank(sagelocate.Query{Account: "a"}, vms[:1]))
 }
 
-// A few accounts surge and their VMs drown while others idle. Cause: hashing alone has no bound.
-func TestLoadedAndSuspectedGoLast(t *testing.T) {
+// Hashing alone has no load bound: a surge of a few accounts would overload their VMs while others
+// are idle.
+func TestOverloadedAndSuspectVMsAreLast(t *testing.T) {
 	r, vms := sagelocate.DefaultRanker(), vmsOf(8, 1)
 	q := sagelocate.Query{Account: "a", Chat: "c"}
 	first := r.Rank(q, vms)[0]
@@ -93,10 +94,10 @@
 	for i := range vms {
 		vms[i].Suspect = true
 	}
-	require.Len(t, r.Rank(q, vms), 3, "better a suspect than nobody")
+	require.Len(t, r.Rank(q, vms), 3, "suspect VMs are listed if there are no others")
 }
 
-func TestAnswerChecksItself(t *testing.T) {
+func TestDecodeAnswer(t *testing.T) {
 	a, err := sagelocate.DecodeAnswer([]byte(`{"addresses":["10.0.0.1:80"],"valid_until":"2027-01-01T00:00:00Z","revision":4}`))
 	require.NoError(t, err)
 	require.EqualValues(t, 4, a.Revision)
