--- a/internal/sageconn/conn.go
+++ b/internal/sageconn/conn.go
@@ -7,19 +7,20 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed is what a write on a sealed connection returns.
-var errSealed = errors.New("connection sealed: the request was given up before its first byte")
+// errSealed is the error of a write on a sealed connection.
+var errSealed = errors.New("connection sealed: request cancelled before its first byte was written")
 
-// Conn is a connection that knows whether a request may have left through it.
+// Conn is a connection that records whether any byte of a request may have been written to it.
 //
-// It guards against calling a request "not run" that was sent after all: when an attempt is given
-// up, the transport's own goroutine may be just about to write. The write and the question "was
-// anything written?" exclude each other by mu, and a no seals the connection, so that the answer
-// stays true.
+// When an attempt is cancelled, a goroutine of the transport may be about to write the request. The
+// mutex serializes that write with the check whether anything was written. If nothing was, the check
+// seals the connection, so that a request that is reported as not executed can't be written
+// afterwards.
 type Conn struct {
 	net.Conn
-	// boot is the boot of the upstream that the connection leads to, if the dialer found out.
-	boot string
+	// bootID identifies the start of the upstream that the connection leads to; empty if the dialer
+	// doesn't know it.
+	bootID string
 
 	mu     sync.Mutex
 	use    uint64
@@ -39,22 +40,22 @@
 	return c.Conn.Write(b)
 }
 
-// BootIdentifier is a connection that knows which boot of an upstream it leads to.
+// BootIdentifier is implemented by connections that know which start of an upstream they lead to.
 type BootIdentifier interface {
 	BootID() string
 }
 
-// Wrap returns c as a connection that a [Tracker] can follow.
+// Wrap returns c as a connection that a [Tracker] can observe.
 func Wrap(c net.Conn) *Conn {
 	w := &Conn{Conn: c}
 	if b, ok := c.(BootIdentifier); ok {
-		w.boot = b.BootID()
+		w.bootID = b.BootID()
 	}
 	return w
 }
 
-// begin starts a use of the connection by one request and returns its number.
-func (c *Conn) begin() uint64 {
+// beginUse begins the use of the connection by another request and returns the number of the use.
+func (c *Conn) beginUse() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.use++
@@ -62,7 +63,7 @@
 	return c.use
 }
 
-// seal reports whether nothing was written in the given use, and if so forbids every later write.
+// seal reports whether nothing was written in the given use. If so, it forbids all later writes.
 func (c *Conn) seal(use uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +75,7 @@
 	return true
 }
 
-// closeUse ends the connection unless a later request uses it by now.
+// closeUse closes the connection unless a later request uses it already.
 func (c *Conn) closeUse(use uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sageconn/conn_test.go
+++ b/internal/sageconn/conn_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A booking is called not run and yet booked: the attempt is given up while the transport is about
-// to write the request, and the write happens after the refusal was told.
-func TestSealedConnectionWritesNothingMore(t *testing.T) {
+// An attempt is cancelled while the transport is about to write the request. If the write were still
+// possible after the caller has been told that the booking was not executed, the booking could be
+// made nevertheless.
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	a, b := net.Pipe()
 	defer func() { _ = b.Close() }()
 	c := &Conn{Conn: a}
-	use := c.begin()
+	use := c.beginUse()
 	require.True(t, c.seal(use))
 	_, err := c.Write([]byte("POST"))
 	require.ErrorIs(t, err, errSealed)
@@ -22,12 +23,12 @@
 	d, e := net.Pipe()
 	defer func() { _ = e.Close() }()
 	c = &Conn{Conn: d}
-	use = c.begin()
+	use = c.beginUse()
 	go func() { _, _ = io.Copy(io.Discard, e) }()
 	_, err = c.Write([]byte("P"))
 	require.NoError(t, err)
 	require.False(t, c.seal(use), "one byte was written")
-	next := c.begin()
+	next := c.beginUse()
 	c.closeUse(use)
 	_, err = c.Write([]byte("POST"))
 	require.NoError(t, err, "a later request's connection stays open")
--- a/internal/sageconn/doc.go
+++ b/internal/sageconn/doc.go
@@ -1,8 +1,8 @@
-// Package sageconn tells for each HTTP round trip whether anything of its request may have left.
+// Package sageconn determines whether any byte of an HTTP request may have been sent.
 //
-// [Wrap] puts a [Conn] around every connection that a transport dials, and a [Tracker] follows one
-// round trip by its httptrace hook. [Tracker.Seal] answers "was nothing sent?" once and for all: a
-// yes forbids every later write of that use, so a refusal built on it stays true.
+// [Wrap] wraps the connections that a transport dials. A [Tracker] observes one round trip by its
+// httptrace hook. If [Tracker.Seal] reports that nothing was sent, it forbids every later write of that
+// round trip, so that the caller can safely be told that the request was not executed.
 //
 // # Usage
 //
@@ -13,6 +13,6 @@
 //		}
 //		return sageconn.Wrap(c), nil
 //	}}
-//	sent := new(sageconn.Tracker)
-//	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: sent.Got})
+//	tracker := new(sageconn.Tracker)
+//	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: tracker.GotConn})
 package sageconn
--- a/internal/sageconn/tracker.go
+++ b/internal/sageconn/tracker.go
@@ -5,30 +5,30 @@
 	"sync"
 )
 
-// Tracker remembers the connection of one round trip.
+// Tracker observes the connection of one round trip.
 type Tracker struct {
-	// BootID is the boot of the upstream that the round trip is for; empty means any.
+	// BootID identifies the start of the upstream that the request is for; empty means any.
 	BootID string
 
-	mu  sync.Mutex
-	c   *Conn
-	use uint64
+	mu      sync.Mutex
+	current *Conn
+	use     uint64
 }
 
-// Got is the GotConn hook of the round trip.
+// GotConn is the httptrace hook of the round trip.
 func (t *Tracker) GotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*Conn)
 	if !ok {
 		return
 	}
-	use := c.begin()
+	use := c.beginUse()
 	t.mu.Lock()
-	t.c, t.use = c, use
+	t.current, t.use = c, use
 	t.mu.Unlock()
 	// The upstream may have restarted since the request got its unit of the allotment, and the
-	// connection lead to the cold successor. Sealed, it carries nothing, and the request counts as
-	// not run.
-	if t.BootID != "" && c.boot != "" && c.boot != t.BootID {
+	// connection may lead to its cold successor. Sealed, the connection carries nothing, and the
+	// request counts as not executed.
+	if t.BootID != "" && c.bootID != "" && c.bootID != t.BootID {
 		c.seal(use)
 	}
 }
@@ -36,7 +36,7 @@
 func (t *Tracker) conn() (*Conn, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.c, t.use
+	return t.current, t.use
 }
 
 // Connected reports whether the round trip got a connection.
@@ -45,14 +45,14 @@
 	return c != nil
 }
 
-// Seal reports whether nothing was sent, for good.
+// Seal reports whether nothing was sent. If so, nothing will be sent later either.
 func (t *Tracker) Seal() bool {
 	c, use := t.conn()
 	return c == nil || c.seal(use)
 }
 
-// Close ends the connection, so that nothing that is still on its way can be taken for the answer
-// of a later request.
+// Close closes the connection, so that a late response can't be taken for the response to a later
+// request.
 func (t *Tracker) Close() {
 	if c, use := t.conn(); c != nil {
 		c.closeUse(use)
