--- a/internal/sageheader/header.go
+++ b/internal/sageheader/header.go
@@ -1,4 +1,4 @@
-// Package sageheader passes HTTP headers on as an intermediary has to.
+// Package sageheader forwards HTTP headers as RFC 9110 requires of intermediaries.
 //
 // # Usage
 //
@@ -12,7 +12,8 @@
 	"strings"
 )
 
-// hopByHop concern one connection only (RFC 9110, section 7.6.1), or are set anew for each.
+// hopByHop lists the headers that apply to a single connection (RFC 9110, section 7.6.1) or are
+// generated for each request.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
@@ -28,7 +29,8 @@
 	}
 }
 
-// EndToEnd returns a copy of the end-to-end headers, without those that src names as its connection's.
+// EndToEnd returns a copy of the end-to-end headers of src. It omits headers that are named in
+// Connection.
 func EndToEnd(src http.Header) http.Header {
 	out := make(http.Header, len(src)+6)
 	Copy(out, src)
@@ -40,7 +42,7 @@
 	return out
 }
 
-// IsEventStream reports whether a response is a stream of server-sent events.
+// IsEventStream reports whether a response is a successful stream of server-sent events.
 func IsEventStream(res *http.Response) bool {
 	t, _, err := mime.ParseMediaType(res.Header.Get("Content-Type"))
 	return err == nil && t == "text/event-stream" && res.StatusCode == http.StatusOK
--- a/internal/sageheader/header_test.go
+++ b/internal/sageheader/header_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller hides a header from the router and shows it to the upstream by naming it in Connection.
-func TestEndToEndDropsWhatIsOfTheConnection(t *testing.T) {
+// A caller must not be able to send a header past the router to the upstream by naming it in
+// Connection.
+func TestEndToEndDropsConnectionHeaders(t *testing.T) {
 	src := http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "X-Other": {"2"}, "Te": {"trailers"}, "Content-Length": {"7"},
 	}
