--- a/internal/sagesse/doc.go
+++ b/internal/sagesse/doc.go
@@ -1,8 +1,8 @@
-// Package sagesse reads server-sent events so that half an event is never passed on.
+// Package sagesse reads server-sent events and returns complete events only.
 //
 // # Usage
 //
-//	r := &sagesse.Reader{R: bufio.NewReader(res.Body), Max: 1 << 20}
+//	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: 1 << 20}
 //	for {
 //		e, err := r.Next()
 //		if err != nil {
@@ -11,6 +11,6 @@
 //		w.Write(e.Raw)
 //	}
 //
-// The end of the input comes as io.ErrUnexpectedEOF, also between two events: whether a stream may
-// end there is known to the reader's caller, which knows the framing of the body.
+// The end of the input is reported as io.ErrUnexpectedEOF, also between two events. Only the caller,
+// which knows the framing of the body, can tell whether the stream may end there.
 package sagesse
--- a/internal/sagesse/event.go
+++ b/internal/sagesse/event.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a stream of events.
+// Errors of [Reader.Next].
 var (
 	ErrTooLarge  = errors.New("event too large")
 	ErrMalformed = errors.New("malformed event")
@@ -18,36 +18,36 @@
 
 // Event is one server-sent event.
 type Event struct {
-	// Raw is the event as it came, with its closing blank line.
+	// Raw is the unchanged text of the event, including the blank line at its end.
 	Raw []byte
-	// Position is the event's id; 0 if it has none.
+	// ID is the event's numeric ID; 0 if it has none.
 	ID   uint64
 	Type string
 	Data []byte
 }
 
-// Idle reports an event that carries nothing of the answer, as keep-alives do.
+// IsKeepAlive reports whether the event carries no part of the response.
 func (e *Event) IsKeepAlive() bool { return e.Data == nil && e.Type == "" && e.ID == 0 }
 
-// Reader splits a stream into events. An event counts only once its blank line has come, so a
-// cut stream never yields half an event.
+// Reader splits a stream into events. It returns an event only after the blank line at its end, so
+// that a truncated stream never yields a partial event.
 type Reader struct {
 	R *bufio.Reader
-	// Max is the greatest event in bytes.
+	// MaxEventBytes is the maximum size of an event.
 	MaxEventBytes int
 
-	ended bool
+	cleanEOF bool
 }
 
-// Ended reports, after an error of [Reader.Next], that the input ended regularly and between two
-// events. Whether a stream may end there is for the caller to know.
-func (r *Reader) CleanEOF() bool { return r.ended }
+// CleanEOF reports, after an error of [Reader.Next], whether the input ended without a read error
+// between two events. Whether a stream may end there is up to the caller.
+func (r *Reader) CleanEOF() bool { return r.cleanEOF }
 
 // Next returns the next event.
 func (r *Reader) Next() (*Event, error) {
 	e := new(Event)
 	for {
-		line, err := r.line(len(e.Raw))
+		line, err := r.readLine(len(e.Raw))
 		if err != nil {
 			return nil, err
 		}
@@ -60,14 +60,14 @@
 			}
 			return e, nil
 		}
-		if err := e.field(line); err != nil {
+		if err := e.parseField(line); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// line reads up to and with the next newline, of an event that has used bytes so far.
-func (r *Reader) line(used int) ([]byte, error) {
+// readLine reads a line including its newline; used is the size of the event so far.
+func (r *Reader) readLine(used int) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := r.R.ReadSlice('\n')
@@ -79,7 +79,7 @@
 			return line, nil
 		}
 		if err == io.EOF {
-			r.ended = used+len(line) == 0
+			r.cleanEOF = used+len(line) == 0
 			return nil, io.ErrUnexpectedEOF
 		}
 		if err != bufio.ErrBufferFull {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (e *Event) field(line []byte) error {
+func (e *Event) parseField(line []byte) error {
 	if line[0] == ':' {
 		return nil
 	}
--- a/internal/sagesse/event_test.go
+++ b/internal/sagesse/event_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller would take a cut answer for a whole one if the end of the input after a whole event and
-// one inside an event, or a broken connection, looked alike.
-func TestEndedTellsAnEndFromABreak(t *testing.T) {
+// The end of the input after a complete event must differ from an end inside an event and from a
+// broken connection. Otherwise a caller would take a truncated response for a complete one.
+func TestCleanEOFOnlyAfterCompleteEvent(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		in    io.Reader
@@ -23,8 +23,8 @@
 		{"after an event", strings.NewReader("id: 1\ndata: a\n\n"), true},
 		{"inside an event", strings.NewReader("id: 1\ndata: a\n"), false},
 		{"inside a line", strings.NewReader("id: 1\nda"), false},
-		{"broken", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(io.ErrUnexpectedEOF)), false},
-		{"reset", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(errors.New("reset"))), false},
+		{"unexpected EOF", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(io.ErrUnexpectedEOF)), false},
+		{"connection reset", io.MultiReader(strings.NewReader("id: 1\n\n"), iotest.ErrReader(errors.New("reset"))), false},
 	} {
 		r := &Reader{R: bufio.NewReader(c.in), MaxEventBytes: 64}
 		var err error
@@ -40,7 +40,7 @@
 	f.Add([]byte(": c\n\nid: 0\n\nid: x\r\ndata: a\ndata\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := &Reader{R: bufio.NewReaderSize(bytes.NewReader(b), 16), MaxEventBytes: 64}
-		var passed []byte
+		var events []byte
 		for {
 			e, err := r.Next()
 			if err != nil {
@@ -49,10 +49,10 @@
 			if len(e.Raw) > 64 {
 				t.Fatalf("event of %d bytes", len(e.Raw))
 			}
-			passed = append(passed, e.Raw...)
+			events = append(events, e.Raw...)
 		}
-		if !bytes.Contains(stripBlank(b), stripBlank(passed)) {
-			t.Fatalf("passed %q of %q", passed, b)
+		if !bytes.Contains(stripBlank(b), stripBlank(events)) {
+			t.Fatalf("passed %q of %q", events, b)
 		}
 	})
 }
