--- a/internal/sagerelay/exchange.go
+++ b/internal/sagerelay/exchange.go
@@ -28,8 +28,8 @@
 	// minStallTimeout is the lower limit of first-byte and stall timeouts. It is four times the usual
 	// response time of a plain service, so that a slow response isn't taken for a lost one.
 	minStallTimeout = 200 * time.Millisecond
-	// prefillFactor multiplies the prefill time of an idle engine in the first-byte timeout. The
-	// engine may prefill one or two other prompts first; the factor is an estimate.
+	// prefillFactor multiplies the prefill time of an idle engine in the first-byte timeout, since
+	// the engine may prefill one or two other prompts first.
 	prefillFactor = 2.75
 )
 
--- a/internal/sagerelay/relay_test.go
+++ b/internal/sagerelay/relay_test.go
@@ -59,12 +59,12 @@
 
 func TestRefusals(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		change func(fleet *fakeFleet)
-		header map[string]string
-		body   string
-		status int
-		back   string
+		name       string
+		change     func(fleet *fakeFleet)
+		header     map[string]string
+		body       string
+		status     int
+		retryAfter string
 	}{
 		{"no configuration yet", func(fleet *fakeFleet) { fleet.table = nil }, nil, "", 503, "0.3"},
 		// The key may have been revoked while this node can't reach the store.
@@ -81,7 +81,7 @@
 				tt.change(fleet)
 				out := fleet.call(t.Context(), tt.header, tt.body)
 				require.Equal(t, tt.status, out.Code)
-				require.Equal(t, tt.back, out.Header().Get("Retry-After"))
+				require.Equal(t, tt.retryAfter, out.Header().Get("Retry-After"))
 				require.Empty(t, fleet.sent)
 			})
 		})
--- a/internal/sagerelay/transport.go
+++ b/internal/sagerelay/transport.go
@@ -74,7 +74,7 @@
 // forRequest returns the transport for a request.
 //
 // A request that must be executed at most once gets a new connection. If the upstream closes a reused
-// connection just then, it is unknown whether it has read the request.
+// connection at that moment, it is unknown whether it has read the request.
 func (t *upstreamTransports) forRequest(repeatable bool) *http.Transport {
 	t.once.Do(t.init)
 	if repeatable {
--- a/pkg/sageretry/policy_test.go
+++ b/pkg/sageretry/policy_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestRetryDenied(t *testing.T) {
+func TestRetryConditions(t *testing.T) {
 	ok := Attempt{Idempotent: true, Tried: []string{"a"}, Untried: 1, Deadline: start.Add(time.Minute)}
 	for _, c := range []struct {
 		name   string
--- a/pkg/sageupstream/registry.go
+++ b/pkg/sageupstream/registry.go
@@ -141,9 +141,9 @@
 //
 // The leases of all upstreams lapse together during an outage. Without the grace period callers would
 // be refused until the upstreams have registered again. Lapsed entries are renewed within two seconds
-// of the store's return, so the grace period starts then, however late the deletion arrives. A node
-// that alone was cut off from the store would otherwise keep upstreams that left meanwhile for too
-// long.
+// of the store's return, so the grace period starts then, however late the deletion arrives. If only
+// this node was cut off, upstreams that leave did not lapse, and a later start of the grace period would
+// keep them in use for too long.
 func (r *Registry) Delete(now sageclock.Instant, id string) {
 	e, ok := r.entries[id]
 	if !ok {
--- a/pkg/sageupstream/registry_test.go
+++ b/pkg/sageupstream/registry_test.go
@@ -41,9 +41,9 @@
 	require.Equal(t, []string{"a"}, ids(r.Snapshot()), "b was not renewed")
 }
 
-// An engine that has left must not get requests for another two seconds because its deletion is taken
-// for a lapse although there was no outage.
-func TestDeletionWithoutOutageIsImmediate(t *testing.T) {
+// An engine that leaves some time after an outage must not get further requests because its deletion is
+// taken for a lapse.
+func TestDeletionAfterLapseWindowIsImmediate(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
 	r.StoreUnreachable()
@@ -128,8 +128,7 @@
 	require.Equal(t, []string{"c"}, r.TakeStopped(at(9000)))
 }
 
-// A node alone was cut off from the store and has been back for more than a second when an upstream
-// leaves. If the grace period started with the deletion, the upstream would get requests for two more
+// Only this node was cut off from the store. More than a second after its return an upstream leaves. If the grace period started with the deletion, the upstream would get requests for two more
 // seconds, 41 ms longer than is allowed for a leaving one.
 func TestGraceStartsWithStoreReturn(t *testing.T) {
 	r := new(Registry)
