--- a/internal/sagerouter/await.go
+++ b/internal/sagerouter/await.go
@@ -8,23 +8,24 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// awaitPoll is how often a request that waits for the recall looks.
-const awaitPoll = 5 * time.Millisecond
+// cacheSyncPollInterval is how often a waiting request checks whether the cache resync is complete.
+const cacheSyncPollInterval = 5 * time.Millisecond
 
-// Await implements [sagerelay.Fleet].
+// AwaitCacheSync implements [sagerelay.Fleet].
 //
-// It guards against prompts that are read again after all nodes were stopped: the first requests come before the
-// engines have listed what they hold. A request waits for that at most as long as an engine needs to read its
-// shared parts, so that it loses no more than it may save, and only until the recall is over.
+// After a restart of the whole fleet, the first requests arrive before the engines have listed their cached prompt
+// parts. Sent immediately, they would be placed on engines that have to process the shared parts again. The wait
+// ends when the resync is complete or an engine is known to hold the chain, and takes at most the time in which an
+// engine processes the shared parts, so that waiting never costs more than a cache hit saves.
 func (f *fleet) AwaitCacheSync(ctx context.Context, service string, c sagechain.Chain) {
-	if f.recalled() || f.placer.HasHolder(sageclock.Now(), c) {
+	if f.cacheSynced() || f.placer.HasHolder(sageclock.Now(), c) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.PrefillTime(service, c.Shared().Tokens()))
 	defer cancel()
-	t := time.NewTicker(awaitPoll)
+	t := time.NewTicker(cacheSyncPollInterval)
 	defer t.Stop()
-	for !f.recalled() && !f.placer.HasHolder(sageclock.Now(), c) {
+	for !f.cacheSynced() && !f.placer.HasHolder(sageclock.Now(), c) {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/sagerouter/await_test.go
+++ b/internal/sagerouter/await_test.go
@@ -11,26 +11,26 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// All nodes were stopped at once, and the first requests after the start have every prompt read again that an engine
-// lists a moment later.
-func TestRequestsWaitForTheRecall(t *testing.T) {
-	const reading = time.Hour // whoever waits for it ends with the context only
-	long := sagechain.Chain{{ID: 1, Tokens: int(reading / startRead)}, {ID: 2, Tokens: 5}}
+// After a restart of all nodes, the first requests were placed before the engines had listed their cached parts,
+// and their prompts were processed again.
+func TestRequestsWaitForCacheResync(t *testing.T) {
+	const wait = time.Hour // longer than the context lives
+	long := sagechain.Chain{{ID: 1, Tokens: int(wait / initialPrefillPerToken)}, {ID: 2, Tokens: 5}}
 	for _, tt := range []struct {
-		name     string
-		chain    sagechain.Chain
-		recalled bool
-		listed   bool // an engine lists the chain meanwhile
-		waits    bool
+		name   string
+		chain  sagechain.Chain
+		synced bool
+		listed bool // an engine lists the chain during the wait
+		waits  bool
 	}{
-		{"nobody lists it", long, false, false, true},
-		{"an engine lists it", long, false, true, false},
-		{"the recall is over", long, true, false, false},
-		{"nothing is shared", long[1:], false, false, false},
+		{"no engine lists the chain", long, false, false, true},
+		{"an engine lists the chain", long, false, true, false},
+		{"the resync is complete", long, true, false, false},
+		{"the chain has no shared parts", long[1:], false, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleet(t, 2, 0)
-			f.recalled = func() bool { return tt.recalled }
+			f.cacheSynced = func() bool { return tt.synced }
 			if tt.listed {
 				time.AfterFunc(10*time.Millisecond, func() { f.placer.RecordListed(sageclock.Now(), "u1", []uint64{1}) })
 			}
--- a/internal/sagerouter/doc.go
+++ b/internal/sagerouter/doc.go
@@ -1,18 +1,17 @@
-// Package sagerouter is the daemon of a router whose configuration and upstreams live in a store
-// that others write.
+// Package sagerouter implements the router daemon for platforms whose configuration and upstreams are kept in an
+// external store.
 //
-// A [Node] follows three kinds of objects (configuration, upstreams, data centres that are out of
-// service), exchanges heartbeats with the other nodes, and relays requests. What the objects look
-// like is the [Decoder]'s matter and what is spoken with callers and upstreams the dialect's, so
-// that a platform's adapter supplies these two, a store and settings, and nothing else.
+// A [Node] keeps copies of the store's objects (configuration, upstreams, data centres that are out of service,
+// quarantines, rollout orders), exchanges heartbeats with the other nodes, and relays requests. A platform adapter
+// supplies a [Decoder] for the objects, a dialect for the protocol of callers and upstreams, a store and settings.
 //
-// Beside it, package sagenode is the daemon for a platform that offers plain named values, with
-// change tickets, claims and its own callers' interface.
+// Package sagenode is the daemon for platforms that offer plain named values, with change tickets, claims and an
+// interface for callers of its own.
 //
 // # Usage
 //
 //	n := &sagerouter.Node{Settings: cfg, Store: store, Kinds: kinds, Decoder: dec, Dialect: dialect, Log: log}
 //	if err := n.Open(); err != nil { ... }
-//	n.HandleReadiness(mux); n.Locate(...)
-//	err := n.Run(ctx) // until ctx ends, then a graceful stop
+//	n.Ready(); n.EntryAddresses(...) // for the readiness and directory handlers
+//	err := n.Run(ctx)                // until ctx ends, then a graceful stop
 package sagerouter
--- a/internal/sagerouter/fleet_test.go
+++ b/internal/sagerouter/fleet_test.go
@@ -17,7 +17,7 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// newFleet returns a fleet with upstreams u0 and on of service s, of which the first n are cold.
+// newFleet returns a fleet with upstreams u0, u1, ... of service s, the first ones of which are cold.
 func newFleet(t *testing.T, upstreams, cold int) *fleet {
 	t.Helper()
 	v := newView()
@@ -33,18 +33,19 @@
 	}
 	v.applyUpstreams(nil, false)
 	return &fleet{
-		view: v, keyProof: new(sagefresh.Proof), placer: v.placer, lag: func() time.Duration { return 0 },
-		known: func() []string { return []string{"vm1"} }, cold: sageshare.ColdLimiter{Self: "vm1"},
-		retries: sageshare.RetryLimiter{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
+		view: v, keyProof: new(sagefresh.Proof), placer: v.placer, countLag: func() time.Duration { return 0 },
+		knownNodes: func() []string { return []string{"vm1"} }, coldLimiter: sageshare.ColdLimiter{Self: "vm1"},
+		retryLimiter: sageshare.RetryLimiter{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	}
 }
 
-func chain(thing uint64) sagechain.Chain {
-	return sagechain.Chain{{ID: 1, Tokens: 500}, {ID: thing, Tokens: 9000}, {ID: thing + 1000, Tokens: 50}}
+func chain(prompt uint64) sagechain.Chain {
+	return sagechain.Chain{{ID: 1, Tokens: 500}, {ID: prompt, Tokens: 9000}, {ID: prompt + 1000, Tokens: 50}}
 }
 
-// A data centre's engines come back cold and get their old share at once, and fall over.
-func TestColdUpstreamsComeLastAndWithinTheirShare(t *testing.T) {
+// A data centre's engines came back with cold caches, received their full share of the load immediately, and were
+// overloaded.
+func TestColdUpstreamsAreUsedLastAndRateLimited(t *testing.T) {
 	f := newFleet(t, 3, 2)
 	for range 20 {
 		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7)})
@@ -58,17 +59,17 @@
 			p.Done()
 		}
 	}
-	require.Equal(t, 2, sent, "one for each cold upstream at a moment; the others are refused at once")
+	require.Equal(t, 2, sent, "one for each cold upstream; the others are refused without a wait")
 }
 
-// One engine resets connections; requests go on to it while others are idle, or all are refused
-// although one might work.
-func TestBrokenUpstreamsAreSecondChoice(t *testing.T) {
+// An engine resets connections. Requests must be sent to the idle others, but also to a broken upstream if no
+// other is left.
+func TestBrokenUpstreamsAreUsedOnlyWithoutAlternative(t *testing.T) {
 	f := newFleet(t, 3, 0)
-	f.RecordExchange(f.view.set.Load().Get("u0"), sagehealth.Broken)
-	f.RecordExchange(f.view.set.Load().Get("u1"), sagehealth.Broken)
-	for thing := range uint64(10) {
-		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(thing)})
+	f.RecordExchange(f.view.upstreams.Load().Get("u0"), sagehealth.Broken)
+	f.RecordExchange(f.view.upstreams.Load().Get("u1"), sagehealth.Broken)
+	for prompt := range uint64(10) {
+		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(prompt)})
 		require.Equal(t, "u2", p.Upstream.ID)
 		p.Done()
 	}
@@ -78,8 +79,8 @@
 	require.Nil(t, f.Pick(&sagerelay.Query{Service: "none"}))
 }
 
-// An application runner with six places gets every request, since all nodes see the same counts.
-func TestPlainRequestsSpread(t *testing.T) {
+// Nodes that all see the same counts must not all send to the same upstream.
+func TestRequestsWithoutChainAreBalanced(t *testing.T) {
 	f := newFleet(t, 4, 0)
 	got := make(map[string]int)
 	for range 40 {
@@ -90,8 +91,8 @@
 	}
 }
 
-// A spilled prompt is copied from the engine that holds it, also from one that is leaving.
-func TestPickNamesTheSourceToCopyFrom(t *testing.T) {
+// A prompt that is placed elsewhere than on its cache holder is copied from there.
+func TestPickReturnsCacheSource(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7)})
 	f.RecordPrompt(p.Upstream, chain(7))
@@ -99,27 +100,27 @@
 	require.Equal(t, p.Upstream.Address, other.CacheSource)
 	f.RecordMisdirected(p.Upstream)
 	again := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(7), Tried: []string{p.Upstream.ID}})
-	require.Empty(t, again.CacheSource, "another upstream has that address")
+	require.Empty(t, again.CacheSource, "another upstream has this address now")
 }
 
-// A key is trusted for as long as its removal could not have taken effect, and no longer.
-func TestFreshEndsBeforeTheBound(t *testing.T) {
+// A revoked key must be rejected within the bound, so the copy must stop counting as fresh before it.
+func TestFreshEndsBeforeKeyBound(t *testing.T) {
 	f := newFleet(t, 1, 0)
-	f.keyWithin.Store(int64(5 * time.Second))
-	require.False(t, f.Fresh(), "nothing proven")
+	f.keyMaxAge.Store(int64(5 * time.Second))
+	require.False(t, f.Fresh(), "no proof yet")
 	f.keyProof.RecordRead(sageclock.Now().Add(-4 * time.Second))
 	require.True(t, f.Fresh())
 	g := newFleet(t, 1, 0)
-	g.keyWithin.Store(int64(5 * time.Second))
+	g.keyMaxAge.Store(int64(5 * time.Second))
 	g.keyProof.RecordRead(sageclock.Now().Add(-4900 * time.Millisecond))
 	require.False(t, g.Fresh())
 }
 
 func BenchmarkPick(b *testing.B) {
 	f := newFleet(&testing.T{}, 64, 0)
-	for thing := range uint64(200) {
-		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(thing)})
-		f.RecordPrompt(p.Upstream, chain(thing))
+	for prompt := range uint64(200) {
+		p := f.Pick(&sagerelay.Query{Service: "s", Chain: chain(prompt)})
+		f.RecordPrompt(p.Upstream, chain(prompt))
 		p.Done()
 	}
 	b.ReportAllocs()
--- a/internal/sagerouter/gauges.go
+++ b/internal/sagerouter/gauges.go
@@ -9,10 +9,10 @@
 	"sagestand.example/sagestand/pkg/sagefresh"
 )
 
-// export adds the node's own metrics: how fresh its copies are, whom it knows, what it has in hand.
-func (n *Node) export() {
+// exportMetrics registers the node's own metrics.
+func (n *Node) exportMetrics() {
 	for kind, f := range n.copies {
-		n.metrics.NewGauge(`sagestand_copy_age_seconds{kind="`+kind+`"}`, func() float64 { return age(&f.Proof) })
+		n.metrics.NewGauge(`sagestand_copy_age_seconds{kind="`+kind+`"}`, func() float64 { return ageSeconds(&f.Proof) })
 		f.OnCall = n.countCalls(kind)
 	}
 	n.metrics.NewGauge("sagestand_config_version", func() float64 {
@@ -25,7 +25,7 @@
 	n.metrics.NewGauge("sagestand_peers_live", func() float64 { return float64(len(n.mesh.Live())) })
 	n.metrics.NewGauge(`sagestand_heartbeat_bytes_total{direction="out"}`, func() float64 { out, _ := n.mesh.Bytes(); return float64(out) })
 	n.metrics.NewGauge(`sagestand_heartbeat_bytes_total{direction="in"}`, func() float64 { _, in := n.mesh.Bytes(); return float64(in) })
-	n.metrics.NewGauge("sagestand_upstreams_known", func() float64 { return float64(n.view.set.Load().Len()) })
+	n.metrics.NewGauge("sagestand_upstreams_known", func() float64 { return float64(n.view.upstreams.Load().Len()) })
 	n.metrics.NewGauge("sagestand_ready", func() float64 {
 		if n.Ready() {
 			return 1
@@ -39,15 +39,15 @@
 	}
 }
 
-// countCalls returns what counts the calls to the store about one kind.
+// countCalls returns a function that counts the calls to the store for one kind of object.
 func (n *Node) countCalls(kind string) func(ok bool) {
 	return func(ok bool) {
 		n.metrics.GetOrCreateCounter(`sagestand_store_calls_total{kind="` + kind + `",ok="` + strconv.FormatBool(ok) + `"}`).Inc()
 	}
 }
 
-// age returns a proof's age in seconds, infinite if there is none.
-func age(p *sagefresh.Proof) float64 {
+// ageSeconds returns the age of a freshness proof, or +Inf if there is none.
+func ageSeconds(p *sagefresh.Proof) float64 {
 	d := p.Age(sageclock.Now())
 	if d == sagefresh.Unproven {
 		return math.Inf(1)
--- a/internal/sagerouter/locate.go
+++ b/internal/sagerouter/locate.go
@@ -1,17 +1,18 @@
 package sagerouter
 
-// enoughNear is how many nodes a data centre needs for its callers to be kept there: with three, the
-// loss of two still leaves one until the callers ask again.
-const enoughNear = 3
+// minLocalNodes is how many nodes a data centre needs for its callers to get only local addresses: with three, one
+// is still left if two are lost before the callers query the directory again.
+const minLocalNodes = 3
 
-// Locate returns the entry addresses that a caller of a data centre may use: those of its own data
-// centre if enough serve there, or else all. Requests and answers then cross data centres once less.
+// EntryAddresses returns the entry addresses for callers in a data centre: those of the same data centre if at
+// least three nodes serve there, otherwise all. Local addresses save each request and response a path between data
+// centres.
 func (n *Node) EntryAddresses(dataCentre string) []string {
-	var all, near []string
-	add := func(entry, at string) {
+	var all, local []string
+	add := func(entry, entryDataCentre string) {
 		all = append(all, entry)
-		if at == dataCentre {
-			near = append(near, entry)
+		if entryDataCentre == dataCentre {
+			local = append(local, entry)
 		}
 	}
 	if n.Ready() {
@@ -22,8 +23,8 @@
 			add(m.Entry, m.DataCentre)
 		}
 	}
-	if len(near) >= enoughNear {
-		return near
+	if len(local) >= minLocalNodes {
+		return local
 	}
 	return all
 }
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -30,89 +30,90 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// Times of a node.
+// Times and limits of a node.
 const (
-	// gatherUpstreams is how long changes of upstreams gather, well below the two seconds within which
-	// a leaving one must get nothing more.
-	gatherUpstreams = 150 * time.Millisecond
-	// firstListingWithin is the time over which the first listings of a new fleet spread: the first
-	// nodes' answers serve the others.
-	firstListingWithin = 2 * time.Second
-	// settleEvery is how often lapsed entries are looked through.
-	settleEvery = 100 * time.Millisecond
-	// DirectoryTTL is how long callers may keep a directory answer; some keep it three times as long.
+	// upstreamBatchDelay is how long changes of upstreams are batched. It is well below the two seconds after which a
+	// removed upstream must not receive requests.
+	upstreamBatchDelay = 150 * time.Millisecond
+	// firstListingSpread is the time over which the first store listings of a new fleet are spread. Nodes that come
+	// later get the content from the first ones instead of the store.
+	firstListingSpread = 2 * time.Second
+	// expiryInterval is how often lapsed upstream entries are expired.
+	expiryInterval = 100 * time.Millisecond
+	// DirectoryTTL is how long callers may cache a directory answer. Some cache it three times as long.
 	DirectoryTTL = time.Second
-	// keptTimes is how many times AnswerValid a leaving node goes on serving new connections.
-	keptTimes = 3
-	// stopMargin is what a process needs to end after its last request.
-	stopMargin = 700 * time.Millisecond
-	// headerWithin bounds how long a caller may take for its header, idleWithin how long it may keep
-	// an unused connection: longer than any idle time that callers are promised.
-	headerWithin = 5 * time.Second
-	idleWithin   = 10 * time.Minute
-	// headerBytes bounds a caller's header.
-	headerBytes = 32 << 10
-	// memoryShare is the part of the VM's memory at which the garbage collector works harder.
-	memoryShare = 0.6
-	// orderTimes is how many times as old as a rollout's own bound the copy of the orders may get: plans that take
-	// a version back come with heartbeats, and a version whose order is not known yet gets nothing.
-	orderTimes = 12
-	// bodyShare is the part of it that bodies of requests may take: what is left between usual use, a
-	// tenth, and memoryShare, halved for what reading and sending copy.
-	bodyShare = 0.25
+	// maxCachedTTLs is for how many DirectoryTTL a stopping node still accepts connections.
+	maxCachedTTLs = 3
+	// exitMargin is the time that the process needs to exit after its last request.
+	exitMargin = 700 * time.Millisecond
+	// headerTimeout limits the time in which a caller sends its header. idleTimeout limits unused connections; it is
+	// longer than any idle time that callers are promised.
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 10 * time.Minute
+	// maxHeaderBytes limits the size of a caller's header.
+	maxHeaderBytes = 32 << 10
+	// memoryLimitFraction is the soft limit of the garbage collector as a fraction of the VM's memory.
+	memoryLimitFraction = 0.6
+	// orderStalenessFactor times RolloutBounds.UndoWithinMillis is the maximum age of the copy of the rollout orders.
+	// It may be this old because rollbacks are sent with heartbeats, and because a version receives no requests
+	// before its order is known.
+	orderStalenessFactor = 12
+	// bodyMemoryFraction is the fraction of the VM's memory for buffered request bodies: normal use takes a tenth,
+	// and half of the rest up to memoryLimitFraction is left for copies made when reading and sending.
+	bodyMemoryFraction = 0.25
 )
 
 // Store is the platform's store.
 type Store interface {
 	sagefollow.Source
-	// Create makes an object; one that exists stays as it is.
+	// Create creates an object. An existing one is left unchanged, without an error.
 	Create(ctx context.Context, kind, name string, spec json.RawMessage) error
-	// SetStatus replaces an object's status if its last change has the revision.
+	// SetStatus replaces an object's status if the object is still at the revision.
 	SetStatus(ctx context.Context, kind, name string, revision uint64, status json.RawMessage) error
-	// Delete removes an object; one that doesn't exist is no error.
+	// Delete deletes an object. It is no error if the object doesn't exist.
 	Delete(ctx context.Context, kind, name string) error
 }
 
-// Node is one daemon. Exported fields are set before Open.
+// Node is a router daemon. Exported fields are set before Open.
 type Node struct {
 	Settings Settings
 	Store    Store
 	Kinds    Kinds
 	Decoder  Decoder
 	Dialect  sagerelay.Dialect
-	// Inspector asks engines for what they hold.
+	// Inspector queries engines for the prompt parts in their caches.
 	Inspector Inspector
-	// Readiness and Directory answer on their own addresses; they speak the platform's dialect.
+	// Readiness and Directory are the platform's handlers for the two addresses in Settings.Listen.
 	Readiness, Directory http.Handler
 	Log                  sagelog.Logger
-	// Dropped returns how many lines the log dropped; may be nil.
+	// Dropped returns how many lines the log has dropped; may be nil.
 	Dropped func() int64
 
-	kernel  sagekernel.Kernel
-	metrics *metrics.Set
-	mesh    *sagemesh.Service
-	peers   *peerLog
-	relay   *sagerelay.Service
-	view    *view
-	fleet   *fleet
-	copies  sagemesh.Copies
-	fetcher *sagemesh.Fetcher
-	recall  *recall
-	names   atomic.Pointer[[]string] // of the nodes in the store
-	reach   sagefresh.Proof          // of the store
-	// quarantine are the requests that crash upstreams.
+	kernel          sagekernel.Kernel
+	metrics         *metrics.Set
+	mesh            *sagemesh.Service
+	peers           *peerLog
+	relay           *sagerelay.Service
+	view            *view
+	fleet           *fleet
+	copies          sagemesh.Copies
+	fetcher         *sagemesh.Fetcher
+	cacheResync     *cacheResync
+	registeredNames atomic.Pointer[[]string] // nodes registered in the store
+	storeProof      sagefresh.Proof          // answers of the store, for any kind of object
+	// quarantine tracks the requests that crash upstreams.
 	quarantine sagequarantine.Tracker
 	leaving    atomic.Bool
 }
 
-// Open opens the listeners and makes the services; nothing serves before Run.
+// Open opens the listeners and creates the services. Nothing is served before Run.
 func (n *Node) Open() error {
 	cfg := &n.Settings
 	if err := cfg.Check(); err != nil {
 		return err
 	}
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare*float64(cfg.MemoryMB)) << 20)
+		debug.SetMemoryLimit(int64(memoryLimitFraction*float64(cfg.MemoryMB)) << 20)
 	}
 	n.metrics = metrics.NewSet()
 	n.kernel.Log, n.kernel.StopWithin = n.Log.Part("kernel"), seconds(cfg.Bounds.StopWithinSeconds)
@@ -121,23 +122,23 @@
 		return err
 	}
 	n.makeFleet()
-	n.makeRecall()
-	n.export()
+	n.makeCacheResync()
+	n.exportMetrics()
 	n.kernel.Register("mesh", n.mesh)
 	for _, kind := range []string{n.Kinds.ClosedDataCentres, n.Kinds.Upstreams, n.Kinds.Config} {
 		n.kernel.Register("follow_"+kind, n.copies[kind])
 	}
-	n.kernel.Register("members", &members{node: n})
+	n.kernel.Register("members", &registrar{node: n})
 	if f := n.copies[n.Kinds.Rollouts]; f != nil {
 		n.kernel.Register("follow_"+n.Kinds.Rollouts, f)
 		n.kernel.Register("rollouts", &rolloutController{node: n, controller: sagerollout.Controller{Self: n.Settings.Node, Bounds: n.Settings.Bounds.rollouts()}})
 	}
 	n.kernel.Register("follow_"+n.Kinds.Quarantines, n.copies[n.Kinds.Quarantines])
-	n.kernel.Register("quarantine", &quarantineKeeper{
-		Self: cfg.Node, Kind: n.Kinds.Quarantines, Book: &n.quarantine, Store: n.Store, Rank: n.quarantineRank, Log: n.Log.Part("quarantine"),
+	n.kernel.Register("quarantine", &quarantineReconciler{
+		Self: cfg.Node, Kind: n.Kinds.Quarantines, Tracker: &n.quarantine, Store: n.Store, Rank: n.quarantineRank, Log: n.Log.Part("quarantine"),
 	})
-	n.kernel.Register("recall", n.recall)
-	n.kernel.Register("settle", &settler{node: n})
+	n.kernel.Register("recall", n.cacheResync)
+	n.kernel.Register("settle", &expirer{node: n})
 	return n.listen()
 }
 
@@ -147,7 +148,7 @@
 	n.mesh = &sagemesh.Service{
 		Name: cfg.Node, Address: cfg.Listen.Mesh, Entry: cfg.Listen.Entry, DataCentre: cfg.DataCentre, Seeds: cfg.meshSeeds(),
 		LinkMbps: int(cfg.LinkMbps),
-		Fill:     n.fill, FillUpdates: n.fillNews, FillSum: n.fillSum, OnHeartbeat: n.heard,
+		Fill:     n.fillHeartbeat, FillUpdates: n.fillUpdates, FillSum: n.fillSum, OnHeartbeat: n.handleHeartbeat,
 		OnJoined: n.peers.Joined, OnLost: n.peers.Lost,
 		Log: n.Log.Part("mesh"),
 	}
@@ -158,71 +159,73 @@
 	placer := new(sagechain.Placer)
 	n.view = &view{decoder: n.Decoder, log: n.Log.Part("view"), placer: placer}
 	n.fetcher = &sagemesh.Fetcher{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
-	follow := func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower {
+	follow := func(kind string, maxStalenessMillis int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower {
 		return &sagefollow.Follower{
-			Kind: kind, Source: n.Store, Peers: n.fetcher, MaxStaleness: millis(within), Rank: n.mesh.Rank, Apply: apply,
-			StoreProof: &n.reach, OnChange: n.changed, PeerProofDelay: n.lag, Log: n.Log.Part("follow"),
+			Kind: kind, Source: n.Store, Peers: n.fetcher, MaxStaleness: millis(maxStalenessMillis), Rank: n.mesh.Rank, Apply: apply,
+			StoreProof: &n.storeProof, OnChange: n.contentChanged, PeerProofDelay: n.peerProofDelay, Log: n.Log.Part("follow"),
 		}
 	}
 	n.copies = sagemesh.Copies{
 		n.Kinds.Config:            follow(n.Kinds.Config, cfg.Bounds.ConfigWithinMillis, n.view.applyConfig),
 		n.Kinds.Upstreams:         follow(n.Kinds.Upstreams, cfg.Bounds.UpstreamWithinMillis, n.view.applyUpstreams),
 		n.Kinds.ClosedDataCentres: follow(n.Kinds.ClosedDataCentres, cfg.Bounds.ClosedWithinMillis, n.view.applyClosed),
-		n.Kinds.Quarantines:       follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, usualQuarantineMillis), n.applyQuarantines),
+		n.Kinds.Quarantines:       follow(n.Kinds.Quarantines, cmp.Or(cfg.Bounds.QuarantineWithinMillis, defaultQuarantineMillis), n.applyQuarantines),
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.followRollouts(follow)
 	}
-	n.copies[n.Kinds.Upstreams].BatchDelay = gatherUpstreams
+	n.copies[n.Kinds.Upstreams].BatchDelay = upstreamBatchDelay
 	for _, kind := range []string{n.Kinds.Upstreams, n.Kinds.ClosedDataCentres, n.Kinds.Quarantines} {
 		n.copies[kind].Prober = n.copies[n.Kinds.Config]
 	}
 	n.spreadFirstListing()
 	n.fleet = &fleet{
 		view: n.view, keyProof: &n.copies[n.Kinds.Config].Proof,
-		known: n.mesh.KnownNodes, lag: n.countsLag, placer: placer, cold: sageshare.ColdLimiter{Self: cfg.Node},
-		retries: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Tracker{Self: cfg.Node},
+		knownNodes: n.mesh.KnownNodes, countLag: n.countLag, placer: placer, coldLimiter: sageshare.ColdLimiter{Self: cfg.Node},
+		retryLimiter: sageshare.RetryLimiter{Window: seconds(cfg.Bounds.RetryWindowSeconds)}, health: sagehealth.Tracker{Self: cfg.Node},
 	}
 	if cfg.Bounds.Rollouts != nil {
 		n.fleet.rollouts = new(sagerollout.Tracker)
 	}
-	placer.SourceTrust = n.fleet.source
-	n.fleet.recalled = func() bool { return n.recall.informed.Load() }
-	n.fleet.bounds(&cfg.Bounds)
+	placer.SourceTrust = n.fleet.sourceTrust
+	n.fleet.cacheSynced = func() bool { return n.cacheResync.synced.Load() }
+	n.fleet.setBounds(&cfg.Bounds)
 	n.relay = &sagerelay.Service{
 		Dialect: n.Dialect, Fleet: n.fleet, Metrics: n.metrics, Log: n.Log.Part("relay"), Closing: n.leaving.Load, Quarantine: &n.quarantine,
 		SendsTrials:      func() bool { return n.quarantineRank() == 0 },
-		MaxBufferedBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
+		MaxBufferedBytes: int64(bodyMemoryFraction*float64(cfg.MemoryMB)) << 20,
 	}
 }
 
-// followRollouts makes the copy of the rollout orders, for a fleet that is to carry them out. No request waits for it
-// after a start, see [view.hold].
-func (n *Node) followRollouts(follow func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower) {
-	f := follow(n.Kinds.Rollouts, orderTimes*n.Settings.Bounds.Rollouts.UndoWithinMillis, n.applyRollouts)
+// followRollouts creates the follower of the rollout orders. After a start, no request waits for the first
+// listing; see [view.holdBackVersions].
+func (n *Node) followRollouts(follow func(kind string, maxStalenessMillis int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower) {
+	f := follow(n.Kinds.Rollouts, orderStalenessFactor*n.Settings.Bounds.Rollouts.UndoWithinMillis, n.applyRollouts)
 	f.Prober = n.copies[n.Kinds.Config]
 	f.ListNotBefore = n.firstListing()
 	n.copies[n.Kinds.Rollouts] = f
-	n.view.known = make(versions)
-	n.view.ordersAsOf = f.AsOf
+	n.view.admittedVersions = make(versions)
+	n.view.ordersRevision = f.AsOf
 }
 
-func (n *Node) makeRecall() {
-	n.recall = &recall{
+func (n *Node) makeCacheResync() {
+	n.cacheResync = &cacheResync{
 		Self: n.Settings.Node, DataCentre: n.Settings.DataCentre, FirstStart: n.Settings.FirstStart,
-		Placer: n.fleet.placer, Peers: n.mesh.Live, Engines: n.engines, Named: n.registered,
-		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.FetchHolders,
-		Inspector: n.Inspector, Tell: func() { n.mesh.TriggerHeartbeats(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
+		Placer: n.fleet.placer, Peers: n.mesh.Live, Engines: n.engines, RegisteredNodes: n.registeredNodes,
+		RegistrationDone: func() bool { return n.registeredNames.Load() != nil }, FetchHolders: n.fetcher.FetchHolders,
+		Inspector: n.Inspector, Broadcast: func() { n.mesh.TriggerHeartbeats(true) }, PropagationInterval: n.propagationInterval, Log: n.Log.Part("recall"),
 	}
 }
 
-// settleInterval is the time in which nodes that start together hear of each other.
-func (n *Node) settleInterval() time.Duration { return min(n.mesh.Interval(), mostSettleInterval) }
+// propagationInterval returns the time within which nodes that start together discover each other.
+func (n *Node) propagationInterval() time.Duration {
+	return min(n.mesh.Interval(), maxPropagationInterval)
+}
 
-// engines returns the engines that may get requests, or false before configuration and upstreams are
+// engines returns the engines that may receive requests, or false before the configuration and the upstreams are
 // known.
 func (n *Node) engines() ([]*sageupstream.Entry, bool) {
-	table, set := n.fleet.Table(), n.view.set.Load()
+	table, set := n.fleet.Table(), n.view.upstreams.Load()
 	if table == nil || set == nil {
 		return nil, false
 	}
@@ -235,8 +238,8 @@
 	return out, true
 }
 
-// spreadFirstListing delays this node's first listings when the whole fleet starts for the first time
-// and no caller waits. At every other start the time until it serves counts.
+// spreadFirstListing delays this node's first listings when the whole fleet starts for the first time and no
+// callers wait yet. At any other start the node has to serve as soon as possible.
 func (n *Node) spreadFirstListing() {
 	if !n.Settings.FirstStart {
 		return
@@ -246,13 +249,14 @@
 	}
 }
 
-// firstListing is when this node makes a first listing that nothing waits for: later than some other nodes do, whose
-// answers it then has from their heartbeats.
+// firstListing returns the time of a first listing that nothing waits for. It differs between nodes, so that most
+// of them can get the content from a peer that has listed earlier.
 func (n *Node) firstListing() sageclock.Instant {
-	return sageclock.Now().Add(time.Duration(xxhash.Sum64String(n.Settings.Node) % uint64(firstListingWithin)))
+	return sageclock.Now().Add(time.Duration(xxhash.Sum64String(n.Settings.Node) % uint64(firstListingSpread)))
 }
 
-// listen opens the listeners and registers their servers, the entry last, so that it stops first.
+// listen opens the listeners and registers their servers. The entry server comes last, since the kernel stops
+// services in reverse order.
 func (n *Node) listen() error {
 	cfg := &n.Settings
 	peers := http.NewServeMux()
@@ -278,13 +282,13 @@
 			return fmt.Errorf("listen for %s: %w", l.name, err)
 		}
 		n.kernel.Register(l.name, &server{name: l.name, listener: ln, node: n, http: &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerWithin, IdleTimeout: idleWithin, MaxHeaderBytes: headerBytes,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}})
 	}
 	return nil
 }
 
-// Run serves until ctx ends and the graceful stop is over.
+// Run serves until ctx ends, and returns after the graceful stop.
 func (n *Node) Run(ctx context.Context) error {
 	log := n.Log.Part("node")
 	log.Info("Starting.", "data_centre", n.Settings.DataCentre, "entry", n.Settings.Listen.Entry)
@@ -295,10 +299,10 @@
 	return nil
 }
 
-// Reload takes over what may change while the node runs: the bounds on keys and retries, and seeds.
-// Addresses and names stay until the next start.
+// Reload applies the settings that may change at run time: the maximum age of keys, the limits on retries, the
+// load cap, and added seeds. Changes of other settings take effect at the next start.
 func (n *Node) Reload(cfg Settings) {
-	n.fleet.bounds(&cfg.Bounds)
+	n.fleet.setBounds(&cfg.Bounds)
 	for _, a := range cfg.meshSeeds() {
 		if err := n.mesh.AddPeer(a); err != nil {
 			n.Log.Part("node").Warn("Seed ignored.", "address", a, "err", err)
@@ -306,15 +310,16 @@
 	}
 }
 
-// registered returns the names of the nodes in the store, as far as known.
-func (n *Node) registered() []string {
-	if p := n.names.Load(); p != nil {
+// registeredNodes returns the names of the nodes in the store, or of the discovered nodes if the store wasn't
+// listed yet.
+func (n *Node) registeredNodes() []string {
+	if p := n.registeredNames.Load(); p != nil {
 		return *p
 	}
 	return n.mesh.KnownNodes()
 }
 
-// Ready says whether callers may be sent here.
+// Ready reports whether this node can serve callers.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && n.fleet.Table() != nil && n.view.set.Load() != nil && n.fleet.Fresh()
+	return !n.leaving.Load() && n.fleet.Table() != nil && n.view.upstreams.Load() != nil && n.fleet.Fresh()
 }
--- a/internal/sagerouter/peerlog.go
+++ b/internal/sagerouter/peerlog.go
@@ -9,59 +9,59 @@
 	"sagestand.example/sagestand/internal/sagemesh"
 )
 
-// changes counts the nodes of one data centre that joined and fell silent.
-type changes struct {
-	joined, silent int
+// peerCounts counts the nodes of one data centre that joined and that became unresponsive.
+type peerCounts struct {
+	joined, unresponsive int
 }
 
-// peerLog writes what becomes of the other nodes: a line for each one of this data centre, and one for each
-// other data centre at a time.
+// peerLog logs nodes that join or become unresponsive: each node of this data centre on a line of its own, those
+// of every other data centre as counts per flush.
 //
-// It guards against logs that grow with the square of the fleet: when hundreds of nodes start, each hears of
-// all others within a second.
+// With a line for each peer, the logs would grow with the square of the fleet: when hundreds of nodes start, each
+// discovers all others within a second.
 type peerLog struct {
 	DataCentre string
 	Log        sagelog.Logger
 
-	mu  sync.Mutex
-	far map[string]changes
+	mu     sync.Mutex
+	remote map[string]peerCounts
 }
 
-// Joined notes a node that is heard of.
+// Joined records a node that was discovered.
 func (p *peerLog) Joined(m sagemesh.Member) {
 	if m.DataCentre == p.DataCentre {
 		p.Log.Info("Node joined.", "peer", m.Node, "address", m.Address)
 		return
 	}
-	p.count(m.DataCentre, changes{joined: 1})
+	p.count(m.DataCentre, peerCounts{joined: 1})
 }
 
-// Lost notes a node that fell silent.
+// Lost records a node that became unresponsive.
 func (p *peerLog) Lost(m sagemesh.Member) {
 	if m.DataCentre == p.DataCentre {
 		p.Log.Info("Node is silent.", "peer", m.Node, "address", m.Address, "leaving", m.Leaving)
 		return
 	}
-	p.count(m.DataCentre, changes{silent: 1})
+	p.count(m.DataCentre, peerCounts{unresponsive: 1})
 }
 
-func (p *peerLog) count(dataCentre string, c changes) {
+func (p *peerLog) count(dataCentre string, c peerCounts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.far == nil {
-		p.far = make(map[string]changes)
+	if p.remote == nil {
+		p.remote = make(map[string]peerCounts)
 	}
-	old := p.far[dataCentre]
-	p.far[dataCentre] = changes{joined: old.joined + c.joined, silent: old.silent + c.silent}
+	old := p.remote[dataCentre]
+	p.remote[dataCentre] = peerCounts{joined: old.joined + c.joined, unresponsive: old.unresponsive + c.unresponsive}
 }
 
-// Flush writes what came together since the last time.
+// Flush logs the counts of the other data centres since the last call.
 func (p *peerLog) Flush() {
 	p.mu.Lock()
-	far := p.far
-	p.far = nil
+	remote := p.remote
+	p.remote = nil
 	p.mu.Unlock()
-	for _, dc := range slices.Sorted(maps.Keys(far)) {
-		p.Log.Info("Nodes of another data centre.", "data_centre", dc, "joined", far[dc].joined, "silent", far[dc].silent)
+	for _, dc := range slices.Sorted(maps.Keys(remote)) {
+		p.Log.Info("Nodes of another data centre.", "data_centre", dc, "joined", remote[dc].joined, "silent", remote[dc].unresponsive)
 	}
 }
--- a/internal/sagerouter/peerlog_test.go
+++ b/internal/sagerouter/peerlog_test.go
@@ -12,9 +12,8 @@
 	"sagestand.example/sagestand/internal/sagemesh"
 )
 
-// Three hundred nodes start and each writes a line about each other one: ninety thousand lines before the first
-// request, among which nobody finds anything.
-func TestAStartOfManyNodesWritesFewLines(t *testing.T) {
+// With a line for each pair of nodes, the start of 300 nodes wrote 90,000 log lines before the first request.
+func TestFleetStartLogsFewLines(t *testing.T) {
 	var b bytes.Buffer
 	p := &peerLog{DataCentre: "dc0", Log: sagelog.New(&b, "vm0")}
 	for i := range 300 {
@@ -27,6 +26,6 @@
 	p.Flush()
 	p.Flush()
 	require.Equal(t, 50+2+5, strings.Count(b.String(), "\n"))
-	require.Contains(t, b.String(), `peer=vm6`, "those nearby one by one")
+	require.Contains(t, b.String(), `peer=vm6`, "nodes of the same data centre are logged one by one")
 	require.Contains(t, b.String(), "data_centre=dc3 joined=50 silent=2")
 }
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -13,35 +13,35 @@
 	"sagestand.example/sagestand/pkg/sagequarantine"
 )
 
-// Times of the quarantine's objects in the store.
+// Times of the reconciliation with the store.
 const (
-	// usualQuarantineMillis is within what a quarantine is in force on nodes that reach the store alone, unless the
-	// settings say so.
-	usualQuarantineMillis = 3000
-	// reconcileEvery is how often the store is compared with what this node knows.
-	reconcileEvery = 200 * time.Millisecond
-	// reconcileRank is how much longer than the one before it in the ranks a node waits until it writes a difference,
-	// up to mostReconcileRank of them.
-	reconcileRank     = 300 * time.Millisecond
-	mostReconcileRank = 20
-	// reconcileWithin bounds one write, reconcilePause is the pause after one that failed.
-	reconcileWithin = time.Second
-	reconcilePause  = 2 * time.Second
+	// defaultQuarantineMillis is the time within which a quarantine takes effect on nodes that reach the store but no
+	// other node, unless the settings give one.
+	defaultQuarantineMillis = 3000
+	// reconcileInterval is how often the quarantines in the store are compared with those of this node.
+	reconcileInterval = 200 * time.Millisecond
+	// reconcileRankDelay is the delay per rank before a node writes a difference, so that normally only the node of
+	// the lowest rank writes. Ranks above maxReconcileRank wait no longer.
+	reconcileRankDelay = 300 * time.Millisecond
+	maxReconcileRank   = 20
+	// reconcileTimeout limits one write. After a failed one nothing is written for reconcileRetryDelay.
+	reconcileTimeout    = time.Second
+	reconcileRetryDelay = 2 * time.Second
 )
 
-// quarantineSpec is what the store keeps of a quarantined request beside its fingerprint, for operators.
+// quarantineSpec is the content of a quarantine object, for operators. The object's name is the fingerprint.
 type quarantineSpec struct {
 	Crashes int    `json:"crashes"`
 	By      string `json:"by"`
 }
 
-// applyQuarantines takes changes of the quarantine's objects in. Operators release a request by deleting its object.
+// applyQuarantines applies changes of the quarantine objects. Operators release a request by deleting its object.
 func (n *Node) applyQuarantines(changes []sagefollow.Change, _ bool) {
 	log := n.Log.Part("quarantine")
 	for _, c := range changes {
 		f, err := sagequarantine.ParseFingerprint(c.Object.Name)
 		if err != nil {
-			log.Warn("Object names no request.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
+			log.Warn("Quarantine object's name is not a fingerprint.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
 			continue
 		}
 		if c.Deleted {
@@ -55,8 +55,8 @@
 	}
 }
 
-// quarantineRank is this node's place among those that write the quarantine's objects; negative while the store does
-// not answer it or it leaves.
+// quarantineRank returns this node's rank among those that write quarantine objects. It is negative while the
+// store does not answer this node or the node is stopping.
 func (n *Node) quarantineRank() int {
 	if f := n.copies[n.Kinds.Quarantines]; n.leaving.Load() || f.Failing() || f.AsOf() == 0 {
 		return -1
@@ -64,86 +64,85 @@
 	return n.mesh.Rank(false)
 }
 
-// fillCrashes adds the crashes that other nodes have to know of.
+// fillCrashes adds the crash reports for the other nodes to a heartbeat.
 func (n *Node) fillCrashes(h *sagemesh.Heartbeat) {
 	h.Crashes, h.Cleared = n.quarantine.Reports(sageclock.Now(), n.mesh.ForwardsReports)
 }
 
-// learnCrashes takes in the crashes that another node reports.
-func (n *Node) learnCrashes(now sageclock.Instant, h *sagemesh.Heartbeat) {
+// mergeCrashes merges the crash reports of another node.
+func (n *Node) mergeCrashes(now sageclock.Instant, h *sagemesh.Heartbeat) {
 	for _, e := range n.quarantine.Merge(now, h.Crashes, h.Cleared) {
 		n.Log.Part("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
 			"learned", "node", "from", h.Node)
 	}
 }
 
-// quarantineKeeper has the store hold what is quarantined, so that it outlasts the nodes and reaches those that no
-// other node reaches. Exported fields are set before Run.
-type quarantineKeeper struct {
-	Self string
-	Kind string
-	Book *sagequarantine.Tracker
-	// Store takes the writes.
-	Store Store
-	// Rank is this node's place among the live nodes; a negative one keeps it from writing.
+// quarantineReconciler writes quarantines to the store. There they survive restarts of the fleet, and they reach
+// nodes that are cut off from all others. Exported fields are set before Run.
+type quarantineReconciler struct {
+	Self    string
+	Kind    string
+	Tracker *sagequarantine.Tracker
+	Store   Store
+	// Rank returns this node's rank among the live nodes. A node with a negative rank does not write.
 	Rank func() int
 	Log  sagelog.Logger
 
-	paused sageclock.Instant // until then nothing is written
+	pausedUntil sageclock.Instant // no writes before this time
 }
 
-// Run compares the store with the book until ctx ends.
-func (k *quarantineKeeper) Run(ctx context.Context) error {
-	t := time.NewTicker(reconcileEvery)
+// Run reconciles the store with the tracker until ctx ends.
+func (r *quarantineReconciler) Run(ctx context.Context) error {
+	t := time.NewTicker(reconcileInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			k.reconcile(ctx, sageclock.Now())
+			r.reconcile(ctx, sageclock.Now())
 		}
 	}
 }
 
-// reconcile writes the differences that it is this node's turn to write.
-func (k *quarantineKeeper) reconcile(ctx context.Context, now sageclock.Instant) {
-	k.Book.Sweep(now)
-	differences := k.Book.Differences(now)
-	rank := k.Rank()
-	if len(differences) == 0 || rank < 0 || now < k.paused {
+// reconcile writes the differences that are older than the delay for this node's rank.
+func (r *quarantineReconciler) reconcile(ctx context.Context, now sageclock.Instant) {
+	r.Tracker.Sweep(now)
+	differences := r.Tracker.Differences(now)
+	rank := r.Rank()
+	if len(differences) == 0 || rank < 0 || now < r.pausedUntil {
 		return
 	}
-	wait := time.Duration(min(rank, mostReconcileRank)) * reconcileRank
+	wait := time.Duration(min(rank, maxReconcileRank)) * reconcileRankDelay
 	for _, d := range differences {
 		if now.Sub(d.Since) < wait {
 			continue
 		}
-		if err := k.write(ctx, d); err != nil {
-			k.Log.Limited(sagelog.KindBelief, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
-			k.paused = now.Add(reconcilePause)
+		if err := r.write(ctx, d); err != nil {
+			r.Log.Limited(sagelog.KindBelief, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
+			r.pausedUntil = now.Add(reconcileRetryDelay)
 			return
 		}
-		k.Log.Info("Quarantine written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "rank", rank)
+		r.Log.Info("Quarantine written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "rank", rank)
 	}
 }
 
-// write makes one write.
-func (k *quarantineKeeper) write(ctx context.Context, d sagequarantine.Difference) error {
-	ctx, cancel := context.WithTimeout(ctx, reconcileWithin)
+// write creates or deletes the object of one difference.
+func (r *quarantineReconciler) write(ctx context.Context, d sagequarantine.Difference) error {
+	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
 	name := d.Request.String()
 	if !d.Quarantined {
-		if err := k.Store.Delete(ctx, k.Kind, name); err != nil {
+		if err := r.Store.Delete(ctx, r.Kind, name); err != nil {
 			return fmt.Errorf("release request: %w", err)
 		}
 		return nil
 	}
-	spec, err := json.Marshal(quarantineSpec{Crashes: sagequarantine.DefaultThreshold, By: k.Self})
+	spec, err := json.Marshal(quarantineSpec{Crashes: sagequarantine.DefaultThreshold, By: r.Self})
 	if err != nil {
 		return fmt.Errorf("encode quarantine: %w", err)
 	}
-	if err := k.Store.Create(ctx, k.Kind, name, spec); err != nil {
+	if err := r.Store.Create(ctx, r.Kind, name, spec); err != nil {
 		return fmt.Errorf("quarantine request: %w", err)
 	}
 	return nil
--- a/internal/sagerouter/quarantine_test.go
+++ b/internal/sagerouter/quarantine_test.go
@@ -19,89 +19,89 @@
 )
 
 const (
-	fatal = sagequarantine.Fingerprint(7)
-	begun = sageclock.Instant(time.Hour)
+	crashingRequest = sagequarantine.Fingerprint(7)
+	startTime       = sageclock.Instant(time.Hour)
 )
 
-// shelf is a store that takes objects of one kind.
-type shelf struct {
-	entries
+// objectStore is a store that keeps the names of objects and counts the writes.
+type objectStore struct {
+	entryStore
 	objects map[string]bool
 	writes  int
 	refuse  bool
 }
 
-var errShelf = errors.New("store is away")
+var errStoreUnavailable = errors.New("store unreachable")
 
-func (s *shelf) Create(_ context.Context, _, name string, _ json.RawMessage) error {
+func (s *objectStore) Create(_ context.Context, _, name string, _ json.RawMessage) error {
 	return s.write(func() { s.objects[name] = true })
 }
 
-func (s *shelf) Delete(_ context.Context, _, name string) error {
+func (s *objectStore) Delete(_ context.Context, _, name string) error {
 	return s.write(func() { delete(s.objects, name) })
 }
 
-func (s *shelf) write(do func()) error {
+func (s *objectStore) write(do func()) error {
 	s.writes++
 	if s.refuse {
-		return errShelf
+		return errStoreUnavailable
 	}
 	do()
 	return nil
 }
 
-// keeper returns a node's keeper before a store, with a request that is quarantined.
-func keeper(s *shelf, rank int) *quarantineKeeper {
+// newReconciler returns the reconciler of a node of the given rank that has one quarantined request.
+func newReconciler(s *objectStore, rank int) *quarantineReconciler {
 	if s.objects == nil {
 		s.objects = make(map[string]bool)
 	}
 	b := new(sagequarantine.Tracker)
 	for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-		b.RecordCrash(begun, c, fatal)
+		b.RecordCrash(startTime, c, crashingRequest)
 	}
-	return &quarantineKeeper{Self: "vm1", Kind: "q", Book: b, Store: s, Rank: func() int { return rank }, Log: sagelog.New(io.Discard, "vm1")}
+	return &quarantineReconciler{Self: "vm1", Kind: "q", Tracker: b, Store: s, Rank: func() int { return rank }, Log: sagelog.New(io.Discard, "vm1")}
 }
 
-func TestKeeperWritesByTurns(t *testing.T) {
-	s := new(shelf)
-	k := keeper(s, 2)
-	k.reconcile(t.Context(), begun)
-	k.reconcile(t.Context(), begun.Add(2*reconcileRank-1))
-	require.Zero(t, s.writes, "two nodes come first")
-	k.reconcile(t.Context(), begun.Add(2*reconcileRank))
-	require.Equal(t, []string{fatal.String()}, slices.Collect(maps.Keys(s.objects)))
-	k.Book.Restore(begun, fatal)
-	k.reconcile(t.Context(), begun.Add(time.Minute))
+func TestReconcilerWritesAfterDelayForRank(t *testing.T) {
+	s := new(objectStore)
+	r := newReconciler(s, 2)
+	r.reconcile(t.Context(), startTime)
+	r.reconcile(t.Context(), startTime.Add(2*reconcileRankDelay-1))
+	require.Zero(t, s.writes, "two nodes have lower ranks")
+	r.reconcile(t.Context(), startTime.Add(2*reconcileRankDelay))
+	require.Equal(t, []string{crashingRequest.String()}, slices.Collect(maps.Keys(s.objects)))
+	r.Tracker.Restore(startTime, crashingRequest)
+	r.reconcile(t.Context(), startTime.Add(time.Minute))
 	require.Equal(t, 1, s.writes)
-	over := begun.Add(sagequarantine.QuarantineDuration)
-	k.reconcile(t.Context(), over)
-	k.reconcile(t.Context(), over.Add(2*reconcileRank))
-	require.Empty(t, s.objects, "its quarantine is over")
+	expiry := startTime.Add(sagequarantine.QuarantineDuration)
+	r.reconcile(t.Context(), expiry)
+	r.reconcile(t.Context(), expiry.Add(2*reconcileRankDelay))
+	require.Empty(t, s.objects, "the quarantine has expired")
 }
 
-// Guards against calls without pause to a store that is away, and against writes by nodes that it doesn't answer.
-func TestKeeperSparesAStoreThatIsAway(t *testing.T) {
-	s := &shelf{refuse: true}
-	k := keeper(s, 0)
+// An unreachable store must not be called without a pause, nor written to by nodes that it doesn't answer.
+func TestReconcilerPausesWhileStoreIsUnreachable(t *testing.T) {
+	s := &objectStore{refuse: true}
+	r := newReconciler(s, 0)
 	for range 5 {
-		k.reconcile(t.Context(), begun)
+		r.reconcile(t.Context(), startTime)
 	}
 	require.Equal(t, 1, s.writes)
-	k.reconcile(t.Context(), begun.Add(reconcilePause))
+	r.reconcile(t.Context(), startTime.Add(reconcileRetryDelay))
 	require.Equal(t, 2, s.writes)
-	k = keeper(s, -1)
-	k.reconcile(t.Context(), begun.Add(time.Minute))
+	r = newReconciler(s, -1)
+	r.reconcile(t.Context(), startTime.Add(time.Minute))
 	require.Equal(t, 2, s.writes)
 }
 
-// Guards against nodes that start with an object that names no request, or don't notice that operators released one.
-func TestQuarantineFollowsTheStore(t *testing.T) {
+// An object whose name is no fingerprint must be skipped, and a request whose object operators deleted released.
+func TestQuarantineFollowsStore(t *testing.T) {
 	n := &Node{Log: sagelog.New(io.Discard, "vm1")}
 	object := func(name string) sagefollow.Object { return sagefollow.Object{Name: name, Revision: 1} }
-	n.applyQuarantines([]sagefollow.Change{{Object: object("no fingerprint")}, {Object: object(fatal.String())}}, false)
-	_, ok := n.quarantine.QuarantinedUntil(sageclock.Now(), fatal)
+	n.applyQuarantines([]sagefollow.Change{{Object: object("no fingerprint")}, {Object: object(crashingRequest.String())}}, false)
+	_, ok := n.quarantine.QuarantinedUntil(sageclock.Now(), crashingRequest)
 	require.True(t, ok)
-	n.applyQuarantines([]sagefollow.Change{{Object: object(fatal.String()), Deleted: true}, {Object: object("no fingerprint"), Deleted: true}}, false)
-	_, ok = n.quarantine.QuarantinedUntil(sageclock.Now(), fatal)
+	n.applyQuarantines([]sagefollow.Change{{Object: object(crashingRequest.String()), Deleted: true}, {Object: object("no fingerprint"), Deleted: true}}, false)
+	_, ok = n.quarantine.QuarantinedUntil(sageclock.Now(), crashingRequest)
 	require.False(t, ok)
 }
--- /dev/null
+++ b/internal/sagerouter/registrar_test.go
@@ -0,0 +1,103 @@
+package sagerouter
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"sagestand.example/sagestand/internal/sagefollow"
+	"sagestand.example/sagestand/internal/sagelog"
+	"sagestand.example/sagestand/internal/sagemesh"
+	"sagestand.example/sagestand/pkg/sageclock"
+)
+
+// entryStore is a store of node entries that counts its calls.
+type entryStore struct {
+	changes []sagefollow.Change
+	calls   int
+	refuse  bool
+}
+
+func (s *entryStore) List(context.Context, string, string) (sagefollow.Page, error) {
+	s.calls++
+	if s.refuse {
+		return sagefollow.Page{}, context.DeadlineExceeded
+	}
+	return sagefollow.Page{Changes: s.changes, AsOf: 1}, nil
+}
+
+func (s *entryStore) Watch(context.Context, string, uint64, time.Duration) (sagefollow.Delta, error) {
+	return sagefollow.Delta{}, nil
+}
+
+func (s *entryStore) ResetConnections() {}
+
+func (s *entryStore) SetStatus(context.Context, string, string, uint64, json.RawMessage) error {
+	return nil
+}
+
+func (s *entryStore) Delete(context.Context, string, string) error { return nil }
+
+func (s *entryStore) Create(_ context.Context, _, name string, spec json.RawMessage) error {
+	s.calls++
+	if slices.ContainsFunc(s.changes, func(c sagefollow.Change) bool { return c.Object.Name == name }) {
+		return nil
+	}
+	s.changes = append(s.changes, sagefollow.Change{Object: sagefollow.Object{Name: name, Spec: spec}})
+	return nil
+}
+
+// newRegistrar returns the registrar of a node that starts.
+func newRegistrar(t *testing.T, i int, first bool, store *entryStore) *registrar {
+	t.Helper()
+	mesh := &sagemesh.Service{Address: "127.0.0.1:0", OnHeartbeat: func(*sagemesh.Heartbeat, sageclock.Instant) {}}
+	require.NoError(t, mesh.Open())
+	return &registrar{node: &Node{
+		Settings: Settings{Node: fmt.Sprint("vm", i), DataCentre: "north", FirstStart: first, Listen: Listen{Mesh: fmt.Sprintf("10.0.0.%d:7000", i+1)}},
+		Store:    store, Log: sagelog.New(io.Discard, "vm"), mesh: mesh,
+	}}
+}
+
+// When all nodes of a large fleet restarted, each wrote its entry although the store had it. These calls alone
+// were as many as a day without faults needs for everything else.
+func TestRegisteredNodeOnlyListsAtStart(t *testing.T) {
+	store := new(entryStore)
+	for i := range 5 {
+		require.NoError(t, newRegistrar(t, i, true, store).register(t.Context()))
+	}
+	require.Equal(t, 10, store.calls, "at the first start a node registers before it lists")
+	store.calls = 0
+	for i := range 5 {
+		m := newRegistrar(t, i, false, store)
+		require.NoError(t, m.register(t.Context()))
+		require.Len(t, *m.node.registeredNames.Load(), 5)
+	}
+	require.Equal(t, 5, store.calls)
+}
+
+// A node that is new to a running fleet, or registered with an outdated address, could not be found by the others
+// without registering.
+func TestUnregisteredNodeRegistersAtStart(t *testing.T) {
+	store := new(entryStore)
+	m := newRegistrar(t, 9, false, store)
+	require.NoError(t, m.register(t.Context()))
+	require.Equal(t, 3, store.calls)
+	require.Len(t, store.changes, 1)
+	require.Equal(t, []string{"vm9"}, *m.node.registeredNames.Load())
+
+	moved := newRegistrar(t, 9, false, store)
+	moved.node.Settings.Listen.Mesh = "10.0.9.9:7000"
+	require.NoError(t, moved.register(t.Context()))
+	require.Equal(t, []string{"vm9"}, *moved.node.registeredNames.Load(), "a node with an outdated entry continues; the others discover it only by its own heartbeats")
+
+	store = &entryStore{refuse: true}
+	m = newRegistrar(t, 9, false, store)
+	require.ErrorIs(t, m.register(t.Context()), context.DeadlineExceeded)
+	require.Nil(t, m.node.registeredNames.Load(), "a failed registration is tried again")
+}
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -15,14 +15,14 @@
 
 // Times of rollouts.
 const (
-	// stepEvery is how often the controller issues plans, a tenth of their lease.
-	stepEvery = 200 * time.Millisecond
-	// statusWithin bounds one write of a status, statusPause is the pause after one.
-	statusWithin = time.Second
-	statusPause  = 500 * time.Millisecond
+	// stepInterval is how often the controller issues plans, a tenth of their lease.
+	stepInterval = 200 * time.Millisecond
+	// statusTimeout limits one write of a status. The next one starts no sooner than statusWriteDelay after it.
+	statusTimeout    = time.Second
+	statusWriteDelay = 500 * time.Millisecond
 )
 
-// applyRollouts takes changes of rollout orders in.
+// applyRollouts applies changes of the rollout orders.
 func (n *Node) applyRollouts(changes []sagefollow.Change, _ bool) {
 	now := sageclock.Now()
 	log := n.Log.Part("rollouts")
@@ -34,37 +34,37 @@
 		}
 		o, err := n.Decoder.Rollout(c.Object, now)
 		if err != nil {
-			log.Error("Rollout order can't be carried out.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
+			log.Error("Rollout order is invalid.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
 			n.fleet.rollouts.Delete(c.Object.Name)
 			continue
 		}
 		if n.fleet.rollouts.Put(o) {
-			log.Info("Rollout order.", "name", o.Name, "service", o.Service, "target", o.Target, "state", string(o.State),
+			log.Info("Rollout order received.", "name", o.Name, "service", o.Service, "target", o.Target, "state", string(o.State),
 				"left_ms", o.Deadline.Sub(now).Milliseconds(), "revision", o.Revision)
 		}
 	}
 }
 
-// learnPlan takes in a plan from any node.
-func (n *Node) learnPlan(now sageclock.Instant, p sagerollout.Plan) {
+// mergePlan merges a plan issued by this node or received from another.
+func (n *Node) mergePlan(now sageclock.Instant, p sagerollout.Plan) {
 	if n.fleet.rollouts.MergePlan(p) {
 		n.Log.Part("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
 			"version", p.Sequence, "by", p.Controller, "age_ms", now.Sub(p.IssuedAt).Milliseconds())
 	}
 }
 
-// rolloutController steps the plans of rollouts while this node comes first in the fleet.
+// rolloutController advances the plans of rollouts while this node has rank 0 in the fleet.
 type rolloutController struct {
 	node       *Node
 	controller sagerollout.Controller
-	// wrote is when this node last began to write a status, by order.
-	wrote map[uint64]sageclock.Instant
+	// statusWrittenAt is when the last write of a status started, by order.
+	statusWrittenAt map[uint64]sageclock.Instant
 }
 
-// Run steps the plans until ctx ends.
+// Run advances the plans until ctx ends.
 func (c *rolloutController) Run(ctx context.Context) error {
-	c.wrote = make(map[uint64]sageclock.Instant)
-	t := time.NewTicker(stepEvery)
+	c.statusWrittenAt = make(map[uint64]sageclock.Instant)
+	t := time.NewTicker(stepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -78,8 +78,8 @@
 
 // step issues a new version of each plan.
 //
-// A node that the store refuses steps plans only if it refuses all of them: taking a bad version back needs
-// no store.
+// A node that can't reach the store advances plans only if no other node can reach it either: rolling back a bad
+// version doesn't depend on the store.
 func (c *rolloutController) step(ctx context.Context, now sageclock.Instant) {
 	n := c.node
 	entries := n.fleet.rollouts.Entries()
@@ -90,35 +90,35 @@
 	for _, e := range entries {
 		live[e.Order.ID] = true
 		if !e.Order.State.Final() {
-			c.stepOne(ctx, now, e)
+			c.stepOrder(ctx, now, e)
 		}
 	}
 	c.controller.Retain(func(order uint64) bool { return live[order] })
 }
 
-func (c *rolloutController) stepOne(ctx context.Context, now sageclock.Instant, e sagerollout.Entry) {
+func (c *rolloutController) stepOrder(ctx context.Context, now sageclock.Instant, e sagerollout.Entry) {
 	n := c.node
-	evidence := sagerollout.CollectEvidence(e.Order.ID, n.fleet.answers.Sum(now))
-	sees := n.fleet.rolloutFleet(now, &e.Order)
-	p := c.controller.Step(now, e.Order, e.Plan, evidence, sees)
+	evidence := sagerollout.CollectEvidence(e.Order.ID, n.fleet.rolloutAnswers.Sum(now))
+	load := n.fleet.serviceLoad(now, &e.Order)
+	p := c.controller.Step(now, e.Order, e.Plan, evidence, load)
 	if p.Phase != e.Plan.Phase {
 		v, route := c.controller.Verdict(e.Order.ID)
 		sum := evidence.Sum()
 		n.Log.Part("rollouts").Info("Rollout decision.", "order", e.Order.ID, "service", e.Order.Service, "target", e.Order.Target,
 			"phase", p.Phase.String(), "from", e.Plan.Phase.String(), "verdict", v.String(), "route", route,
 			"target_bad", sum.Target.Bad, "target_answers", sum.Target.Total(), "baseline_bad", sum.Baseline.Bad,
-			"baseline_answers", sum.Baseline.Total(), "target_slots", sees.TargetSlots, "baseline_in_flight", sees.BaselineInFlight,
+			"baseline_answers", sum.Baseline.Total(), "target_slots", load.TargetSlots, "baseline_in_flight", load.BaselineInFlight,
 			"left_ms", e.Order.Deadline.Sub(now).Milliseconds())
 	}
-	n.learnPlan(now, p)
+	n.mergePlan(now, p)
 	if p.Phase != e.Plan.Phase {
 		n.mesh.TriggerHeartbeats(true)
 	}
-	c.write(ctx, now, e.Order, p.Phase)
+	c.updateStatus(ctx, now, e.Order, p.Phase)
 }
 
-// write has the store show how far an order is.
-func (c *rolloutController) write(ctx context.Context, now sageclock.Instant, o sagerollout.Order, p sagerollout.Phase) {
+// updateStatus writes the state of an order to the store if it changed.
+func (c *rolloutController) updateStatus(ctx context.Context, now sageclock.Instant, o sagerollout.Order, p sagerollout.Phase) {
 	state := sagerollout.StateRunning
 	switch p {
 	case sagerollout.PhaseDone:
@@ -126,18 +126,18 @@
 	case sagerollout.PhaseRolledBack:
 		state = sagerollout.StateRolledBack
 	}
-	if o.State == state || now.Sub(c.wrote[o.ID]) < statusWithin+statusPause {
+	if o.State == state || now.Sub(c.statusWrittenAt[o.ID]) < statusTimeout+statusWriteDelay {
 		return
 	}
-	c.wrote[o.ID] = now
+	c.statusWrittenAt[o.ID] = now
 	go c.node.writeStatus(ctx, o, state)
 }
 
-// writeStatus writes one status. The condition on the revision keeps two controllers from writing different
-// last states.
+// writeStatus writes one status. It is conditional on the revision, so that two controllers can't write different
+// final states.
 func (n *Node) writeStatus(ctx context.Context, o sagerollout.Order, state sagerollout.State) {
 	log := n.Log.Part("rollouts")
-	ctx, cancel := context.WithTimeout(ctx, statusWithin)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := n.Decoder.RolloutStatus(state, o.Target)
 	if err != nil {
@@ -151,10 +151,10 @@
 	log.Info("Rollout status written.", "name", o.Name, "state", string(state), "revision", o.Revision)
 }
 
-// rolloutFleet returns what the controller needs to know of an order's service.
-func (f *fleet) rolloutFleet(now sageclock.Instant, o *sagerollout.Order) sagerollout.ServiceLoad {
-	set := f.view.set.Load()
-	loads := f.flights.Sum(now)
+// serviceLoad returns the slots and the requests in flight of an order's service by version.
+func (f *fleet) serviceLoad(now sageclock.Instant, o *sagerollout.Order) sagerollout.ServiceLoad {
+	set := f.view.upstreams.Load()
+	loads := f.inFlight.Sum(now)
 	var out sagerollout.ServiceLoad
 	for _, e := range set.Available(o.Service) {
 		switch {
@@ -173,8 +173,8 @@
 	return out
 }
 
-// versionsOf returns the upstreams of a service that an arm of its rollout may use.
-func (f *fleet) versionsOf(set *sageupstream.Set, service string, arm sagerollout.Arm) []*sageupstream.Entry {
+// armUpstreams returns the available upstreams of a service that an arm of its rollout may use.
+func (f *fleet) armUpstreams(set *sageupstream.Set, service string, arm sagerollout.Arm) []*sageupstream.Entry {
 	all := set.Available(service)
 	if f.rollouts == nil {
 		return all
@@ -192,19 +192,19 @@
 	return out
 }
 
-// arm returns the arm of a send.
-func (f *fleet) arm(now sageclock.Instant, service, route string, first bool) sagerollout.Arm {
+// armFor returns the arm for the first send of a request, or for a retry.
+func (f *fleet) armFor(now sageclock.Instant, service, route string, firstSend bool) sagerollout.Arm {
 	switch {
 	case f.rollouts == nil:
 		return sagerollout.ArmAny
-	case first:
+	case firstSend:
 		return f.rollouts.Arm(now, service, route)
 	}
 	return f.rollouts.RetryArm(now, service)
 }
 
 // otherArm returns the arm to use when one has no upstream left, or false if the request has to be refused.
-// The target stands in for the baseline only while the order runs and nothing of the baseline is registered.
+// The target replaces the baseline only while the order runs and no upstream of the baseline is registered.
 func (f *fleet) otherArm(set *sageupstream.Set, service string, arm sagerollout.Arm) (sagerollout.Arm, bool) {
 	switch {
 	case arm == sagerollout.ArmTarget:
@@ -221,18 +221,18 @@
 	return sagerollout.ArmTarget, true
 }
 
-// leastCanary is the least number of upstreams that a canary uses: one may be sick itself.
-const leastCanary = 2
+// minCanaryUpstreams is two, since a single upstream may fail for reasons other than its version.
+const minCanaryUpstreams = 2
 
-// canary returns the upstreams of the target that the canary uses, the same ones on all nodes.
-func (f *fleet) canary(service string, es []*sageupstream.Entry) []*sageupstream.Entry {
+// canaryUpstreams returns the upstreams of the target that the canary uses, the same ones on all nodes.
+func (f *fleet) canaryUpstreams(service string, es []*sageupstream.Entry) []*sageupstream.Entry {
 	n := int(math.Ceil(f.rollouts.CanaryFraction(service) * float64(len(es))))
-	return es[:min(len(es), max(leastCanary, n))]
+	return es[:min(len(es), max(minCanaryUpstreams, n))]
 }
 
-// Answered implements [sagerelay.Fleet].
+// RecordResponse implements [sagerelay.Fleet].
 //
-// Answers of cold upstreams are slow for another reason than their version, and count only if they fail.
+// Responses of cold upstreams are slow whatever their version, and count only if they failed.
 func (f *fleet) RecordResponse(p *sagerelay.Pick, route string, a sagerelay.ResponseResult) {
 	if f.rollouts == nil {
 		return
@@ -246,9 +246,9 @@
 	if cold && !a.Failed {
 		return
 	}
-	slow := !a.Failed && f.rolloutPaces.IsSlow(route, t)
+	slow := !a.Failed && f.rolloutLatencies.IsSlow(route, t)
 	f.rollouts.RecordAnswer(u.Service, u.Version, route, a.Failed || slow)
 	if !a.Failed && !f.rollouts.IsTarget(u.Service, u.Version) {
-		f.rolloutPaces.Add(route, t)
+		f.rolloutLatencies.Add(route, t)
 	}
 }
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -24,8 +24,7 @@
 	http     *http.Server
 }
 
-// Run serves until ctx ends. The entry then goes on for callers that still hold an answer of the
-// directory, and ends when no request is under way.
+// Run serves until ctx ends. The entry server then stops gracefully, the others immediately.
 func (s *server) Run(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- s.http.Serve(s.listener) }()
@@ -37,22 +36,21 @@
 	if s.name != entryName {
 		return s.http.Close()
 	}
-	return s.leave()
+	return s.drain()
 }
 
-// leave stops the entry gracefully.
+// drain stops the entry server gracefully, so that a planned stop fails no request.
 //
-// It guards against requests that are cut off by a planned stop. Callers learn of an entry from
-// directory answers that they keep, so a listener that closed at once would refuse them; and a
-// request that was read has to be answered.
-func (s *server) leave() error {
+// Callers cache directory answers, so the listener stays open until these have expired. Then the server waits for
+// the requests in flight, up to the time by which the process has to end.
+func (s *server) drain() error {
 	n := s.node
-	by := time.Now().Add(seconds(n.Settings.Bounds.StopWithinSeconds) - stopMargin)
+	deadline := time.Now().Add(seconds(n.Settings.Bounds.StopWithinSeconds) - exitMargin)
 	n.leaving.Store(true)
 	n.mesh.TriggerHeartbeats(true)
 	n.Log.Part("node").Info("Leaving.", "in_flight", n.relay.InFlight())
-	time.Sleep(min(keptTimes*DirectoryTTL+DirectoryTTL/2, time.Until(by)))
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	time.Sleep(min(maxCachedTTLs*DirectoryTTL+DirectoryTTL/2, time.Until(deadline)))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shut down %s: %w", s.name, err)
@@ -61,30 +59,30 @@
 	return s.http.Close()
 }
 
-// forgetEvery is how often records of upstreams that are gone are dropped.
-const forgetEvery = 10 * time.Second
+// recordCleanupInterval is how often health records of removed upstreams are dropped.
+const recordCleanupInterval = 10 * time.Second
 
-// settler drops upstreams whose entries lapsed in an outage of the store, and the records of those
-// that are gone.
-type settler struct{ node *Node }
+// expirer drops upstreams whose entries lapsed during an outage of the store, and health records of removed ones.
+// It also flushes the log of peers.
+type expirer struct{ node *Node }
 
-// Run looks through them until ctx ends.
-func (s *settler) Run(ctx context.Context) error {
+// Run works until ctx ends.
+func (s *expirer) Run(ctx context.Context) error {
 	n := s.node
-	t := time.NewTicker(settleEvery)
+	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
-	forget := time.NewTicker(forgetEvery)
-	defer forget.Stop()
+	cleanup := time.NewTicker(recordCleanupInterval)
+	defer cleanup.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-forget.C:
-			set := n.view.set.Load()
+		case <-cleanup.C:
+			set := n.view.upstreams.Load()
 			n.fleet.health.Retain(func(u string) bool { return set.Get(u) != nil })
 		case <-t.C:
 			n.peers.Flush()
-			n.view.settle(n.reach.Age(sageclock.Now()) > sagefollow.LongOutage)
+			n.view.expireLapsed(n.storeProof.Age(sageclock.Now()) > sagefollow.LongOutage)
 		}
 	}
 }
--- a/internal/sagerouter/settings_test.go
+++ b/internal/sagerouter/settings_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSettingsCheckBounds(t *testing.T) {
-	good := func() Settings {
+	valid := func() Settings {
 		return Settings{
 			Node: "n", Listen: Listen{Entry: "127.0.0.1:1", Mesh: "127.0.0.1:2"}, Store: "127.0.0.1:3",
 			Bounds: Bounds{
@@ -17,9 +17,9 @@
 			},
 		}
 	}
-	s := good()
-	require.NoError(t, s.Check(), "the cap on loads may be left out")
-	for name, spoil := range map[string]func(b *Bounds){
+	s := valid()
+	require.NoError(t, s.Check(), "the load cap is optional")
+	for name, invalidate := range map[string]func(b *Bounds){
 		"keys":         func(b *Bounds) { b.KeyWithinMillis = 0 },
 		"config":       func(b *Bounds) { b.ConfigWithinMillis = 0 },
 		"upstreams":    func(b *Bounds) { b.UpstreamWithinMillis = -1 },
@@ -28,14 +28,14 @@
 		"retries":      func(b *Bounds) { b.RetrySlack = -1 },
 		"stop":         func(b *Bounds) { b.StopWithinSeconds = 0 },
 	} {
-		s := good()
-		spoil(&s.Bounds)
+		s := valid()
+		invalidate(&s.Bounds)
 		require.ErrorIs(t, s.Check(), ErrSettings, name)
 	}
 }
 
-// An operator writes a link's width in bits: the node must not start as the hub of its data centre.
-func TestSettingsCheckTheLink(t *testing.T) {
+// A bandwidth given in the wrong unit must not make the node the aggregator of its data centre.
+func TestSettingsCheckLinkBandwidth(t *testing.T) {
 	const rest = `"node": "n", "listen": {"entry": "127.0.0.1:1", "mesh": "127.0.0.1:2"}, "store": "127.0.0.1:3", "memory_mb": 100,
 		"bounds": {"key_within_millis": 1, "config_within_millis": 1, "upstream_within_millis": 1, "closed_within_millis": 1,
 		"retry_ratio": 0, "retry_slack": 0, "retry_window_seconds": 1, "stop_within_seconds": 1}`
--- a/internal/sagerouter/versions.go
+++ b/internal/sagerouter/versions.go
@@ -2,7 +2,7 @@
 
 import "sagestand.example/sagestand/pkg/sageupstream"
 
-// versions are the versions of upstreams by service that may get requests.
+// versions is the set of versions that may receive requests, by service.
 type versions map[string]map[string]bool
 
 func (v versions) add(service, version string) {
@@ -12,16 +12,16 @@
 	v[service][version] = true
 }
 
-// hold keeps upstreams of a new version without requests until this node knows all orders that were written
-// before they registered. As long as it knows no orders at all, only the most common version serves.
+// holdBackVersions excludes the upstreams of a new version until this node has all orders that were written before
+// they registered. As long as no orders are known, only the most common version serves.
 //
-// It guards against a version that gets its share by load on nodes to which the order that started it is not
-// known yet: the copies of orders and of upstreams are proven by different calls. mu is held.
-func (v *view) hold() {
-	if v.ordersAsOf == nil {
+// Orders and upstreams are read by different store calls. Without the exclusion, a node that sees the upstreams
+// before the order that started them would send the new version a full share of the load. The caller holds mu.
+func (v *view) holdBackVersions() {
+	if v.ordersRevision == nil {
 		return
 	}
-	asOf := v.ordersAsOf()
+	asOf := v.ordersRevision()
 	counts := make(map[string]map[string]int)
 	v.registry.Each(func(e *sageupstream.Entry) {
 		if counts[e.Service] == nil {
@@ -29,25 +29,25 @@
 		}
 		counts[e.Service][e.Version]++
 		if e.Revision <= asOf {
-			v.known.add(e.Service, e.Version)
+			v.admittedVersions.add(e.Service, e.Version)
 		}
 	})
 	for service, byVersion := range counts {
-		if v.known[service] == nil {
-			v.known.add(service, mostCommon(byVersion))
+		if v.admittedVersions[service] == nil {
+			v.admittedVersions.add(service, mostCommon(byVersion))
 		}
 	}
-	held := make(map[string]bool)
+	heldBack := make(map[string]bool)
 	v.registry.Each(func(e *sageupstream.Entry) {
-		if !v.known[e.Service][e.Version] {
-			held[e.ID] = true
+		if !v.admittedVersions[e.Service][e.Version] {
+			heldBack[e.ID] = true
 		}
 	})
-	v.holding = len(held) > 0
-	v.registry.SetExcluded(held)
+	v.versionsHeldBack = len(heldBack) > 0
+	v.registry.SetExcluded(heldBack)
 }
 
-// mostCommon returns the key with the greatest count, of several the first in order.
+// mostCommon returns the key with the greatest count, the smallest key on a tie.
 func mostCommon(counts map[string]int) string {
 	out, most := "", 0
 	for k, n := range counts {
--- a/internal/sagerouter/view.go
+++ b/internal/sagerouter/view.go
@@ -14,55 +14,55 @@
 	"sagestand.example/sagestand/pkg/sageupstream"
 )
 
-// Kinds are the names of the kinds of objects in the store.
+// Kinds holds the names of the kinds of objects in the store.
 type Kinds struct {
 	Config    string
 	Upstreams string
-	// Closed are the data centres that are out of service.
+	// ClosedDataCentres are the data centres that are out of service.
 	ClosedDataCentres string
 	// Rollouts are the orders to move a service to another version.
 	Rollouts string
-	// Quarantines are the requests that crash upstreams, this system's own.
+	// Quarantines are the requests that crash upstreams. The nodes write these objects themselves.
 	Quarantines string
-	// Nodes are this system's own entries.
+	// Nodes are the registered nodes. The nodes write these objects themselves.
 	Nodes string
 }
 
-// Decoder reads the objects of the kinds.
+// Decoder decodes the platform's objects.
 type Decoder interface {
-	// Config reads the configuration; false if the object is not the configuration.
+	// Config decodes the configuration. It returns false if the object is not the configuration.
 	Config(o sagefollow.Object) (*sageroute.Table, bool, error)
-	// Upstream reads an upstream's entry.
+	// Upstream decodes an upstream's entry.
 	Upstream(o sagefollow.Object, now sageclock.Instant) (sageupstream.Entry, error)
-	// Rollout reads a rollout order.
+	// Rollout decodes a rollout order.
 	Rollout(o sagefollow.Object, now sageclock.Instant) (sagerollout.Order, error)
-	// RolloutStatus writes how far a rollout to a version is.
+	// RolloutStatus encodes the status of a rollout to the version target.
 	RolloutStatus(s sagerollout.State, target string) (json.RawMessage, error)
 }
 
-// view is what the node believes of configuration and upstreams.
+// view is the node's current view of the configuration and the upstreams.
 type view struct {
 	decoder Decoder
 	log     sagelog.Logger
 	placer  *sagechain.Placer
-	// ordersAsOf is the revision up to which the rollout orders are known; nil if there are none.
-	ordersAsOf func() uint64
+	// ordersRevision returns the revision up to which the rollout orders are known; nil if rollouts are disabled.
+	ordersRevision func() uint64
 
-	table atomic.Pointer[sageroute.Table]
-	set   atomic.Pointer[sageupstream.Set]
+	table     atomic.Pointer[sageroute.Table]
+	upstreams atomic.Pointer[sageupstream.Set]
 
-	mu       sync.Mutex
-	registry sageupstream.Registry
-	listed   bool            // the upstreams were listed
-	closed   map[string]bool // nil before the data centres were listed
-	known    versions
-	holding  bool // upstreams are held back for their version
+	mu                sync.Mutex
+	registry          sageupstream.Registry
+	upstreamsListed   bool            // the upstreams were listed
+	closedDataCentres map[string]bool // nil before the data centres were listed
+	admittedVersions  versions
+	versionsHeldBack  bool // upstreams are held back for their version
 }
 
-// applyConfig takes changes of the configuration in.
+// applyConfig applies changes of the configuration.
 //
-// It guards against a configuration that goes back: versions only rise, whatever the store or a peer
-// answers. One that can't be read leaves the last in force.
+// A version lower than the present one is ignored, since a delayed answer of the store or a peer may be outdated.
+// A configuration that can't be decoded leaves the present one in force.
 func (v *view) applyConfig(changes []sagefollow.Change, _ bool) {
 	for _, c := range changes {
 		if c.Deleted {
@@ -81,46 +81,48 @@
 	}
 }
 
-// applyUpstreams takes changes of upstreams in.
-func (v *view) applyUpstreams(changes []sagefollow.Change, returned bool) {
+// applyUpstreams applies changes of the upstreams. afterOutage says that they come after an outage of the store.
+func (v *view) applyUpstreams(changes []sagefollow.Change, afterOutage bool) {
 	now := sageclock.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if returned {
+	if afterOutage {
 		v.registry.StoreUnreachable()
 		v.registry.StoreReachable(now)
 	}
-	v.listed = true
+	v.upstreamsListed = true
 	for _, c := range changes {
 		if c.Deleted {
 			v.registry.Delete(now, c.Object.Name)
-			v.log.Info("Upstream's entry is gone.", "upstream", c.Object.Name, "revision", c.Object.Revision, "after_outage", returned)
+			v.log.Info("Upstream entry deleted.", "upstream", c.Object.Name, "revision", c.Object.Revision, "after_outage", afterOutage)
 			continue
 		}
 		e, err := v.decoder.Upstream(c.Object, now)
 		if err != nil {
 			v.registry.Delete(now, c.Object.Name)
-			v.log.Warn("Entry names no upstream.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
+			v.log.Warn("Upstream entry can't be decoded.", "name", c.Object.Name, "revision", c.Object.Revision, "err", err)
 			continue
 		}
-		v.put(e, c.Object.Revision)
+		v.putUpstream(e, c.Object.Revision)
 	}
 	v.publish()
 }
 
-// put takes one entry in and logs what it changes.
+// putUpstream applies one upstream's entry and logs the change.
 //
-// It guards against an earlier start of an upstream: a write of it whose answer was lost may be
-// executed seconds later, when the next start has registered itself under the same id. And it guards
-// against prompts that are read again because this node forgot who holds them: an upstream that is
-// merely new to it, at the first listing or after a lapse, holds what the other nodes said it does.
-func (v *view) put(e sageupstream.Entry, revision uint64) {
-	old := v.set.Load().Get(e.ID)
+// Entries of an earlier start of the upstream are ignored: a write whose answer was lost may be executed seconds
+// later, after the next start has registered under the same ID.
+//
+// The cached parts of an upstream are dropped only if a new start or address replaces a known one. One that is
+// merely new to this node, at the first listing or after a lapse, keeps the parts that peers have reported;
+// otherwise its prompts would be processed again elsewhere.
+func (v *view) putUpstream(e sageupstream.Entry, revision uint64) {
+	old := v.upstreams.Load().Get(e.ID)
 	if old != nil && e.Born < old.Born {
-		v.log.Info("Entry of an earlier start ignored.", "upstream", e.ID, "revision", revision)
+		v.log.Info("Upstream entry of an earlier start ignored.", "upstream", e.ID, "revision", revision)
 		return
 	}
-	if last := v.set.Load().Reachable(sageclock.Now(), e.ID); last != nil && (last.Born != e.Born || last.Address != e.Address) {
+	if reachable := v.upstreams.Load().Reachable(sageclock.Now(), e.ID); reachable != nil && (reachable.Born != e.Born || reachable.Address != e.Address) {
 		v.placer.Forget(e.ID) // a new start has an empty cache
 	}
 	if old == nil || old.Draining != e.Draining || (old.ColdUntil == 0) != (e.ColdUntil == 0) {
@@ -134,12 +136,12 @@
 	v.registry.Put(e)
 }
 
-// applyClosed takes changes of the data centres out of service in.
+// applyClosed applies changes of the data centres that are out of service.
 func (v *view) applyClosed(changes []sagefollow.Change, _ bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	closed := make(map[string]bool, len(v.closed)+1)
-	for dc := range v.closed {
+	closed := make(map[string]bool, len(v.closedDataCentres)+1)
+	for dc := range v.closedDataCentres {
 		closed[dc] = true
 	}
 	for _, c := range changes {
@@ -148,28 +150,28 @@
 		} else {
 			closed[c.Object.Name] = true
 		}
-		v.log.Info("Data centre.", "data_centre", c.Object.Name, "in_service", c.Deleted, "revision", c.Object.Revision)
+		v.log.Info("Data centre changed.", "data_centre", c.Object.Name, "in_service", c.Deleted, "revision", c.Object.Revision)
 	}
-	v.closed = closed
+	v.closedDataCentres = closed
 	v.registry.SetClosedDataCentres(closed)
 	v.publish()
 }
 
-// settle notes whether the store is out of sight, and drops entries that lapsed in an outage and
-// stayed missing.
+// expireLapsed records whether the store is reachable, and drops entries that lapsed during an outage and were not
+// renewed after it.
 //
-// It guards against an outage that never ends: the first answer after it may be one about another
-// kind, and every later deletion of an upstream would count as a lapse.
-func (v *view) settle(away bool) {
+// The end of an outage is recorded here, and not only in applyUpstreams, since the first answer after it may
+// concern another kind of object. Otherwise every later deletion of an upstream would count as a lapse.
+func (v *view) expireLapsed(storeUnreachable bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := sageclock.Now()
-	if away {
+	if storeUnreachable {
 		v.registry.StoreUnreachable()
 	} else {
 		v.registry.StoreReachable(now)
 	}
-	if v.registry.ExpireLapsed(now) || v.holding {
+	if v.registry.ExpireLapsed(now) || v.versionsHeldBack {
 		v.publish()
 	}
 	for _, id := range v.registry.TakeStopped(now) {
@@ -177,13 +179,13 @@
 	}
 }
 
-// publish makes the present view the one that requests see.
+// publish makes the present set of upstreams visible to requests.
 //
-// It guards against a started node that sends to a data centre that is out of service: as long as it
-// doesn't know which are, it knows no upstream.
+// Until the data centres that are out of service are known, no set is published: a started node must not send
+// requests to such a data centre.
 func (v *view) publish() {
-	if v.listed && v.closed != nil {
-		v.hold()
-		v.set.Store(v.registry.Snapshot())
+	if v.upstreamsListed && v.closedDataCentres != nil {
+		v.holdBackVersions()
+		v.upstreams.Store(v.registry.Snapshot())
 	}
 }
