--- a/pkg/sagehealth/doc.go
+++ b/pkg/sagehealth/doc.go
@@ -1,22 +1,21 @@
-// Package sagehealth judges upstreams by how their answers end.
+// Package sagehealth implements passive health checks: it judges upstreams by the results of requests.
 //
-// Health checks are not asked: an upstream may pass them and fail its requests, or the reverse. A
-// [Tracker] counts three kinds of [Result]. A broken exchange (refused, reset, silent) takes an
-// upstream out for a while that doubles with each one in a row. Failures that the upstream itself
-// reports take it out only when it fails clearly more often than the others of its service: where
-// all fail alike, the cause lies in the requests or behind all upstreams, and avoiding one helps
-// nobody.
+// Active health checks aren't used, since an upstream may pass them and fail its requests, or the reverse. A
+// [Tracker] distinguishes three kinds of [Result]. A broken exchange (refused, reset, without an answer) excludes
+// an upstream for a time that doubles with each further one, up to a limit. Failures that the upstream reports
+// itself exclude it only if it fails clearly more often than the other upstreams of its service: if all fail
+// alike, the cause is in the requests or in a common dependency, and avoiding one upstream doesn't help.
 //
-// Nodes report broken exchanges to each other. Enough reports eject an upstream as well, unless this node
-// itself got an answer of late; the nodes whose own exchanges broke are the ones that try again.
+// Nodes report broken exchanges to each other. Enough reports eject an upstream as well, unless this node itself
+// got an answer from it recently. The nodes whose own exchanges broke are the ones that try it again.
 //
 // # Usage
 //
-//	b := &sagehealth.Tracker{Self: "vm1"}
-//	b.Note(now, service, upstream, sagehealth.Broken)
-//	if b.Avoid(now, service, upstream) {
+//	t := &sagehealth.Tracker{Self: "vm1"}
+//	t.Record(now, service, upstream, sagehealth.Broken)
+//	if t.Avoid(now, service, upstream) {
 //		// prefer another one
 //	}
-//	send(b.Broken(now))                      // to the other nodes
-//	b.Reported(now, service, upstream, 2, 1) // two others report it, one request is in flight there
+//	send(t.RecentlyBroken(now))                   // to the other nodes
+//	t.RecordReports(now, service, upstream, 2, 1) // two other nodes report it, one request is in flight there
 package sagehealth
--- a/pkg/sagehealth/lost_test.go
+++ b/pkg/sagehealth/lost_test.go
@@ -12,95 +12,96 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// ending is the end of an exchange of the model.
-type ending struct {
+// exchangeEnd is the end of a simulated exchange.
+type exchangeEnd struct {
 	at           time.Duration
 	node, engine int
 	res          Result
 }
 
-type endings []ending
+type endQueue []exchangeEnd
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e endQueue) Len() int           { return len(e) }
+func (e endQueue) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e endQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *endQueue) Push(x any)        { *e = append(*e, x.(exchangeEnd)) }
+func (e *endQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// loaded is what the loaded model showed.
-type loaded struct {
-	avoided, broken, aboveCap float64 // parts of the engines, of the requests, of the requests
+// loadResult is the result of simulateLoad.
+type loadResult struct {
+	avoided, broken, aboveBound float64 // fractions of the picks of an engine, of the requests, of the requests
 }
 
-// loadedModel plays ten seconds in which nodes send to the least loaded of two engines that they don't avoid, with
-// counts and reports that come each 0.3 s. exchange returns how an exchange with an engine ends, and after what time.
-func loadedModel(seed uint64, exchange func(rnd *rand.Rand, engine int) (Result, time.Duration)) loaded {
-	const beat = 300 * time.Millisecond
+// simulateLoad runs ten seconds of virtual time in which nodes send each request to the less loaded of two engines
+// that they don't avoid. Counts and reports are exchanged every 0.3 s. exchange returns the result of an exchange
+// and its duration.
+func simulateLoad(seed uint64, exchange func(rnd *rand.Rand, engine int) (Result, time.Duration)) loadResult {
+	const interval = 300 * time.Millisecond
 	rnd := rand.New(rand.NewPCG(seed, 2))
-	books := make([]Tracker, nodes)
-	for i := range books {
-		books[i].Self = fmt.Sprintf("vm%d", i)
+	trackers := make([]Tracker, nodes)
+	for i := range trackers {
+		trackers[i].Self = fmt.Sprintf("vm%d", i)
 	}
-	var ends endings
+	var pending endQueue
 	load, known := make([]int, engines), make([]int, engines)
-	total, sent, above, broken, avoided, looks := 0, 0, 0, 0, 0, 0
-	next := beat
-	for at := time.Second; at < 11*time.Second; at += time.Second / rate {
+	total, sent, aboveBound, broken, avoided, checks := 0, 0, 0, 0, 0, 0
+	next := interval
+	for at := time.Second; at < 11*time.Second; at += time.Second / requestsPerSecond {
 		now := sageclock.Instant(at)
-		for len(ends) > 0 && ends[0].at <= at {
-			e := heap.Pop(&ends).(ending)
-			books[e.node].Record(sageclock.Instant(e.at), "s", fmt.Sprint(e.engine), e.res)
+		for len(pending) > 0 && pending[0].at <= at {
+			e := heap.Pop(&pending).(exchangeEnd)
+			trackers[e.node].Record(sageclock.Instant(e.at), "s", fmt.Sprint(e.engine), e.res)
 			load[e.engine]--
 			total--
 		}
 		if at >= next {
-			next = at + beat
+			next = at + interval
 			copy(known, load)
 			reports := make(map[string]int)
 			own := make([]map[string]bool, nodes)
-			for i := range books {
+			for i := range trackers {
 				own[i] = make(map[string]bool)
-				for _, u := range books[i].RecentlyBroken(now) {
+				for _, u := range trackers[i].RecentlyBroken(now) {
 					reports[u]++
 					own[i][u] = true
 				}
 			}
-			for i := range books {
+			for i := range trackers {
 				for e := range engines {
 					u := fmt.Sprint(e)
 					n := reports[u]
 					if own[i][u] {
 						n--
 					}
-					books[i].RecordReports(now, "s", u, n, known[e])
+					trackers[i].RecordReports(now, "s", u, n, known[e])
 				}
 			}
 		}
 		node := rnd.IntN(nodes)
-		var free []int
+		var usable []int
 		for e := range engines {
-			looks++
-			if books[node].Avoid(now, "s", fmt.Sprint(e)) {
+			checks++
+			if trackers[node].Avoid(now, "s", fmt.Sprint(e)) {
 				avoided++
 				continue
 			}
-			free = append(free, e)
+			usable = append(usable, e)
 		}
-		if len(free) == 0 {
+		if len(usable) == 0 {
 			continue
 		}
-		e, o := free[rnd.IntN(len(free))], free[rnd.IntN(len(free))]
+		e, o := usable[rnd.IntN(len(usable))], usable[rnd.IntN(len(usable))]
 		if known[o] < known[e] {
 			e = o
 		}
 		sent++
 		if float64(load[e]) > 2*float64(total)/engines+3 {
-			above++
+			aboveBound++
 		}
 		res, took := exchange(rnd, e)
 		if res == Broken {
@@ -108,17 +109,17 @@
 		}
 		load[e]++
 		total++
-		heap.Push(&ends, ending{at + took, node, e, res})
+		heap.Push(&pending, exchangeEnd{at + took, node, e, res})
 	}
-	return loaded{
-		avoided: float64(avoided) / float64(looks), broken: float64(broken) / float64(sent), aboveCap: float64(above) / float64(sent),
+	return loadResult{
+		avoided: float64(avoided) / float64(checks), broken: float64(broken) / float64(sent), aboveBound: float64(aboveBound) / float64(sent),
 	}
 }
 
-// Guards against the ejection of a third of a service whose upstreams lose some answers.
+// A third of a service's upstreams was ejected because they lost some answers.
 func TestEnginesThatLoseSomeAnswersStayInUse(t *testing.T) {
 	for seed := range uint64(3) {
-		got := loadedModel(seed, func(rnd *rand.Rand, engine int) (Result, time.Duration) {
+		got := simulateLoad(seed, func(rnd *rand.Rand, engine int) (Result, time.Duration) {
 			took := time.Duration((0.2 + rnd.ExpFloat64()) * float64(time.Second))
 			if engine < engines*3/5 && rnd.IntN(100) < 15 {
 				return Broken, min(took, 40*time.Millisecond)
@@ -130,11 +131,11 @@
 	}
 }
 
-// Guards against upstreams that are down and stay in use, as requests that wait there raise the number of reports
-// needed.
-func TestDarkEnginesAreLeftOut(t *testing.T) {
-	for name, took := range map[string]time.Duration{"refused": 2 * time.Millisecond, "dark": 700 * time.Millisecond} {
-		got := loadedModel(1, func(rnd *rand.Rand, engine int) (Result, time.Duration) {
+// Requests that wait at an upstream that is down raise the number of reports needed to eject it, which must not
+// keep it in use.
+func TestUnreachableEnginesAreExcluded(t *testing.T) {
+	for name, took := range map[string]time.Duration{"refused": 2 * time.Millisecond, "stalled": 700 * time.Millisecond} {
+		got := simulateLoad(1, func(rnd *rand.Rand, engine int) (Result, time.Duration) {
 			if engine < engines/4 {
 				return Broken, took
 			}
--- a/pkg/sagehealth/reports.go
+++ b/pkg/sagehealth/reports.go
@@ -9,36 +9,36 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// How other nodes' reports weigh.
+// Parameters of the ejection by other nodes' reports.
 const (
-	// leastReporters is how many other nodes must report an upstream before it is ejected: one may have a link of
-	// its own that broke. reportersPerRequest is how many must for each request in flight there.
-	leastReporters      = 2
+	// minReporters is how many other nodes must report an upstream before it is ejected: with a single one, the fault
+	// may be in that node's link. reportersPerRequest is how many are needed for each request in flight there.
+	minReporters        = 2
 	reportersPerRequest = 0.75
-	// reportFor is how long a node reports an exchange that broke.
-	reportFor = 2 * time.Second
-	// ownFor is how long an answer that this node got itself counts more: an upstream may fail the
-	// nodes of one data centre only.
-	ownFor = time.Second
-	// suspectFor is how long an upstream is suspect after a broken exchange without a whole answer since: the time
-	// in which the lease of one that crashed lapses.
-	suspectFor = 4 * time.Second
-	// mostReported bounds what one heartbeat reports, to a kilobyte.
-	mostReported = 64
-	// ejectFor is the mean time for which an upstream is ejected from the last report on. The nodes' times
-	// differ between half and one and a half of it, so that not all try at once when the reports end.
-	ejectFor = time.Second
+	// reportDuration is how long a node reports an upstream after a broken exchange.
+	reportDuration = 2 * time.Second
+	// ownAnswerDuration is how long an answer that this node got itself overrides the reports of others: an upstream
+	// may be unreachable from one data centre only.
+	ownAnswerDuration = time.Second
+	// suspicionDuration is how long an upstream is suspected after a broken exchange without a complete answer since.
+	// Within this time the lease of a crashed upstream lapses.
+	suspicionDuration = 4 * time.Second
+	// maxReported limits the upstreams in one heartbeat, to about a kilobyte.
+	maxReported = 64
+	// meanEjection is the mean time of an ejection after the last report. The time of a node is between 0.5 and 1.5
+	// of it, so that not all nodes try the upstream again at the same time.
+	meanEjection = time.Second
 )
 
-// Broken returns the upstreams with which this node's own exchanges broke of late, the last one among
-// them.
-func (b *Tracker) RecentlyBroken(now sageclock.Instant) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentlyBroken returns the upstreams to report to the other nodes: those whose last exchange with this node
+// broke recently.
+func (t *Tracker) RecentlyBroken(now sageclock.Instant) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []string
-	for _, s := range b.services {
-		for id, r := range s.records {
-			if len(out) < mostReported && r.streak > 0 && now.Sub(r.broke) < reportFor {
+	for _, s := range t.services {
+		for id, r := range s.upstreams {
+			if len(out) < maxReported && r.brokenStreak > 0 && now.Sub(r.lastBroken) < reportDuration {
 				out = append(out, id)
 			}
 		}
@@ -46,45 +46,46 @@
 	return out
 }
 
-// Reported takes in how many other nodes report broken exchanges with an upstream, and how many requests are in
-// flight there from all nodes, and reports whether the upstream is ejected from now on.
+// RecordReports records how many other nodes report broken exchanges with an upstream. load is the number of
+// requests in flight there from all nodes. It returns true if the upstream is newly ejected.
 //
-// It guards against many nodes that each find out by themselves: in a large fleet a node sends an
-// engine a request each ten seconds or more, so an engine that passes its health check and resets every
-// connection fails one request of each node before all know.
+// Without reports, each node would have to find out by itself: in a large fleet a node sends a request to an
+// engine only every ten seconds or more, so an engine that passes its health check and resets every connection
+// would fail one request of each node.
 //
-// It guards against the ejection of half of a service whose upstreams lose some answers: the others would exceed
-// the load bound and read again what the ejected ones hold. Of an upstream that is down all requests break, so
-// that there are as many reports as requests; of one that loses few answers there are fewer.
-func (b *Tracker) RecordReports(now sageclock.Instant, service, upstream string, nodes, load int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.record(service, upstream)
+// The number of reports is compared with the load to keep upstreams that lose only some answers. When an upstream
+// is down, all its requests break, and there are as many reports as requests; otherwise there are fewer. Ejecting
+// half of a service for a few lost answers would push the rest above the load bound, and the cached prompts of the
+// ejected upstreams would be processed again.
+func (t *Tracker) RecordReports(now sageclock.Instant, service, upstream string, nodes, load int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.getOrCreate(service, upstream)
 	if nodes > 0 {
-		r.reported = now
+		r.lastReported = now
 	}
-	trusted := r.ok != 0 && now.Sub(r.ok) < ownFor
-	need := max(leastReporters, int(math.Ceil(reportersPerRequest*float64(load))))
-	if nodes < need || r.streak > 0 || trusted {
+	ownAnswer := r.lastOK != 0 && now.Sub(r.lastOK) < ownAnswerDuration
+	required := max(minReporters, int(math.Ceil(reportersPerRequest*float64(load))))
+	if nodes < required || r.brokenStreak > 0 || ownAnswer {
 		return false
 	}
-	spread := time.Duration(xxhash.Sum64String(b.Self+upstream) % uint64(ejectFor))
-	began := r.out <= now
-	r.out = max(r.out, now.Add(ejectFor/2+spread))
-	return began
+	jitter := time.Duration(xxhash.Sum64String(t.Self+upstream) % uint64(meanEjection))
+	newlyEjected := r.excludedUntil <= now
+	r.excludedUntil = max(r.excludedUntil, now.Add(meanEjection/2+jitter))
+	return newlyEjected
 }
 
-// Suspect reports whether an upstream may have stopped: an exchange of this node or of another one broke
-// lately, and this node got no whole answer since.
-func (b *Tracker) Suspected(now sageclock.Instant, service, upstream string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.find(service, upstream)
+// Suspected reports whether an upstream may have stopped: an exchange of this or another node broke recently, and
+// this node got no complete answer since.
+func (t *Tracker) Suspected(now sageclock.Instant, service, upstream string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.find(service, upstream)
 	if r == nil {
 		return false
 	}
-	if r.streak > 0 && now.Sub(r.broke) < suspectFor {
+	if r.brokenStreak > 0 && now.Sub(r.lastBroken) < suspicionDuration {
 		return true
 	}
-	return r.reported > r.ok && now.Sub(r.reported) < suspectFor
+	return r.lastReported > r.lastOK && now.Sub(r.lastReported) < suspicionDuration
 }
