--- a/pkg/sageflight/counter.go
+++ b/pkg/sageflight/counter.go
@@ -7,42 +7,43 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// How long statements of others count.
+// Maximum ages of received counts.
 const (
-	// stale is after which time a node's counts are left out, several of its heartbeats.
-	stale = 1500 * time.Millisecond
-	// sumStale is the same for sums, which come each 200 ms: with two lost, the nodes' own counts,
-	// which come each second in a fleet of a hundred, are the better ones.
-	sumStale = 700 * time.Millisecond
+	// reportTimeout is the maximum age of a node's counts, several heartbeat intervals.
+	reportTimeout = 1500 * time.Millisecond
+	// sumTimeout is the maximum age of sums, which arrive every 200 ms. If two in a row are lost, the nodes' own
+	// reports, which arrive every second in a fleet of a hundred nodes, are more accurate.
+	sumTimeout = 700 * time.Millisecond
 )
 
-// Counts are requests in flight by upstream.
+// Counts are numbers of requests in flight by upstream.
 type Counts map[string]int
 
-// add adds the requests in o.
+// add adds the counts of o to c.
 func (c Counts) add(o Counts) {
 	for u, n := range o {
 		c[u] += n
 	}
 }
 
-type told struct {
-	at     sageclock.Instant
-	group  string
-	counts Counts
+// report holds received counts: those of a node, the sum of a group, or the total.
+type report struct {
+	receivedAt sageclock.Instant
+	group      string
+	counts     Counts
 }
 
-// Counter counts requests in flight. The zero value is ready; it is safe for concurrent use.
+// Counter counts requests in flight. The zero value is ready to use. It is safe for concurrent use.
 type Counter struct {
-	mu       sync.Mutex
-	own      Counts
-	lastTold Counts // own counts as last told
-	nodes    map[string]told
-	groups   map[string]told // sums, by group
-	total    told            // sum of all nodes, with what this one last told
+	mu           sync.Mutex
+	own          Counts
+	lastReported Counts // own counts as last reported
+	nodes        map[string]report
+	groups       map[string]report // sums, by group
+	total        report            // sum of all nodes, including lastReported
 }
 
-// Start counts a request and returns what ends it; calling that again does nothing.
+// Start counts a request until the returned function is called. Further calls of it have no effect.
 func (c *Counter) Start(upstream string) (done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,83 +64,83 @@
 	}
 }
 
-// Set replaces this node's counts, for things that aren't counted by starting and ending.
+// Set replaces this node's counts, for uses other than requests that start and end.
 func (c *Counter) Set(counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.own = counts
 }
 
-// Tell returns a copy of this node's counts, to be told to the others.
+// Report returns a copy of this node's counts to send to the other nodes.
 func (c *Counter) Report() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(Counts, len(c.own))
 	out.add(c.own)
-	c.lastTold = out
+	c.lastReported = out
 	return out
 }
 
-// Learn takes in the counts of another node, which belongs to a group.
+// UpdateNode replaces the counts of another node, which belongs to the given group.
 func (c *Counter) UpdateNode(now sageclock.Instant, node, group string, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nodes == nil {
-		c.nodes = make(map[string]told)
+		c.nodes = make(map[string]report)
 	}
-	c.nodes[node] = told{at: now, group: group, counts: counts}
+	c.nodes[node] = report{receivedAt: now, group: group, counts: counts}
 }
 
-// LearnGroup takes in the sum of a group's nodes, made by one of them. While it is fresh it counts
-// instead of what these nodes told themselves.
+// UpdateGroup replaces the sum of a group's nodes, made by its aggregator. While fresh, it is used instead of the
+// nodes' own reports.
 func (c *Counter) UpdateGroup(now sageclock.Instant, group string, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.groups == nil {
-		c.groups = make(map[string]told)
+		c.groups = make(map[string]report)
 	}
-	c.groups[group] = told{at: now, group: group, counts: counts}
+	c.groups[group] = report{receivedAt: now, group: group, counts: counts}
 }
 
-// LearnTotal takes in the sum of all nodes, made by one that had this node's counts as last told.
-// While it is fresh it counts instead of everything else.
+// UpdateTotal replaces the sum of all nodes, made by an aggregator that has this node's last report. While fresh,
+// it is used instead of all other sums and reports.
 func (c *Counter) UpdateTotal(now sageclock.Instant, counts Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.total = told{at: now, counts: counts}
+	c.total = report{receivedAt: now, counts: counts}
 }
 
-// Summed reports whether sums that are fresh stand in for what each node told itself.
+// HasFreshSums reports whether fresh sums are used instead of the nodes' own reports.
 func (c *Counter) HasFreshSums(now sageclock.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.total.fresh(now, sumStale) {
+	if c.total.isFresh(now, sumTimeout) {
 		return true
 	}
 	for _, g := range c.groups {
-		if g.fresh(now, sumStale) {
+		if g.isFresh(now, sumTimeout) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t told) fresh(now sageclock.Instant, within time.Duration) bool {
-	return t.counts != nil && now.Sub(t.at) < within
+func (r report) isFresh(now sageclock.Instant, maxAge time.Duration) bool {
+	return r.counts != nil && now.Sub(r.receivedAt) < maxAge
 }
 
 // Sum returns the requests in flight at each upstream from all nodes.
 func (c *Counter) Sum(now sageclock.Instant) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.all(now)
+	return c.allNodes(now)
 }
 
-// Others is [Counter.Sum] without this node's own counts.
+// SumOthers is like [Counter.Sum] without this node's own counts.
 func (c *Counter) SumOthers(now sageclock.Instant) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.all(now)
+	out := c.allNodes(now)
 	for u, n := range c.own {
 		if out[u] -= n; out[u] <= 0 {
 			delete(out, u)
@@ -148,47 +149,46 @@
 	return out
 }
 
-func (c *Counter) all(now sageclock.Instant) Counts {
-	if c.total.fresh(now, sumStale) {
-		return c.corrected()
+func (c *Counter) allNodes(now sageclock.Instant) Counts {
+	if c.total.isFresh(now, sumTimeout) {
+		return c.correctedTotal()
 	}
 	return c.sum(now, "")
 }
 
-// SumOf returns the requests in flight from this node and the others of a group, as they told
-// themselves.
+// SumGroup returns the requests in flight from this node and the other nodes of a group, by their own reports.
 func (c *Counter) SumGroup(now sageclock.Instant, group string) Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sum(now, group)
 }
 
-// corrected returns the total with this node's own counts as they are now.
-func (c *Counter) corrected() Counts {
+// correctedTotal returns the total with this node's last report replaced by its present counts.
+func (c *Counter) correctedTotal() Counts {
 	out := make(Counts, len(c.total.counts))
 	out.add(c.total.counts)
 	out.add(c.own)
-	for u, n := range c.lastTold {
+	for u, n := range c.lastReported {
 		out[u] -= min(n, out[u])
 	}
 	return out
 }
 
-// sum adds up this node's counts and those of the others, or only of those in one group.
-func (c *Counter) sum(now sageclock.Instant, only string) Counts {
+// sum adds up the counts of this node and of the others, or only of those in onlyGroup if it isn't empty.
+func (c *Counter) sum(now sageclock.Instant, onlyGroup string) Counts {
 	out := make(Counts, len(c.own))
 	out.add(c.own)
-	for node, t := range c.nodes {
+	for node, r := range c.nodes {
 		switch {
-		case !t.fresh(now, stale):
+		case !r.isFresh(now, reportTimeout):
 			delete(c.nodes, node)
-		case only != "" && t.group != only, only == "" && c.groups[t.group].fresh(now, sumStale):
+		case onlyGroup != "" && r.group != onlyGroup, onlyGroup == "" && c.groups[r.group].isFresh(now, sumTimeout):
 		default:
-			out.add(t.counts)
+			out.add(r.counts)
 		}
 	}
 	for _, g := range c.groups {
-		if only == "" && g.fresh(now, sumStale) {
+		if onlyGroup == "" && g.isFresh(now, sumTimeout) {
 			out.add(g.counts)
 		}
 	}
--- a/pkg/sageflight/counter_test.go
+++ b/pkg/sageflight/counter_test.go
@@ -10,8 +10,8 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// An engine looks busy for ever after a node that had sent to it died.
-func TestCountsOfSilentNodesAreLeftOut(t *testing.T) {
+// The requests of a node that died must not count as load on an engine for ever.
+func TestCountsOfUnresponsiveNodesExpire(t *testing.T) {
 	var c Counter
 	done := c.Start("e")
 	c.UpdateNode(sageclock.Instant(time.Second), "vm2", "north", Counts{"e": 3})
@@ -22,9 +22,9 @@
 	require.Empty(t, c.Report())
 }
 
-// Engines are filled far above their share: the node that made the sums died, and the others went on
-// with its last total instead of what they told each other.
-func TestSumsCountOnlyWhileTheyAreFresh(t *testing.T) {
+// After an aggregator died, the nodes kept using its last total instead of their own reports, and overloaded
+// engines.
+func TestSumsAreUsedOnlyWhileFresh(t *testing.T) {
 	at := func(ms int) sageclock.Instant { return sageclock.Instant(time.Duration(ms) * time.Millisecond) }
 	var c Counter
 	defer c.Start("e")()
@@ -32,22 +32,22 @@
 	c.UpdateNode(at(1000), "vm3", "south", Counts{"e": 10})
 	c.UpdateGroup(at(1000), "north", Counts{"e": 5, "f": 1})
 	require.True(t, c.HasFreshSums(at(1100)))
-	require.Equal(t, Counts{"e": 16, "f": 1}, c.Sum(at(1100)), "the sum of the north, not vm2's own count")
-	require.Equal(t, Counts{"e": 4}, c.SumGroup(at(1100), "north"), "what the nodes themselves told, for a sum of one's own")
-	require.Equal(t, Counts{"e": 14}, c.Sum(at(1800)), "the sum is too old")
+	require.Equal(t, Counts{"e": 16, "f": 1}, c.Sum(at(1100)), "the sum of the group, not vm2's own report")
+	require.Equal(t, Counts{"e": 4}, c.SumGroup(at(1100), "north"), "own reports of the nodes, for the aggregator's sum")
+	require.Equal(t, Counts{"e": 14}, c.Sum(at(1800)), "the sum has expired")
 	require.False(t, c.HasFreshSums(at(1800)))
 
 	c.UpdateTotal(at(1800), Counts{"e": 40})
-	require.Equal(t, 41, c.Sum(at(1900))["e"], "nothing of this node's was told yet")
+	require.Equal(t, 41, c.Sum(at(1900))["e"], "this node has not reported yet")
 	require.Equal(t, Counts{"e": 1}, c.Report())
 	c.UpdateTotal(at(2000), Counts{"e": 41})
 	defer c.Start("e")()
-	require.Equal(t, 42, c.Sum(at(2100))["e"], "what was told is in the total, what began since is not")
-	require.Equal(t, Counts{"e": 2}, c.Sum(at(2800)), "nobody tells any more")
+	require.Equal(t, 42, c.Sum(at(2100))["e"], "the total includes the last report, but not the request started since")
+	require.Equal(t, Counts{"e": 2}, c.Sum(at(2800)), "all reports have expired")
 }
 
-// A sum that doesn't hold this node's counts, made before they arrived, must not make counts negative.
-func TestCorrectionStaysAboveZero(t *testing.T) {
+// A total that was computed before this node's report arrived must not make counts negative.
+func TestCorrectedTotalIsNeverNegative(t *testing.T) {
 	var c Counter
 	done := c.Start("e")
 	c.Report()
--- a/pkg/sageflight/doc.go
+++ b/pkg/sageflight/doc.go
@@ -1,20 +1,20 @@
-// Package sageflight counts requests in flight by upstream over all nodes.
+// Package sageflight counts the requests in flight at each upstream from all nodes.
 //
-// A [Counter] holds this node's own counts and the last ones that each other node told. What a node
-// told long ago is left out: a dead node's requests are gone, and one that is cut off sends little.
+// A [Counter] holds the counts of this node and the last ones reported by each other node. Old reports are
+// ignored: the requests of a dead node have ended, and a node that is cut off sends few.
 //
-// In a large fleet the nodes tell all others seldom. One node of each group then gathers the counts of
-// its group often and passes sums on, to its likes in other groups the sum of its group, and to its own
-// group the total. Sums stand in for what the nodes told themselves as long as they are fresh; when the
-// node that makes them fails, the nodes' own counts take over.
+// In a large fleet, nodes report to all others only seldom. One node of each group, the aggregator, then collects
+// the counts of its group at short intervals. It sends the sum of its group to the aggregators of other groups,
+// and the total of all groups to its own group. Sums are used instead of the nodes' own reports as long as they
+// are fresh; when an aggregator fails, the nodes' own reports are used again.
 //
 // # Usage
 //
 //	c := &sageflight.Counter{}
 //	done := c.Start("engine1")
 //	defer done()
-//	c.Learn(now, "vm2", "north", sageflight.Counts{"engine1": 3})
+//	c.UpdateNode(now, "vm2", "north", sageflight.Counts{"engine1": 3})
 //	c.Sum(now)["engine1"] // 4
-//	c.LearnGroup(now, "north", sageflight.Counts{"engine1": 7}) // vm2's among them
+//	c.UpdateGroup(now, "north", sageflight.Counts{"engine1": 7}) // including those of vm2
 //	c.Sum(now)["engine1"] // 8
 package sageflight
