--- a/pkg/sagefresh/proof.go
+++ b/pkg/sagefresh/proof.go
@@ -8,24 +8,25 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// Unproven is the age of a copy that was never proven.
+// Unproven is the age of a copy without a proof.
 const Unproven = time.Duration(math.MaxInt64)
 
-// Proof is the instant up to which a copy is complete. It only rises. The zero value proves
+// Proof is the instant up to which a copy is proven to be complete. It never decreases. The zero value proves
 // nothing. It is safe for concurrent use.
 type Proof struct {
 	at atomic.Int64
 }
 
-// Own notes an answered read that was sent at the given instant.
-func (p *Proof) RecordRead(sent sageclock.Instant) { p.raise(int64(sent)) }
+// RecordRead records a successful read of the store whose request was sent at the given instant.
+func (p *Proof) RecordRead(sent sageclock.Instant) { p.advance(int64(sent)) }
 
-// Relayed notes a peer's proof: when the peer had received the stamp, its own was of the given age.
+// RecordRelayed records a peer's proof, which had the given age after the peer had received the stamp. A negative
+// age and [Unproven] are ignored.
 func (p *Proof) RecordRelayed(stamp sageclock.Instant, age time.Duration) {
 	if age < 0 || age == Unproven {
 		return
 	}
-	p.raise(int64(stamp.Add(-age)))
+	p.advance(int64(stamp.Add(-age)))
 }
 
 // Age returns how old the proof is at now, or [Unproven].
@@ -37,7 +38,7 @@
 	return max(0, now.Sub(sageclock.Instant(at)))
 }
 
-func (p *Proof) raise(at int64) {
+func (p *Proof) advance(at int64) {
 	for {
 		old := p.at.Load()
 		if at <= old || p.at.CompareAndSwap(old, at) {
--- a/pkg/sagefresh/proof_test.go
+++ b/pkg/sagefresh/proof_test.go
@@ -12,18 +12,17 @@
 
 const second = sageclock.Instant(time.Second)
 
-// A key is taken away, and a VM that slept for six seconds still lets it in: a peer's message lay in
-// the VM's socket meanwhile and says that the peer's proof is fresh. Counted from the echoed stamp,
-// the proof is as old as the sleep.
+// A VM that was suspended for six seconds accepted a revoked key: a peer's message in its socket buffer carried a
+// fresh proof. Computed from the echoed stamp, the proof is as old as the suspension.
 func TestDelayedRelayProvesNoMoreThanItsStamp(t *testing.T) {
 	var p Proof
 	stamp := 100 * second
-	wake := stamp + 6*second
+	resumed := stamp + 6*second
 	p.RecordRelayed(stamp, 200*time.Millisecond)
-	require.Equal(t, 6200*time.Millisecond, p.Age(wake))
+	require.Equal(t, 6200*time.Millisecond, p.Age(resumed))
 }
 
-func TestProofOnlyRises(t *testing.T) {
+func TestProofNeverDecreases(t *testing.T) {
 	var p Proof
 	require.Equal(t, Unproven, p.Age(second))
 	p.RecordRead(10 * second)
@@ -32,7 +31,7 @@
 	require.Equal(t, time.Second, p.Age(11*second))
 	p.RecordRelayed(20*second, Unproven)
 	p.RecordRelayed(20*second, -time.Second)
-	require.Equal(t, time.Second, p.Age(11*second), "an unproven or impossible age proves nothing")
+	require.Equal(t, time.Second, p.Age(11*second), "an unproven or negative age proves nothing")
 }
 
 func ExampleProof() {
