--- a/pkg/sagepace/doc.go
+++ b/pkg/sagepace/doc.go
@@ -1,18 +1,18 @@
-// Package sagepace estimates how fast upstreams work from what a node sees of them.
+// Package sagepace estimates the latency of upstreams from the exchanges of a node.
 //
-// A [Mean] follows how long something takes, a [Line] how a time grows with a size: how long engines read
-// a prompt, say, from the time until the first event and the tokens that had to be read. Both have a
-// defined start before there is evidence, forget what is old, and are moved little by one broken sample.
+// A [Mean] estimates a mean duration. A [Line] estimates how a duration grows with a size, for example the prefill
+// time per token from the times to the first event and the numbers of prompt tokens that weren't cached. Both
+// start from an initial value, give more weight to recent samples, and limit the effect of a single outlier.
 //
 // # Usage
 //
-//	run := &sagepace.Mean{Start: time.Second, Most: time.Minute}
-//	run.Add(820 * time.Millisecond)
-//	run.Value()
+//	serviceTime := &sagepace.Mean{Initial: time.Second, Max: time.Minute}
+//	serviceTime.Add(820 * time.Millisecond)
+//	serviceTime.Value()
 //
-//	read := &sagepace.Line{Start: 18 * time.Microsecond, Usual: 10000, Most: 10 * time.Second}
-//	read.Add(9200, 140*time.Millisecond)
-//	read.Slope() // a token
+//	prefill := &sagepace.Line{InitialSlope: 18 * time.Microsecond, TypicalSize: 10000, Max: 10 * time.Second}
+//	prefill.Add(9200, 140*time.Millisecond)
+//	prefill.Slope() // time per token
 //
 // # References
 //
--- a/pkg/sagepace/mean.go
+++ b/pkg/sagepace/mean.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// meanMemory is how many samples a mean remembers: enough that the usual scatter of run times, as wide as
-// their mean, leaves a tenth of it, and few enough that a node that sees ten a second follows in seconds.
-const meanMemory = 100
+// meanWindow is the weight in samples of the mean. With service times whose standard deviation is about their
+// mean, 100 samples give an error of a tenth, and a node with ten exchanges per second follows a change within
+// seconds.
+const meanWindow = 100
 
-// startWeight is how many samples the start counts for.
-const startWeight = 10
+// meanInitialWeight is the weight in samples of the initial value.
+const meanInitialWeight = 10
 
-// Mean is a moving mean. Start and Most are set before use; it is safe for concurrent use.
+// Mean is an exponentially weighted moving average of durations. Its exported fields are set before use. It is
+// safe for concurrent use.
 type Mean struct {
-	// Start is the value before there is evidence.
+	// Initial is the value before there are samples.
 	Initial time.Duration
-	// Most bounds one sample.
+	// Max limits one sample.
 	Max time.Duration
 
 	mu  sync.Mutex
@@ -24,17 +26,17 @@
 	sum float64
 }
 
-// Add takes a sample in. One that is negative is left out, one above Most counts as Most.
+// Add adds a sample. A negative one is ignored, and one above Max counts as Max.
 func (m *Mean) Add(d time.Duration) {
 	if d < 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.begin()
-	if m.n >= meanMemory {
-		m.sum *= (meanMemory - 1) / m.n
-		m.n = meanMemory - 1
+	m.initialize()
+	if m.n >= meanWindow {
+		m.sum *= (meanWindow - 1) / m.n
+		m.n = meanWindow - 1
 	}
 	m.sum += float64(min(d, m.Max))
 	m.n++
@@ -44,12 +46,12 @@
 func (m *Mean) Value() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.begin()
+	m.initialize()
 	return time.Duration(m.sum / m.n)
 }
 
-func (m *Mean) begin() {
+func (m *Mean) initialize() {
 	if m.n == 0 {
-		m.n, m.sum = startWeight, startWeight*float64(m.Initial)
+		m.n, m.sum = meanInitialWeight, meanInitialWeight*float64(m.Initial)
 	}
 }
