--- a/pkg/sagegossip/chooser.go
+++ b/pkg/sagegossip/chooser.go
@@ -7,87 +7,89 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Peer is a node that can be met.
+// Peer is a node with which state can be exchanged.
 type Peer struct {
 	Address    string
 	DataCentre string
 }
 
-// Gateways is how many nodes of a data centre keep up the exchange with each other data centre.
+// Gateways is how many nodes of a data centre exchange state with each other data centre.
 const Gateways = 2
 
-// Chooser picks whom this node meets next. Its fields are set before first use; it is not safe for
+// Chooser selects the peer for the next exchange. Its exported fields are set before first use. It is not safe for
 // concurrent use.
 type Chooser struct {
 	Self Peer
 	Rand *rand.Rand
 
-	round int
-	last  string
+	round      int
+	lastPicked string
 }
 
-// urgentEvery keeps urgent addresses, most of which don't answer, from taking every round.
-const urgentEvery = 3
+// urgentInterval is the number of rounds of which one contacts an urgent address. Most urgent addresses don't
+// answer, so they must not take every round.
+const urgentInterval = 3
 
-// Next returns the peer to meet in this round, or false when there is none. The peers don't
-// include this node. Addresses in first, which have to be reached for a reason such as the check of
-// a suspected node, get every third round.
-func (c *Chooser) Next(peers []Peer, first []string) (string, bool) {
+// Next returns the address for this round's exchange, or false if there is none. The peers don't include this
+// node. Urgent addresses, for example of suspected nodes that have to be checked, get every third round.
+func (c *Chooser) Next(peers []Peer, urgent []string) (string, bool) {
 	c.round++
-	if len(first) > 0 && (c.round%urgentEvery == 0 || len(peers) == 0) {
-		return first[c.Rand.IntN(len(first))], true
+	if len(urgent) > 0 && (c.round%urgentInterval == 0 || len(peers) == 0) {
+		return urgent[c.Rand.IntN(len(urgent))], true
 	}
 	if len(peers) == 0 {
 		return "", false
 	}
-	near, far := split(peers, c.Self.DataCentre)
-	duties := c.duties(near, far)
-	if len(duties) > 0 && (c.round%2 == 0 || len(near) == 0) {
-		dc := duties[(c.round/2)%len(duties)]
-		return c.pick(far[dc]), true
+	local, remote := splitByDataCentre(peers, c.Self.DataCentre)
+	targets := c.gatewayTargets(local, remote)
+	if len(targets) > 0 && (c.round%2 == 0 || len(local) == 0) {
+		dc := targets[(c.round/2)%len(targets)]
+		return c.pick(remote[dc]), true
 	}
-	if len(near) > 0 {
-		return c.pick(near), true
+	if len(local) > 0 {
+		return c.pick(local), true
 	}
 	return c.pick(peers), true
 }
 
-// pick avoids the last peer where it can, so that a small data centre is met in turn.
+// pick selects a random peer. It draws once more if the result is the last one, so that contacts in a small data
+// centre are spread evenly.
 func (c *Chooser) pick(from []Peer) string {
 	p := from[c.Rand.IntN(len(from))].Address
-	if p == c.last {
+	if p == c.lastPicked {
 		p = from[c.Rand.IntN(len(from))].Address
 	}
-	c.last = p
+	c.lastPicked = p
 	return p
 }
 
-// duties returns the data centres, in order, to which this node is a gateway.
-func (c *Chooser) duties(near []Peer, far map[string][]Peer) []string {
-	var duties []string
-	for dc := range far {
-		if c.gateway(near, dc) {
-			duties = append(duties, dc)
+// gatewayTargets returns the data centres for which this node is a gateway, in alphabetical order.
+func (c *Chooser) gatewayTargets(local []Peer, remote map[string][]Peer) []string {
+	var targets []string
+	for dc := range remote {
+		if c.isGateway(local, dc) {
+			targets = append(targets, dc)
 		}
 	}
-	sort.Strings(duties)
-	return duties
+	sort.Strings(targets)
+	return targets
 }
 
-// gateway says whether this node is among the [Gateways] highest of its data centre for dc. Nodes
-// that disagree on who is near have too many or too few gateways for a while, never a wrong answer.
-func (c *Chooser) gateway(near []Peer, dc string) bool {
-	mine := weight(c.Self.Address, dc)
-	above := 0
-	for _, p := range near {
-		if weight(p.Address, dc) > mine {
-			above++
+// isGateway reports whether this node is a gateway for dc, by rendezvous hashing among the nodes of its data
+// centre. Nodes that disagree on the members of the data centre cause too many or too few gateways for a while,
+// which affects the speed of the exchange but not its result.
+func (c *Chooser) isGateway(local []Peer, dc string) bool {
+	own := gatewayWeight(c.Self.Address, dc)
+	higher := 0
+	for _, p := range local {
+		if gatewayWeight(p.Address, dc) > own {
+			higher++
 		}
 	}
-	return above < Gateways
+	return higher < Gateways
 }
 
-func weight(addr, dc string) uint64 {
+func gatewayWeight(addr, dc string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(addr)
@@ -96,14 +98,14 @@
 	return d.Sum64()
 }
 
-func split(peers []Peer, dc string) (near []Peer, far map[string][]Peer) {
-	far = make(map[string][]Peer)
+func splitByDataCentre(peers []Peer, dc string) (local []Peer, remote map[string][]Peer) {
+	remote = make(map[string][]Peer)
 	for _, p := range peers {
 		if p.DataCentre == dc {
-			near = append(near, p)
+			local = append(local, p)
 			continue
 		}
-		far[p.DataCentre] = append(far[p.DataCentre], p)
+		remote[p.DataCentre] = append(remote[p.DataCentre], p)
 	}
-	return near, far
+	return local, remote
 }
--- a/pkg/sagegossip/doc.go
+++ b/pkg/sagegossip/doc.go
@@ -1,13 +1,13 @@
-// Package sagegossip is the anti-entropy exchange between nodes: each node, a few times a second,
-// meets a few peers, and the two bring each other up to date on every registered [Section].
+// Package sagegossip implements push-pull anti-entropy between nodes: a few times a second, each node contacts a
+// peer, and the two synchronize every registered [Section].
 //
-// What is exchanged belongs to the sections: membership heartbeats, configuration tickets, load
-// estimates. The exchange only moves their digests and deltas within a byte budget, so that what a
-// node spends doesn't grow with the number of nodes. [Chooser] picks whom to meet next: mostly a
-// node of the own data centre; gateways, which follow from the set of nodes by rendezvous hashing
-// and need no agreement, meet a node of another data centre every second time.
+// Sections define the state, for example membership heartbeats, configuration tickets or load estimates. The
+// [Engine] only exchanges their digests and deltas within a byte budget, so that a node's traffic doesn't grow
+// with the number of nodes. A [Chooser] selects the peers, usually nodes of the same data centre. Gateways contact
+// a node of another data centre in every second round; they are determined by rendezvous hashing over the known
+// nodes, without agreement.
 //
-// Nothing here does I/O or starts a goroutine; a [Transport] carries the messages.
+// The package does no I/O and starts no goroutines; a [Transport] sends the messages.
 //
 // References: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance",
 // PODC 1987, section 1.3 (anti-entropy, push-pull); Thaler and Ravishankar, "Using Name-Based
@@ -15,10 +15,10 @@
 //
 // # Usage
 //
-// A node registers its sections, in order of importance, and meets a peer now and then:
+// A node registers its sections in order of importance and contacts a peer at intervals:
 //
 //	e := &sagegossip.Engine{Sections: []sagegossip.Section{members, tickets}, Budget: 8 << 10}
-//	err := e.Exchange(ctx, caller, peer.Address)
+//	err := e.Exchange(ctx, transport, peer.Address)
 //
-// The node that is met answers Meet with [Engine.Answer] and Push with [Engine.Merge].
+// The peer answers Meet with [Engine.Answer] and Push with [Engine.Merge].
 package sagegossip
--- a/pkg/sagegossip/engine.go
+++ b/pkg/sagegossip/engine.go
@@ -10,64 +10,64 @@
 
 // Errors of an exchange.
 var (
-	// ErrSection: a section failed on what a peer sent; the other sections were served.
+	// ErrSection reports that a section rejected a peer's data. The other sections were processed.
 	ErrSection = errors.New("exchange section failed")
-	// ErrPanic: a section panicked on what a peer sent.
+	// ErrPanic reports that a section panicked on a peer's data.
 	ErrPanic = errors.New("exchange section panicked")
-	// ErrTooManyParts: a peer sent more parts than any node has sections.
+	// ErrTooManyParts reports a message with more than [MaxParts] parts.
 	ErrTooManyParts = errors.New("too many parts in an exchange")
 )
 
-// MaxParts bounds the parts of one message, so that a peer can't make a node work without end.
+// MaxParts limits the parts of one message, so that a peer can't cause unlimited work.
 const MaxParts = 64
 
-// Part is the payload of one section.
+// Part is the digest or delta of one section.
 type Part struct {
 	Section string
 	Data    []byte
 }
 
-// Transport carries the messages of an exchange to the node at an address.
+// Transport sends the messages of an exchange to the node at an address.
 type Transport interface {
-	// Meet hands over digests; the answer holds deltas and the peer's own digests.
+	// Meet sends digests. The answer holds the deltas that this node lacks and the peer's own digests.
 	Meet(ctx context.Context, addr string, digests []Part) (deltas, own []Part, err error)
-	// Push hands over deltas.
+	// Push sends the deltas that the peer lacks.
 	Push(ctx context.Context, addr string, deltas []Part) error
 }
 
-// Observer is a [Section] that wants to know how direct contacts with peers end.
+// Observer is a [Section] that is notified of direct contacts with peers.
 type Observer interface {
-	// Calling is told that the node at addr is about to be met.
+	// Contacting is called before the node at addr is contacted.
 	Contacting(addr string)
-	// Met is told that the node at addr answered, and with which digest.
+	// Contacted is called with the node's digest of this section after it has answered.
 	Contacted(addr string, digest []byte)
-	// Failed is told that the node at addr could not be met.
+	// ContactFailed is called if the node at addr did not answer.
 	ContactFailed(addr string)
 }
 
-// Engine brings this node and a peer up to date on every section. Its fields are set before first
-// use; its methods are safe for concurrent use.
+// Engine synchronizes the sections of this node with those of a peer. Its exported fields are set before first
+// use. Its methods are safe for concurrent use.
 type Engine struct {
-	// Sections in the order in which they may take from the budget.
+	// Sections are listed in the order in which they may use the budget.
 	Sections []Section
-	// Budget is the greatest number of delta bytes that one message carries.
+	// Budget is the maximum number of delta bytes in one message.
 	Budget int
 
-	panics atomic.Int64
-	bad    atomic.Int64
+	panics   atomic.Int64
+	rejected atomic.Int64
 }
 
-// Panics returns how many times a section panicked on what a peer sent.
+// Panics returns how many times a section panicked on a peer's data.
 func (e *Engine) Panics() int64 { return e.panics.Load() }
 
-// Bad returns how many parts a section refused with an error.
-func (e *Engine) Rejected() int64 { return e.bad.Load() }
+// Rejected returns how many parts were rejected with an error.
+func (e *Engine) Rejected() int64 { return e.rejected.Load() }
 
 // Digests returns the digest of each section.
 func (e *Engine) Digests() []Part {
 	parts := make([]Part, 0, len(e.Sections))
 	for _, s := range e.Sections {
-		err := e.guard(s, func() error {
+		err := e.runSection(s, func() error {
 			parts = append(parts, Part{Section: s.Name(), Data: s.Digest()})
 			return nil
 		})
@@ -76,17 +76,17 @@
 	return parts
 }
 
-// Deltas returns what a peer with these digests lacks, within the budget. A section of which the
-// peer sent no digest is left out: the peer doesn't have it.
+// Deltas returns the deltas that a peer with these digests lacks, within the budget. Sections without a digest are
+// omitted, since the peer doesn't have them.
 func (e *Engine) Deltas(digests []Part) []Part {
 	left := e.Budget
 	var parts []Part
 	for _, s := range e.Sections {
-		digest, ok := find(digests, s.Name())
+		digest, ok := findPart(digests, s.Name())
 		if !ok || left <= 0 {
 			continue
 		}
-		err := e.guard(s, func() error {
+		err := e.runSection(s, func() error {
 			d := s.Delta(digest, left)
 			if len(d) == 0 {
 				return nil
@@ -100,7 +100,7 @@
 	return parts
 }
 
-// Answer is the part of a node that is met: what the peer lacks, and the own digests.
+// Answer handles a Meet message: it returns the deltas that the peer lacks and this node's digests.
 func (e *Engine) Answer(digests []Part) (deltas, own []Part, err error) {
 	if len(digests) > MaxParts {
 		return nil, nil, fmt.Errorf("answer to %d digests: %w", len(digests), ErrTooManyParts)
@@ -108,18 +108,19 @@
 	return e.Deltas(digests), e.Digests(), nil
 }
 
-// Merge takes a peer's deltas. It serves every section and returns the first error.
+// Merge handles a Push message: it merges a peer's deltas. All sections are processed; the first error is
+// returned.
 func (e *Engine) Merge(deltas []Part) error {
 	if len(deltas) > MaxParts {
 		return fmt.Errorf("merge of %d deltas: %w", len(deltas), ErrTooManyParts)
 	}
 	var first error
 	for _, s := range e.Sections {
-		d, ok := find(deltas, s.Name())
+		d, ok := findPart(deltas, s.Name())
 		if !ok {
 			continue
 		}
-		err := e.guard(s, func() error { return s.Merge(d) })
+		err := e.runSection(s, func() error { return s.Merge(d) })
 		if err != nil && first == nil {
 			first = err
 		}
@@ -127,23 +128,23 @@
 	return first
 }
 
-// Exchange meets the node at addr. A refusal of one section's part is returned, after the other
-// sections have been served.
-func (e *Engine) Exchange(ctx context.Context, c Transport, addr string) error {
-	e.observe(func(o Observer) { o.Contacting(addr) })
-	deltas, own, err := c.Meet(ctx, addr, e.Digests())
+// Exchange runs one exchange with the node at addr. If a section rejects the peer's delta, the error is returned
+// after the other sections have been processed.
+func (e *Engine) Exchange(ctx context.Context, t Transport, addr string) error {
+	e.notifyObservers(func(o Observer) { o.Contacting(addr) })
+	deltas, own, err := t.Meet(ctx, addr, e.Digests())
 	if err != nil {
-		e.observe(func(o Observer) { o.ContactFailed(addr) })
+		e.notifyObservers(func(o Observer) { o.ContactFailed(addr) })
 		return fmt.Errorf("meet %s: %w", addr, err)
 	}
 	mergeErr := e.Merge(deltas)
-	e.observe(func(o Observer) {
-		if d, ok := find(own, o.(Section).Name()); ok {
+	e.notifyObservers(func(o Observer) {
+		if d, ok := findPart(own, o.(Section).Name()); ok {
 			o.Contacted(addr, d)
 		}
 	})
-	if back := e.Deltas(own); len(back) > 0 {
-		if err := c.Push(ctx, addr, back); err != nil {
+	if reply := e.Deltas(own); len(reply) > 0 {
+		if err := t.Push(ctx, addr, reply); err != nil {
 			return fmt.Errorf("push to %s: %w", addr, err)
 		}
 	}
@@ -153,13 +154,13 @@
 	return nil
 }
 
-func (e *Engine) observe(f func(Observer)) {
+func (e *Engine) notifyObservers(f func(Observer)) {
 	for _, s := range e.Sections {
 		o, ok := s.(Observer)
 		if !ok {
 			continue
 		}
-		err := e.guard(s, func() error {
+		err := e.runSection(s, func() error {
 			f(o)
 			return nil
 		})
@@ -167,10 +168,10 @@
 	}
 }
 
-// guard runs a section's step. A panic there is a mistake in one section that a peer's bytes
-// brought out; without the recover, one bad message that travels from node to node would end every
-// process of the fleet. The section keeps its own lock discipline by deferred unlocks.
-func (e *Engine) guard(s Section, f func() error) (err error) {
+// runSection runs one step of a section and converts a panic into an error. A panic is a bug in one section
+// triggered by a peer's data. Without the recover, one bad message passed from node to node would crash every
+// process of the fleet. Sections must release their locks with deferred unlocks.
+func (e *Engine) runSection(s Section, f func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			e.panics.Add(1)
@@ -178,13 +179,13 @@
 		}
 	}()
 	if err := f(); err != nil {
-		e.bad.Add(1)
+		e.rejected.Add(1)
 		return fmt.Errorf("section %s: %v: %w", s.Name(), err, ErrSection)
 	}
 	return nil
 }
 
-func find(parts []Part, section string) ([]byte, bool) {
+func findPart(parts []Part, section string) ([]byte, bool) {
 	for _, p := range parts {
 		if p.Section == section {
 			return p.Data, true
--- a/pkg/sagegossip/engine_test.go
+++ b/pkg/sagegossip/engine_test.go
@@ -11,55 +11,55 @@
 	"sagestand.example/sagestand/pkg/sagegossip"
 )
 
-// counter is a section that holds the greatest byte it has seen. Its peer may make it panic.
-type counter struct {
+// maxSection is a section that holds the greatest byte it has received. It panics on an empty delta.
+type maxSection struct {
 	name  string
 	value byte
 	pad   int
 }
 
-func (c *counter) Name() string   { return c.name }
-func (c *counter) Digest() []byte { return []byte{c.value} }
+func (s *maxSection) Name() string   { return s.name }
+func (s *maxSection) Digest() []byte { return []byte{s.value} }
 
-func (c *counter) Delta(digest []byte, budget int) []byte {
-	if len(digest) > 0 && digest[0] >= c.value {
+func (s *maxSection) Delta(digest []byte, budget int) []byte {
+	if len(digest) > 0 && digest[0] >= s.value {
 		return nil
 	}
-	return append([]byte{c.value}, make([]byte, min(c.pad, budget-1))...)
+	return append([]byte{s.value}, make([]byte, min(s.pad, budget-1))...)
 }
 
-func (c *counter) Merge(delta []byte) error {
-	if delta[0] > 200 { // panics on an empty delta
+func (s *maxSection) Merge(delta []byte) error {
+	if delta[0] > 200 {
 		return fmt.Errorf("value %d above 200", delta[0])
 	}
-	c.value = max(c.value, delta[0])
+	s.value = max(s.value, delta[0])
 	return nil
 }
 
-// link is a caller that hands messages straight to the peer's engine.
-type link map[string]*sagegossip.Engine
+// directTransport is a [sagegossip.Transport] that calls the peer's engine directly.
+type directTransport map[string]*sagegossip.Engine
 
-func (l link) Meet(_ context.Context, addr string, digests []sagegossip.Part) (_, _ []sagegossip.Part, err error) {
-	return l[addr].Answer(digests)
+func (d directTransport) Meet(_ context.Context, addr string, digests []sagegossip.Part) (_, _ []sagegossip.Part, err error) {
+	return d[addr].Answer(digests)
 }
 
-func (l link) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
-	return l[addr].Merge(deltas)
+func (d directTransport) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
+	return d[addr].Merge(deltas)
 }
 
-func TestExchangeBringsBothUpToDate(t *testing.T) {
-	a, b := &counter{name: "x", value: 1}, &counter{name: "x", value: 7}
-	c, d := &counter{name: "y", value: 9}, &counter{name: "y", value: 2}
+func TestExchangeSynchronizesBothNodes(t *testing.T) {
+	a, b := &maxSection{name: "x", value: 1}, &maxSection{name: "x", value: 7}
+	c, d := &maxSection{name: "y", value: 9}, &maxSection{name: "y", value: 2}
 	ea := &sagegossip.Engine{Sections: []sagegossip.Section{a, c}, Budget: 100}
 	eb := &sagegossip.Engine{Sections: []sagegossip.Section{b, d}, Budget: 100}
-	require.NoError(t, ea.Exchange(t.Context(), link{"b": eb}, "b"))
+	require.NoError(t, ea.Exchange(t.Context(), directTransport{"b": eb}, "b"))
 	require.Equal(t, []byte{7, 7, 9, 9}, []byte{a.value, b.value, c.value, d.value})
 }
 
-// A node runs a version whose section sends an empty delta. Every node that meets it crashes, is
-// restarted, meets it again. Cause: a panic in one section ended the process.
+// A node runs a version that sends an empty delta. Without the recover, every node that contacts it would crash,
+// and crash again after each restart.
 func TestPanicOfOneSectionIsContained(t *testing.T) {
-	bad, good := &counter{name: "bad"}, &counter{name: "good"}
+	bad, good := &maxSection{name: "bad"}, &maxSection{name: "good"}
 	e := &sagegossip.Engine{Sections: []sagegossip.Section{bad, good}, Budget: 100}
 	err := e.Merge([]sagegossip.Part{{Section: "bad"}, {Section: "good", Data: []byte{5}}})
 	require.ErrorIs(t, err, sagegossip.ErrPanic)
@@ -74,15 +74,15 @@
 }
 
 func TestBudgetIsSharedInOrder(t *testing.T) {
-	a, b := &counter{name: "a", value: 1, pad: 1000}, &counter{name: "b", value: 1, pad: 1000}
+	a, b := &maxSection{name: "a", value: 1, pad: 1000}, &maxSection{name: "b", value: 1, pad: 1000}
 	e := &sagegossip.Engine{Sections: []sagegossip.Section{a, b}, Budget: 600}
 	d := e.Deltas([]sagegossip.Part{{Section: "a"}, {Section: "b"}})
 	require.Len(t, d, 1)
 	require.Len(t, d[0].Data, 600)
 }
 
-// chooserOf returns the chooser of node i of n in dcs data centres, and the others as its peers.
-func chooserOf(i, n, dcs int) (*sagegossip.Chooser, []sagegossip.Peer) {
+// newChooser returns the chooser of node i of n nodes in dcs data centres, and the other nodes as its peers.
+func newChooser(i, n, dcs int) (*sagegossip.Chooser, []sagegossip.Peer) {
 	var self sagegossip.Peer
 	var peers []sagegossip.Peer
 	for j := range n {
@@ -96,13 +96,13 @@
 	return &sagegossip.Chooser{Self: self, Rand: rand.New(rand.NewPCG(1, uint64(i)))}, peers
 }
 
-// Every pair of data centres stays in touch, and at most half of a node's exchanges leave its own.
-func TestChooserKeepsDataCentresInTouch(t *testing.T) {
+// Every pair of data centres exchanges state, and at most half of a node's exchanges leave its own data centre.
+func TestChooserConnectsDataCentres(t *testing.T) {
 	for _, size := range []struct{ n, dcs int }{{8, 4}, {9, 9}, {50, 3}, {100, 9}} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			pairs := make(map[string]bool)
 			for i := range size.n {
-				c, peers := chooserOf(i, size.n, size.dcs)
+				c, peers := newChooser(i, size.n, size.dcs)
 				dcOf := make(map[string]string)
 				for _, p := range peers {
 					dcOf[p.Address] = p.DataCentre
@@ -126,10 +126,10 @@
 	}
 }
 
-// A rack of twenty nodes dies. The nodes that are left try nothing but its addresses, and their
-// own heartbeats reach nobody. Cause: urgent addresses took every round.
-func TestUrgentAddressesLeaveRoundsToTheRest(t *testing.T) {
-	c, peers := chooserOf(0, 8, 2)
+// After a rack of twenty nodes failed, their urgent addresses took every round, and the heartbeats of the other
+// nodes reached nobody.
+func TestUrgentAddressesTakeEveryThirdRound(t *testing.T) {
+	c, peers := newChooser(0, 8, 2)
 	urgent := 0
 	for range 30 {
 		if a, _ := c.Next(peers, []string{"10.9.9.9:70"}); a == "10.9.9.9:70" {
@@ -143,17 +143,17 @@
 }
 
 func BenchmarkChooser400(b *testing.B) {
-	c, peers := chooserOf(0, 400, 9)
+	c, peers := newChooser(0, 400, 9)
 	for b.Loop() {
 		c.Next(peers, nil)
 	}
 }
 
 func ExampleEngine_Exchange() {
-	a, b := &counter{name: "x", value: 1}, &counter{name: "x", value: 7}
+	a, b := &maxSection{name: "x", value: 1}, &maxSection{name: "x", value: 7}
 	ea := &sagegossip.Engine{Sections: []sagegossip.Section{a}, Budget: 100}
 	eb := &sagegossip.Engine{Sections: []sagegossip.Section{b}, Budget: 100}
-	err := ea.Exchange(context.Background(), link{"b": eb}, "b")
+	err := ea.Exchange(context.Background(), directTransport{"b": eb}, "b")
 	fmt.Println(a.value, b.value, err)
 	// Output: 7 7 <nil>
 }
