--- a/cmd/sagebench/loss.go
+++ b/cmd/sagebench/loss.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	a := sageloss.Of(d, s)
+	a := sageloss.NewAccount(d, s)
 	if _, err := fmt.Fprintf(c.OutOrStdout(), "%s: worth %.3f\n", name, a.Worth); err != nil {
 		return fmt.Errorf("write name: %w", err)
 	}
@@ -71,9 +71,9 @@
 		return fmt.Errorf("%w: open log: %v", sagecli.ErrUsage, err)
 	}
 	defer func() { _ = f.Close() }()
-	gs, err := sageloss.ReadGivenUp(f)
+	gs, err := sageloss.ReadAbandoned(f)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	return sageloss.WriteGivenUp(c.OutOrStdout(), gs)
+	return sageloss.WriteAbandoned(c.OutOrStdout(), gs)
 }
--- a/internal/sagesoak/fatal.go
+++ b/internal/sagesoak/fatal.go
@@ -47,7 +47,7 @@
 	c := f.s.sys.Caller(0)
 	defer c.Close()
 	for ctx.Err() == nil {
-		c.Send(context.WithoutCancel(ctx), standin.Reply, fatalBody)
+		c.SendOnce(context.WithoutCancel(ctx), standin.Reply, fatalBody)
 		pause(ctx, fatalEvery/2+rand.N(fatalEvery))
 	}
 }
@@ -62,7 +62,7 @@
 	all, late := len(f.ends), f.late()
 	f.mu.Unlock()
 	if s.judged() && late > mostLate {
-		s.sys.Ledger.Fault("runner %d ended as the %dth under one request, %d of them later than %v after the third", i, all, late, stopWithin)
+		s.sys.Ledger.RecordViolation("runner %d ended as the %dth under one request, %d of them later than %v after the third", i, all, late, stopWithin)
 	}
 	s.proxy(i).end()
 	f.replacing.Go(func() {
@@ -88,7 +88,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := s.sys.Replace(i, n); err != nil {
-		s.sys.Ledger.Fault("runner %d is not replaced: %v", i, err)
+		s.sys.Ledger.RecordViolation("runner %d is not replaced: %v", i, err)
 		return
 	}
 	s.mu.Lock()
@@ -107,7 +107,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if more := len(f.ends) - before; more > mostLate {
-		f.s.sys.Ledger.Fault("%d runners ended under one request in %v after all faults, %d before", more, stopWithin, before)
+		f.s.sys.Ledger.RecordViolation("%d runners ended under one request in %v after all faults, %d before", more, stopWithin, before)
 	}
 	f.s.done = append(f.s.done, fmt.Sprintf("%d runners ended under one request", len(f.ends)))
 }
--- a/internal/sagesoak/soak.go
+++ b/internal/sagesoak/soak.go
@@ -73,7 +73,7 @@
 		s.uses[f] = s.rnd.IntN(5) < 3
 	}
 	s.fatal = s.newFatal()
-	s.sys = &standin.System{Fatal: fatalBody, OnEnd: s.ended, Nodes: s.Nodes, Engines: 4, Apps: 3, Program: s.Program, Dir: s.Dir, Net: int(s.Seed%200) + 20, Advertise: s.advertise}
+	s.sys = &standin.System{FatalBody: fatalBody, OnFatalCrash: s.ended, Nodes: s.Nodes, Engines: 4, Apps: 3, Program: s.Program, Dir: s.Dir, Subnet: int(s.Seed%200) + 20, Advertise: s.advertise}
 	defer s.sys.Stop()
 	if err := s.sys.Start(ctx); err != nil {
 		return Verdict{}, fmt.Errorf("start system: %w", err)
@@ -100,7 +100,7 @@
 	if s.fatal != nil {
 		s.fatal.replacing.Wait()
 	}
-	return Verdict{Seed: s.Seed, Faults: s.sys.Ledger.Faults(), Counts: s.sys.Ledger.Counts(), Done: s.done}, nil
+	return Verdict{Seed: s.Seed, Faults: s.sys.Ledger.Violations(), Counts: s.sys.Ledger.Counts(), Done: s.done}, nil
 }
 
 func (s *Soak) advertise(address string) (string, error) {
@@ -190,14 +190,14 @@
 		s.sys.Configure()
 		return "configuration", nil
 	case 1:
-		s.sys.Revoke()
+		s.sys.RotateKey()
 		return "revoke", nil
 	case 2:
-		r.Drain(standin.DrainWithin, s.judged())
-		return "drain " + r.ID, r.Ready
+		r.Drain(standin.MaxDrainDelay, s.judged())
+		return "drain " + r.ID, r.MarkReady
 	case 3:
-		r.Withdraw(standin.DrainWithin, s.judged())
-		return "withdraw " + r.ID, r.Ready
+		r.Deregister(standin.MaxDrainDelay, s.judged())
+		return "withdraw " + r.ID, r.MarkReady
 	case 4:
 		i := s.rnd.IntN(s.Nodes)
 		s.sys.Signal(i, syscall.SIGHUP)
@@ -208,9 +208,9 @@
 
 func (s *Soak) spoil() (string, func()) {
 	r := s.runner()
-	t := [...]standin.Trouble{{Errors: 0.4}, {Hang: 0.3}, {Cut: 0.4}, {Lost: 0.3}, {Declined: 0.5}, {Foreign: 0.2}, {SlowTimes: 5}}[s.rnd.IntN(7)]
-	r.Set(t)
-	return fmt.Sprintf("%s %+v", r.ID, t), func() { r.Set(standin.Trouble{}) }
+	t := [...]standin.RunnerFaults{{Errors: 0.4}, {Hang: 0.3}, {Cut: 0.4}, {Lost: 0.3}, {Declined: 0.5}, {Foreign: 0.2}, {SlowTimes: 5}}[s.rnd.IntN(7)]
+	r.InjectFaults(t)
+	return fmt.Sprintf("%s %+v", r.ID, t), func() { r.InjectFaults(standin.RunnerFaults{}) }
 }
 
 func (s *Soak) sever() (string, func()) {
@@ -224,19 +224,19 @@
 func (s *Soak) starve() (string, func()) {
 	door := ""
 	if s.rnd.IntN(2) == 0 {
-		door = s.sys.Door(s.rnd.IntN(s.Nodes))
+		door = s.sys.StoreEndpoint(s.rnd.IntN(s.Nodes))
 	}
 	switch s.rnd.IntN(4) {
 	case 0:
-		s.sys.Store.Forget()
+		s.sys.Store.DropHistory()
 		return "history goes", nil
 	case 1:
 		s.sys.Store.SetDelay(300 * time.Millisecond)
 		return "store slow", func() { s.sys.Store.SetDelay(0) }
 	}
-	m := [...]standin.Mode{standin.Busy, standin.Silent, standin.Reset}[s.rnd.IntN(3)]
+	m := [...]standin.Mode{standin.ModeBusy, standin.ModeStalled, standin.ModeReset}[s.rnd.IntN(3)]
 	s.sys.Store.SetMode(door, m)
-	return fmt.Sprintf("store %s at %q", m, door), func() { s.sys.Store.SetMode(door, standin.Serving) }
+	return fmt.Sprintf("store %s at %q", m, door), func() { s.sys.Store.SetMode(door, standin.ModeServing) }
 }
 
 func (s *Soak) wound() (string, func()) {
@@ -261,9 +261,9 @@
 		if sig == syscall.SIGSTOP {
 			s.sys.Signal(i, syscall.SIGCONT)
 		} else {
-			<-s.sys.Ended(i)
+			<-s.sys.Exited(i)
 			if err := s.sys.StartNode(i); err != nil {
-				s.sys.Ledger.Fault("node %d does not start again: %v", i, err)
+				s.sys.Ledger.RecordViolation("node %d does not start again: %v", i, err)
 			}
 		}
 		s.mu.Lock()
@@ -277,7 +277,7 @@
 	if !s.uses[engines] && !s.uses[network] && !s.uses[nodes] && s.fatal == nil {
 		for _, k := range []standin.Kind{standin.Chat, standin.Reply} {
 			if n := s.sys.Ledger.Counts()[string(k)+" cut"]; n > 0 {
-				s.sys.Ledger.Fault("%d streams of kind %s were cut though only planned things happened", n, k)
+				s.sys.Ledger.RecordViolation("%d streams of kind %s were cut though only planned things happened", n, k)
 			}
 		}
 	}
@@ -288,6 +288,6 @@
 		}
 	}
 	if float64(served) < servedAt*lastWords {
-		s.sys.Ledger.Fault("only %d of %d requests were served %v after the last fault", served, lastWords, settle)
+		s.sys.Ledger.RecordViolation("only %d of %d requests were served %v after the last fault", served, lastWords, settle)
 	}
 }
