--- a/internal/sagerouter/cacheresync.go
+++ b/internal/sagerouter/cacheresync.go
@@ -111,9 +111,9 @@
 	if r.propagate(ctx) {
 		return
 	}
-	living := r.liveNodes()
+	live := r.liveNodes()
 	r.queryEngines(ctx, func(upstream string) bool {
-		return !isAssigned(r.Self, registered, upstream) && !r.assigneeAlive(registered, living, upstream) && isAssigned(r.Self, living, upstream)
+		return !isAssigned(r.Self, registered, upstream) && !r.assigneeAlive(registered, live, upstream) && isAssigned(r.Self, live, upstream)
 	})
 }
 
@@ -155,8 +155,8 @@
 }
 
 // assigneeAlive reports whether the registered node to which an upstream is assigned is alive.
-func (r *cacheResync) assigneeAlive(registered, living []string, upstream string) bool {
-	return slices.ContainsFunc(living, func(n string) bool { return isAssigned(n, registered, upstream) })
+func (r *cacheResync) assigneeAlive(registered, live []string, upstream string) bool {
+	return slices.ContainsFunc(live, func(n string) bool { return isAssigned(n, registered, upstream) })
 }
 
 // pollFor polls until done returns true or the time-out expires.
@@ -183,7 +183,8 @@
 	return slices.ContainsFunc(r.Peers(), func(m sagemesh.Member) bool { return m.Synced })
 }
 
-// enginesAssignable reports whether the engines are known, and the nodes among which to divide them.
+// enginesAssignable reports whether the engines are known and can be divided among the registered nodes. If the
+// registration takes too long, they are divided among the discovered nodes.
 func (r *cacheResync) enginesAssignable() bool {
 	_, ok := r.Engines()
 	return ok && (r.RegistrationDone() || time.Since(r.startedAt) > registrationTimeout)
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -35,7 +35,7 @@
 	// cacheSynced reports whether the cache resync after the start is complete.
 	cacheSynced func() bool
 	inFlight    sageflight.Counter
-	brokenNodes sageflight.Counter // by upstream, nodes whose own exchanges broke
+	brokenNodes sageflight.Counter // number of nodes whose own exchanges broke
 	health      sagehealth.Tracker
 	latencies   latencyEstimates
 	// rollouts is nil if rollouts are disabled. rolloutAnswers counts their responses by [sagerollout.CountKey].
@@ -78,8 +78,8 @@
 
 // Leaving implements [sagerelay.Fleet].
 func (f *fleet) Leaving(u *sageupstream.Entry) bool {
-	now := f.view.upstreams.Load().Get(u.ID)
-	return now == nil || now.Draining
+	current := f.view.upstreams.Load().Get(u.ID)
+	return current == nil || current.Draining
 }
 
 // Pick implements [sagerelay.Fleet].
@@ -185,8 +185,8 @@
 	return p
 }
 
-// sourceTrust returns whether cached parts can be copied from an upstream: it has to run, without broken
-// exchanges.
+// sourceTrust returns how far an upstream can be trusted as a source of cached parts: it has to be running, and
+// its exchanges must not break.
 func (f *fleet) sourceTrust(upstream string) sagechain.SourceTrust {
 	now := sageclock.Now()
 	e := f.view.upstreams.Load().Reachable(now, upstream)
--- a/internal/sagerouter/heartbeat.go
+++ b/internal/sagerouter/heartbeat.go
@@ -49,19 +49,19 @@
 }
 
 // fillSum adds the sums of the counts of this data centre's nodes, or of all nodes.
-func (n *Node) fillSum(h *sagemesh.Heartbeat, all bool) {
+func (n *Node) fillSum(h *sagemesh.Heartbeat, fleetWide bool) {
 	now := sageclock.Now()
 	sumOf := func(c *sageflight.Counter) sageflight.Counts {
-		if all {
+		if fleetWide {
 			return c.Sum(now)
 		}
 		return c.SumGroup(now, n.Settings.DataCentre)
 	}
-	h.Sum = &sagemesh.Sum{FleetWide: all, InFlight: sumOf(&n.fleet.inFlight), Broken: sumOf(&n.fleet.brokenNodes), Answers: sumOf(&n.fleet.rolloutAnswers)}
+	h.Sum = &sagemesh.Sum{FleetWide: fleetWide, InFlight: sumOf(&n.fleet.inFlight), Broken: sumOf(&n.fleet.brokenNodes), Answers: sumOf(&n.fleet.rolloutAnswers)}
 }
 
-// mergeSum updates the counters from the sum in a heartbeat. Sums from nodes that aren't aggregators are ignored,
-// and so are the fleet's totals from another data centre and the sum of this node's own one.
+// mergeSum updates the counters from the sum in an aggregator's heartbeat. Totals of the fleet are used only from
+// this data centre, and sums of a data centre only from other ones.
 func (n *Node) mergeSum(now sageclock.Instant, h *sagemesh.Heartbeat) {
 	m := h.Member()
 	local := h.DataCentre == n.Settings.DataCentre
@@ -125,8 +125,8 @@
 	return n.mesh.Interval()
 }
 
-// contentChanged sends heartbeats after a copy changed: to all peers if the change came from the store (own), and
-// to those of this data centre if it came from a peer and this node fetches for them.
+// contentChanged sends heartbeats after a copy changed: to all peers if this node read the change from the store
+// (own is true), or to those of this data centre if it came from a peer and this node fetches for them.
 func (n *Node) contentChanged(own bool) {
 	if own || n.mesh.IsFirstInDataCentre() {
 		n.mesh.TriggerHeartbeats(own)
--- a/internal/sagerouter/latency.go
+++ b/internal/sagerouter/latency.go
@@ -36,19 +36,19 @@
 	services map[string]*serviceLatency
 }
 
-func (p *latencyEstimates) of(service string) *serviceLatency {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.services == nil {
-		p.services = make(map[string]*serviceLatency)
+func (l *latencyEstimates) of(service string) *serviceLatency {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.services == nil {
+		l.services = make(map[string]*serviceLatency)
 	}
-	s := p.services[service]
+	s := l.services[service]
 	if s == nil {
 		s = &serviceLatency{
 			serviceTime: sagepace.Mean{Initial: initialServiceTime, Max: maxSampleTime},
 			prefill:     sagepace.Line{InitialSlope: initialPrefillPerToken, TypicalSize: typicalPromptTokens, Max: maxSampleTime},
 		}
-		p.services[service] = s
+		l.services[service] = s
 	}
 	return s
 }
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -42,7 +42,8 @@
 	expiryInterval = 100 * time.Millisecond
 	// DirectoryTTL is how long callers may cache a directory answer. Some cache it three times as long.
 	DirectoryTTL = time.Second
-	// maxCachedTTLs is for how many DirectoryTTL a stopping node still accepts connections.
+	// maxCachedTTLs times DirectoryTTL is the longest time for which callers use a directory answer. A stopping node
+	// accepts connections for longer.
 	maxCachedTTLs = 3
 	// exitMargin is the time that the process needs to exit after its last request.
 	exitMargin = 700 * time.Millisecond
@@ -58,8 +59,9 @@
 	// It may be this old because rollbacks are sent with heartbeats, and because a version receives no requests
 	// before its order is known.
 	orderStalenessFactor = 12
-	// bodyMemoryFraction is the fraction of the VM's memory for buffered request bodies: normal use takes a tenth,
-	// and half of the rest up to memoryLimitFraction is left for copies made when reading and sending.
+	// bodyMemoryFraction is the fraction of the VM's memory for buffered request bodies. Normal use takes a tenth of
+	// the memory. Half of what remains up to memoryLimitFraction is reserved for copies made when reading and
+	// sending.
 	bodyMemoryFraction = 0.25
 )
 
@@ -100,7 +102,7 @@
 	fetcher         *sagemesh.Fetcher
 	cacheResync     *cacheResync
 	registeredNames atomic.Pointer[[]string] // nodes registered in the store
-	storeProof      sagefresh.Proof          // answers of the store, for any kind of object
+	storeProof      sagefresh.Proof          // proof of the store's answers for any kind of object
 	// quarantine tracks the requests that crash upstreams.
 	quarantine sagequarantine.Tracker
 	leaving    atomic.Bool
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -21,7 +21,7 @@
 	// reconcileInterval is how often the quarantines in the store are compared with those of this node.
 	reconcileInterval = 200 * time.Millisecond
 	// reconcileRankDelay is the delay per rank before a node writes a difference, so that normally only the node of
-	// the lowest rank writes. Ranks above maxReconcileRank wait no longer.
+	// the lowest rank writes. It doesn't grow above maxReconcileRank.
 	reconcileRankDelay = 300 * time.Millisecond
 	maxReconcileRank   = 20
 	// reconcileTimeout limits one write. After a failed one nothing is written for reconcileRetryDelay.
--- a/internal/sagerouter/registrar.go
+++ b/internal/sagerouter/registrar.go
@@ -29,10 +29,10 @@
 type registrar struct{ node *Node }
 
 // Run registers the node, with retries, and returns when ctx ends.
-func (m *registrar) Run(ctx context.Context) error {
-	log := m.node.Log.Part("members")
+func (r *registrar) Run(ctx context.Context) error {
+	log := r.node.Log.Part("members")
 	for ctx.Err() == nil {
-		err := m.register(ctx)
+		err := r.register(ctx)
 		if err == nil {
 			break
 		}
@@ -47,41 +47,41 @@
 }
 
 // register makes one attempt to register this node and to list the others.
-func (m *registrar) register(ctx context.Context) error {
+func (r *registrar) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	if !m.node.Settings.FirstStart {
-		names, registered, err := m.list(ctx)
+	if !r.node.Settings.FirstStart {
+		names, registered, err := r.list(ctx)
 		if err != nil {
 			return err
 		}
 		if registered {
-			m.applyNames(names)
+			r.applyNames(names)
 			return nil
 		}
 	}
-	if err := m.create(ctx); err != nil {
+	if err := r.create(ctx); err != nil {
 		return err
 	}
-	names, _, err := m.list(ctx)
+	names, _, err := r.list(ctx)
 	if err != nil {
 		return err
 	}
-	m.applyNames(names)
+	r.applyNames(names)
 	return nil
 }
 
 // applyNames stores the names of the registered nodes. It sends them a heartbeat immediately, since their replies
 // would otherwise come up to one interval later.
-func (m *registrar) applyNames(names []string) {
-	m.node.registeredNames.Store(&names)
-	m.node.mesh.TriggerHeartbeats(true)
+func (r *registrar) applyNames(names []string) {
+	r.node.registeredNames.Store(&names)
+	r.node.mesh.TriggerHeartbeats(true)
 }
 
 // create writes this node's entry to the store.
-func (m *registrar) create(ctx context.Context) error {
-	n := m.node
-	spec, err := json.Marshal(m.entry())
+func (r *registrar) create(ctx context.Context) error {
+	n := r.node
+	spec, err := json.Marshal(r.entry())
 	if err != nil {
 		return fmt.Errorf("encode entry: %w", err)
 	}
@@ -91,14 +91,14 @@
 	return nil
 }
 
-func (m *registrar) entry() nodeEntry {
-	return nodeEntry{Mesh: m.node.Settings.Listen.Mesh, DataCentre: m.node.Settings.DataCentre}
+func (r *registrar) entry() nodeEntry {
+	return nodeEntry{Mesh: r.node.Settings.Listen.Mesh, DataCentre: r.node.Settings.DataCentre}
 }
 
 // list adds the registered nodes as peers and returns their names. registered reports whether this node is among
 // them with its present address.
-func (m *registrar) list(ctx context.Context) (names []string, registered bool, err error) {
-	n := m.node
+func (r *registrar) list(ctx context.Context) (names []string, registered bool, err error) {
+	n := r.node
 	d, err := sagefollow.ListAll(ctx, n.Store, n.Kinds.Nodes)
 	if err != nil {
 		return nil, false, fmt.Errorf("list nodes: %w", err)
@@ -114,7 +114,7 @@
 		if err := n.mesh.AddPeer(e.Mesh); err != nil {
 			log.Warn("Node entry has an invalid address.", "name", c.Object.Name, "err", err)
 		}
-		registered = registered || c.Object.Name == n.Settings.Node && e == m.entry()
+		registered = registered || c.Object.Name == n.Settings.Node && e == r.entry()
 	}
 	return names, registered, nil
 }
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -17,7 +17,8 @@
 const (
 	// stepInterval is how often the controller issues plans, a tenth of their lease.
 	stepInterval = 200 * time.Millisecond
-	// statusTimeout limits one write of a status. The next one starts no sooner than statusWriteDelay after it.
+	// statusTimeout limits one write of a status. Writes for the same order start at least statusTimeout plus
+	// statusWriteDelay apart.
 	statusTimeout    = time.Second
 	statusWriteDelay = 500 * time.Millisecond
 )
@@ -76,7 +77,7 @@
 	}
 }
 
-// step issues a new version of each plan.
+// step issues a new plan for each order that isn't in a final state.
 //
 // A node that can't reach the store advances plans only if no other node can reach it either: rolling back a bad
 // version doesn't depend on the store.
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -67,8 +67,8 @@
 type expirer struct{ node *Node }
 
 // Run works until ctx ends.
-func (s *expirer) Run(ctx context.Context) error {
-	n := s.node
+func (e *expirer) Run(ctx context.Context) error {
+	n := e.node
 	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
 	cleanup := time.NewTicker(recordCleanupInterval)
--- a/internal/sagerouter/view.go
+++ b/internal/sagerouter/view.go
@@ -53,10 +53,10 @@
 
 	mu                sync.Mutex
 	registry          sageupstream.Registry
-	upstreamsListed   bool            // the upstreams were listed
+	upstreamsListed   bool
 	closedDataCentres map[string]bool // nil before the data centres were listed
 	admittedVersions  versions
-	versionsHeldBack  bool // upstreams are held back for their version
+	versionsHeldBack  bool // some upstreams are excluded because of their version
 }
 
 // applyConfig applies changes of the configuration.
