--- a/internal/sageloadd/ask.go
+++ b/internal/sageloadd/ask.go
@@ -15,7 +15,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	byHome := make(map[string][]sageload.Want)
+	byHome := make(map[string][]sageload.GrantRequest)
 	live := s.live()
 	for _, u := range s.upstreams {
 		if !u.engine || hurried && !u.hasty() {
@@ -28,14 +28,14 @@
 			continue
 		}
 		units, spare := u.units(now)
-		u.holding.Spare = spare
+		u.holding.Reserve = spare
 		if u.out {
 			units = 0
 		}
 		if !u.holding.Voter && units == 0 && u.holding.InUse() == 0 {
 			continue
 		}
-		if w, ok := u.holding.Ask(now, home, units); ok {
+		if w, ok := u.holding.Request(now, home, units); ok {
 			byHome[home] = append(byHome[home], w)
 			u.wanted, u.full = w.Units, false
 		}
@@ -60,11 +60,11 @@
 			in = append(in, m)
 		}
 	}
-	return sageload.Home(u.name, u.dataCentre, in)
+	return sageload.Coordinator(u.name, u.dataCentre, in)
 }
 
 // askSelf is the ask of this router to itself as home; mu is held.
-func (s *Service) askSelf(wants []sageload.Want) {
+func (s *Service) askSelf(wants []sageload.GrantRequest) {
 	for _, w := range wants {
 		u := s.upstreams[w.Upstream]
 		s.adopt(s.grant(u, w, u.cold))
@@ -73,7 +73,7 @@
 }
 
 func (s *Service) askPeer(ctx context.Context, home string, req *allot.AskRequest) {
-	ctx, cancel := context.WithTimeout(ctx, s.Limits.Grant/2)
+	ctx, cancel := context.WithTimeout(ctx, s.Limits.GrantDuration/2)
 	defer cancel()
 	res, err := allot.NewAllotProtobufClient(s.Peers.URL(home), s.Peers.HTTP()).Ask(ctx, req)
 	s.mu.Lock()
@@ -93,26 +93,26 @@
 // adopt takes a home's answer over; mu is held.
 func (s *Service) adopt(g sageload.Grant) {
 	u := s.upstreams[g.Upstream]
-	if u == nil || !u.holding.Answer(g) {
+	if u == nil || !u.holding.ApplyGrant(g) {
 		return
 	}
 	u.full = !g.Pending && g.Units < u.wanted
-	if g.Known {
+	if g.ReportFresh {
 		u.estimate.Observe(time.Now(), g.Report)
 		u.capacity = g.Cap
 	}
 }
 
-func (s *Service) encode(home string, wants []sageload.Want) *allot.AskRequest {
+func (s *Service) encode(home string, wants []sageload.GrantRequest) *allot.AskRequest {
 	req := &allot.AskRequest{Node: s.Node, Holder: s.process, EchoHome: s.processes[home]}
 	for _, w := range wants {
-		u, echo := s.upstreams[w.Upstream], w.Echo
-		if w.Home != req.EchoHome {
+		u, echo := s.upstreams[w.Upstream], w.AdoptedSeq
+		if w.Coordinator != req.EchoHome {
 			echo = 0 // of an earlier home
 		}
 		req.Wants = append(req.Wants, &allot.Want{
 			Upstream: w.Upstream, Seq: w.Seq, Echo: echo,
-			Over: uint32(w.Over), Units: uint32(w.Units), Spare: uint32(w.Spare), Recognise: w.Recognise, Cold: u.cold,
+			Over: uint32(w.ExcessInFlight), Units: uint32(w.Units), Spare: uint32(w.Reserve), Recognise: w.Vote, Cold: u.cold,
 		})
 		u.cold = false
 	}
@@ -121,8 +121,8 @@
 
 func decodeGrant(upstream, home string, g *allot.Grant) sageload.Grant {
 	return sageload.Grant{
-		Upstream: upstream, Seq: g.Seq, Home: home, Units: int(g.Units), BootID: g.BootId, Cap: int(g.Cap),
-		Known: g.Known, Pending: g.Pending, Resigned: g.Resigned, Warm: g.Warm,
+		Upstream: upstream, Seq: g.Seq, Coordinator: home, Units: int(g.Units), BootID: g.BootId, Cap: int(g.Cap),
+		ReportFresh: g.Known, Pending: g.Pending, Resigned: g.Resigned, GuaranteedUsable: g.Warm,
 		Report: sageload.Report{BootID: g.BootId, InFlight: int(g.InFlight), CacheGeneration: g.CacheGeneration, AsOf: time.UnixMicro(g.AsOf)},
 	}
 }
--- a/internal/sageloadd/bytes_test.go
+++ b/internal/sageloadd/bytes_test.go
@@ -67,7 +67,7 @@
 		return n
 	}
 	limits := testLimits
-	limits.Grant, limits.Promise = 4*time.Second, 4*time.Second
+	limits.GrantDuration, limits.PromiseDuration = 4*time.Second, 4*time.Second
 	for i, m := range roster {
 		s := &Service{Node: m.Name, Roster: roster, Config: f, Peers: &sagepeer.Client{Key: "k"}, Limits: limits, Floor: 1, Ramp: 1}
 		servers[i].Mount(allot.NewAllotServer(s))
@@ -77,7 +77,7 @@
 			go requests(ctx, s, engines)
 		}
 	}
-	time.Sleep(3 * limits.Grant)
+	time.Sleep(3 * limits.GrantDuration)
 	before := sum()
 	time.Sleep(measured)
 	// Every byte passes one server and one client, so a node sees twice its server's share.
@@ -101,7 +101,7 @@
 	for i := range 6 {
 		ask.Wants = append(ask.Wants, &allot.Want{Upstream: fmt.Sprintf("derby-engine-%03d", i), Seq: 1 << 20, Echo: 1 << 20, Over: 2, Units: 3, Recognise: true})
 		res.Grants = append(res.Grants, encodeGrant(i, sageload.Grant{Seq: 1 << 20, Units: 3, Cap: 16,
-			BootID: shortID("a9a536d1-550e-4aad-a01f-a5568754a1a0"), Known: true, Report: sageload.Report{InFlight: 12, CacheGeneration: 3, AsOf: time.Now()}}))
+			BootID: shortID("a9a536d1-550e-4aad-a01f-a5568754a1a0"), ReportFresh: true, Report: sageload.Report{InFlight: 12, CacheGeneration: 3, AsOf: time.Now()}}))
 	}
 	t.Logf("six upstreams: ask %d bytes, answer %d bytes", proto.Size(ask), proto.Size(res))
 	require.Less(t, proto.Size(ask)+proto.Size(res), 1000, "one ask about six upstreams and its answer")
--- a/internal/sageloadd/dial.go
+++ b/internal/sageloadd/dial.go
@@ -80,7 +80,7 @@
 	if u == nil || u.holding.BootID() == boot {
 		return
 	}
-	u.holding.Seen(boot)
+	u.holding.ObserveBoot(boot)
 	s.hurry()
 }
 
--- a/internal/sageloadd/home.go
+++ b/internal/sageloadd/home.go
@@ -46,9 +46,9 @@
 		if u == nil || !u.engine {
 			continue // the asker has a newer or older configuration; it asks again
 		}
-		g := s.grant(u, sageload.Want{
-			Upstream: w.Upstream, Holder: req.Holder, Node: req.Node, Seq: w.Seq, Echo: w.Echo, Home: req.EchoHome,
-			Over: int(w.Over), Units: int(w.Units), Spare: int(w.Spare), Recognise: w.Recognise,
+		g := s.grant(u, sageload.GrantRequest{
+			Upstream: w.Upstream, Holder: req.Holder, Node: req.Node, Seq: w.Seq, AdoptedSeq: w.Echo, Coordinator: req.EchoHome,
+			ExcessInFlight: int(w.Over), Units: int(w.Units), Reserve: int(w.Spare), Vote: w.Recognise,
 		}, w.Cold)
 		res.Grants = append(res.Grants, encodeGrant(i, g))
 	}
@@ -57,7 +57,7 @@
 
 // grant answers one want as home; mu is held. The instant is read here, inside the lock, so that the
 // ledger sees time run forward.
-func (s *Service) grant(u *upstream, w sageload.Want, cold bool) sageload.Grant {
+func (s *Service) grant(u *upstream, w sageload.GrantRequest, cold bool) sageload.Grant {
 	now := time.Now()
 	l := s.ledgerOf(u)
 	if cold && now.Sub(u.restarted) > coldSpacing {
@@ -65,15 +65,15 @@
 		u.ramp.Restart()
 		s.Log.Warn("Latency says that the upstream is cold.", "upstream", u.name)
 	}
-	return l.Ask(now, w)
+	return l.HandleRequest(now, w)
 }
 
 // ledgerOf returns the ledger of an upstream; it is made once for the life of the process.
 func (s *Service) ledgerOf(u *upstream) *sageload.Ledger {
 	if u.ledger == nil {
-		u.ledger = &sageload.Ledger{Home: s.process, Limits: s.Limits, Floor: min(s.Floor, u.max), WarmAfter: warmAfter}
+		u.ledger = &sageload.Ledger{Coordinator: s.process, Limits: s.Limits, Floor: min(s.Floor, u.max), WarmAfterRequests: warmAfter}
 		for _, m := range u.electorate {
-			u.ledger.Electorate = append(u.ledger.Electorate, m.Name)
+			u.ledger.Voters = append(u.ledger.Voters, m.Name)
 		}
 		if s.resigned {
 			u.ledger.Resign()
@@ -85,7 +85,7 @@
 func encodeGrant(want int, g sageload.Grant) *allot.Grant {
 	return &allot.Grant{
 		Want: uint32(want), Seq: g.Seq, Units: uint32(g.Units), BootId: g.BootID, Cap: uint32(max(g.Cap, 0)),
-		Known: g.Known, Pending: g.Pending, Resigned: g.Resigned, Warm: g.Warm,
+		Known: g.ReportFresh, Pending: g.Pending, Resigned: g.Resigned, Warm: g.GuaranteedUsable,
 		InFlight: uint32(max(g.Report.InFlight, 0)), CacheGeneration: g.Report.CacheGeneration, AsOf: g.Report.AsOf.UnixMicro(),
 	}
 }
@@ -107,7 +107,7 @@
 }
 
 func (s *Service) probeOne(ctx context.Context, u *upstream, address string) {
-	ctx, cancel := context.WithTimeout(ctx, s.Limits.Grant/2)
+	ctx, cancel := context.WithTimeout(ctx, s.Limits.GrantDuration/2)
 	defer cancel()
 	sent := time.Now()
 	r, err := s.read(ctx, address)
@@ -121,7 +121,7 @@
 	if u.out {
 		bears = 0
 	}
-	s.ledgerOf(u).Report(time.Now(), sent, r, bears)
+	s.ledgerOf(u).RecordReport(time.Now(), sent, r, bears)
 }
 
 // read calls GET /v1/load of an upstream.
@@ -151,8 +151,8 @@
 	if err := json.Unmarshal(b, &r); err != nil {
 		return r, fmt.Errorf("decode load report: %v: %w", err, ErrBadReport)
 	}
-	if r.BootID == "" || r.InFlight < 0 || r.Bears < 0 {
-		return r, fmt.Errorf("boot id %q, in_flight %d, bears %d: %w", r.BootID, r.InFlight, r.Bears, ErrBadReport)
+	if r.BootID == "" || r.InFlight < 0 || r.Capacity < 0 {
+		return r, fmt.Errorf("boot id %q, in_flight %d, bears %d: %w", r.BootID, r.InFlight, r.Capacity, ErrBadReport)
 	}
 	r.BootID = shortID(r.BootID)
 	return r, nil
--- a/internal/sageloadd/service.go
+++ b/internal/sageloadd/service.go
@@ -99,11 +99,11 @@
 
 // Run asks, probes and grants until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	if err := s.Limits.Check(); err != nil {
+	if err := s.Limits.Validate(); err != nil {
 		return fmt.Errorf("load service: %w", err)
 	}
 	s.init()
-	period := s.Limits.Grant / asksPerGrant
+	period := s.Limits.GrantDuration / asksPerGrant
 	t := time.NewTicker(period)
 	defer t.Stop()
 	var wait sync.WaitGroup
@@ -194,7 +194,7 @@
 		}
 		return false
 	}
-	u.estimate.Dispatched()
+	u.estimate.RecordDispatch()
 	u.peak = max(u.peak, u.holding.InUse())
 	return true
 }
@@ -205,7 +205,7 @@
 	defer s.mu.Unlock()
 	if u := s.upstreams[name]; u != nil {
 		u.holding.Release()
-		u.estimate.Ended()
+		u.estimate.RecordEnd()
 	}
 }
 
@@ -247,7 +247,7 @@
 // asked for where something was placed. Asking all of a large set would be a call to each home every
 // round; a few are enough, others the next second, in case those are out or cold.
 func (s *Service) wantFirst(names []string, now time.Time) bool {
-	first := int((sageload.Spread(s.Node) + uint64(now.Unix())) % uint64(max(len(names), 1)))
+	first := int((sageload.NodeHash(s.Node) + uint64(now.Unix())) % uint64(max(len(names), 1)))
 	hasty := false
 	for i, left := 0, firstWants; i < len(names) && left > 0; i++ {
 		u := s.find(names[(first+i)%len(names)])
--- a/internal/sageloadd/service_test.go
+++ b/internal/sageloadd/service_test.go
@@ -19,8 +19,8 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-var testLimits = sageload.Limits{Grant: 200 * time.Millisecond, Promise: 200 * time.Millisecond,
-	Lifetime: time.Minute, ReportLag: 10 * time.Millisecond, Drift: 0.01}
+var testLimits = sageload.Limits{GrantDuration: 200 * time.Millisecond, PromiseDuration: 200 * time.Millisecond,
+	RequestLifetime: time.Minute, ReportLag: 10 * time.Millisecond, MaxClockDrift: 0.01}
 
 const slots = 6
 
@@ -47,7 +47,7 @@
 
 // report answers as a warm engine that is idle.
 func report(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(sageload.Report{BootID: "boot1", Slots: slots, Bears: slots, Completed: 1000, AsOf: time.Now()})
+	_ = json.NewEncoder(w).Encode(sageload.Report{BootID: "boot1", Slots: slots, Capacity: slots, Completed: 1000, AsOf: time.Now()})
 }
 
 func (f *fleet) State() *sageconfig.State { return f.state }
@@ -106,7 +106,7 @@
 		}
 		return taken >= slots-1
 	}, 20*time.Second, 20*time.Millisecond)
-	time.Sleep(2 * testLimits.Grant)
+	time.Sleep(2 * testLimits.GrantDuration)
 	for _, s := range f.nodes {
 		taken += take(s)
 	}
@@ -122,7 +122,7 @@
 func TestAnotherNodeBecomesHome(t *testing.T) {
 	f := newFleet(t)
 	roster := f.nodes[0].Roster
-	home, _ := sageload.Home("engine1", "derby", roster)
+	home, _ := sageload.Coordinator("engine1", "derby", roster)
 	var others []*Service
 	for _, s := range f.nodes {
 		if s.Node != home {
--- a/internal/sageloadd/status.go
+++ b/internal/sageloadd/status.go
@@ -39,7 +39,7 @@
 		if u.engine {
 			st.Home, _ = s.homeOf(u, live)
 		}
-		if u.ledger != nil && u.ledger.Granting(now) {
+		if u.ledger != nil && u.ledger.CanGrant(now) {
 			st.Granting, st.Committed = true, u.ledger.Committed()
 		}
 		out = append(out, st)
--- a/internal/sageloadd/upstream.go
+++ b/internal/sageloadd/upstream.go
@@ -17,7 +17,7 @@
 	out        bool // leaving, or its data centre is out of service
 	max        int
 
-	holding  sageload.Holding
+	holding  sageload.Allotment
 	estimate sageload.Estimate
 	capacity int
 	detector sageload.Detector
@@ -110,13 +110,13 @@
 
 func (s *Service) add(name string, c *sageconfig.Upstream) *upstream {
 	u := &upstream{name: name, engine: c.Kind == sageconfig.Engine, dataCentre: c.DataCentre}
-	u.estimate.Silence = silentGrants * s.Limits.Grant
-	u.ramp = sageload.Ramp{Start: 1, PerUnit: s.Ramp}
-	u.electorate = sageload.Electorate(name, c.DataCentre, s.Roster)
-	u.holding = sageload.Holding{
+	u.estimate.MaxReportAge = silentGrants * s.Limits.GrantDuration
+	u.ramp = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: s.Ramp}
+	u.electorate = sageload.Voters(name, c.DataCentre, s.Roster)
+	u.holding = sageload.Allotment{
 		Upstream: name, Holder: s.process, Node: s.Node, Limits: s.Limits, Voter: contains(u.electorate, s.Node),
-		AbstainUntil:   s.started.Add(s.Limits.Promise + s.Limits.Promise/10),
-		GuaranteedFrom: s.started.Add(s.Limits.Lifetime),
+		AbstainUntil:   s.started.Add(s.Limits.PromiseDuration + s.Limits.PromiseDuration/10),
+		GuaranteedFrom: s.started.Add(s.Limits.RequestLifetime),
 	}
 	s.upstreams[name] = u
 	return u
@@ -133,13 +133,13 @@
 		u.ramp.Restart()
 	}
 	u.out, u.address, u.max = out, c.Address, c.MaxInFlight
-	u.ramp.Max = c.MaxInFlight
+	u.ramp.MaxCap = c.MaxInFlight
 	floor := min(s.Floor, c.MaxInFlight)
 	if !u.engine {
 		floor = c.MaxInFlight
 		u.holding.Static, u.holding.GuaranteedFrom = true, time.Time{}
 	}
-	u.holding.Guaranteed = sageload.Guaranteed(u.name, s.Node, s.Roster, floor)
+	u.holding.Guaranteed = sageload.GuaranteedShare(u.name, s.Node, s.Roster, floor)
 }
 
 func contains(members []sageload.Member, name string) bool {
--- a/internal/sagemeasure/allotment.go
+++ b/internal/sagemeasure/allotment.go
@@ -34,7 +34,7 @@
 	ramps   []sageload.Ramp
 	// holdings and left are by router and engine; left is what the home last said that it could
 	// still grant.
-	holdings [][]*sageload.Holding
+	holdings [][]*sageload.Allotment
 	left     [][]int
 	// asked counts the asks on demand.
 	asked int
@@ -47,7 +47,7 @@
 	n := len(p.routers)
 	a := &allotments{p: p, rule: rule, ramps: make([]sageload.Ramp, len(p.engines))}
 	p.allotments = a
-	a.holdings, a.left = make([][]*sageload.Holding, n), make([][]int, n)
+	a.holdings, a.left = make([][]*sageload.Allotment, n), make([][]int, n)
 	var roster []sageload.Member
 	var names []string
 	for r := range n {
@@ -56,13 +56,13 @@
 		a.left[r] = make([]int, len(p.engines))
 	}
 	for i, e := range p.engines {
-		home, _ := sageload.Home(e.name, "", roster)
+		home, _ := sageload.Coordinator(e.name, "", roster)
 		a.homes = append(a.homes, slices.Index(names, home))
-		a.ledgers = append(a.ledgers, &sageload.Ledger{Home: home + ".1", Electorate: names, Limits: sageload.DefaultLimits})
-		a.ramps[i] = sageload.Ramp{Start: coldStart, PerUnit: rampWork}
+		a.ledgers = append(a.ledgers, &sageload.Ledger{Coordinator: home + ".1", Voters: names, Limits: sageload.DefaultLimits})
+		a.ramps[i] = sageload.Ramp{InitialCap: coldStart, CompletionsPerUnit: rampWork}
 		p.every(p.phase(askEvery), askEvery, func() { a.probe(i, e) })
 		for r := range n {
-			h := &sageload.Holding{Upstream: e.name, Holder: names[r] + ".1", Node: names[r], Voter: true, Limits: sageload.DefaultLimits}
+			h := &sageload.Allotment{Upstream: e.name, Holder: names[r] + ".1", Node: names[r], Voter: true, Limits: sageload.DefaultLimits}
 			a.holdings[r] = append(a.holdings[r], h)
 			p.every(p.phase(askEvery), askEvery, func() { a.ask(r, i) })
 		}
@@ -79,11 +79,11 @@
 	sent, last := a.p.instant(), e.last
 	a.p.after(hopDelay, func() {
 		r := sageload.Report{
-			BootID: fmt.Sprint(last.generation), InFlight: last.inFlight, Slots: e.slots, Bears: bears(last.completed),
+			BootID: fmt.Sprint(last.generation), InFlight: last.inFlight, Slots: e.slots, Capacity: bears(last.completed),
 			CacheGeneration: last.generation, AsOf: epoch.Add(last.asOf), Completed: uint64(last.completed),
 		}
 		bears := a.ramps[i].Observe(r)
-		a.ledgers[i].Report(a.p.instant(), sent, r, min(bears, a.bound(i, bears)))
+		a.ledgers[i].RecordReport(a.p.instant(), sent, r, min(bears, a.bound(i, bears)))
 	})
 }
 
@@ -105,16 +105,16 @@
 
 func (a *allotments) ask(r, i int) {
 	h := a.holdings[r][i]
-	h.Spare = a.rule.headroom
-	w, ok := h.Ask(a.p.instant(), routerName(a.homes[i]), h.InUse()+a.rule.headroom)
+	h.Reserve = a.rule.headroom
+	w, ok := h.Request(a.p.instant(), routerName(a.homes[i]), h.InUse()+a.rule.headroom)
 	if !ok {
 		return
 	}
 	a.p.after(hopDelay, func() {
-		g := a.ledgers[i].Ask(a.p.instant(), w)
+		g := a.ledgers[i].HandleRequest(a.p.instant(), w)
 		left := g.Cap - a.ledgers[i].Committed()
 		a.p.after(hopDelay, func() {
-			h.Answer(g)
+			h.ApplyGrant(g)
 			a.left[r][i] = left
 			a.p.update(a.p.routers[r], i)
 		})
@@ -124,21 +124,21 @@
 // acquire takes a unit for a job. The connection to the engine tells its boot first.
 func (a *allotments) acquire(j *job, i int) bool {
 	h, now := a.holdings[j.router.id][i], a.p.instant()
-	h.Seen(fmt.Sprint(a.p.engines[i].generation))
+	h.ObserveBoot(fmt.Sprint(a.p.engines[i].generation))
 	if h.Acquire(now) {
 		return true
 	}
 	if !a.rule.onDemand {
 		return false
 	}
-	h.Spare = 0
-	w, ok := h.Ask(now, routerName(a.homes[i]), h.InUse()+1)
+	h.Reserve = 0
+	w, ok := h.Request(now, routerName(a.homes[i]), h.InUse()+1)
 	if !ok {
 		return false
 	}
 	a.asked++
-	h.Answer(a.ledgers[i].Ask(now, w))
-	h.Seen(fmt.Sprint(a.p.engines[i].generation)) // the home may not know of a restart yet
+	h.ApplyGrant(a.ledgers[i].HandleRequest(now, w))
+	h.ObserveBoot(fmt.Sprint(a.p.engines[i].generation)) // the home may not know of a restart yet
 	return h.Acquire(now)
 }
 
--- a/internal/sagemeasure/cold.go
+++ b/internal/sagemeasure/cold.go
@@ -25,8 +25,8 @@
 )
 
 // coldLimits are the daemon's defaults.
-var coldLimits = sageload.Limits{Grant: 4 * time.Second, Promise: 4 * time.Second,
-	Lifetime: coldLongest, ReportLag: coldLag, Drift: 0.005}
+var coldLimits = sageload.Limits{GrantDuration: 4 * time.Second, PromiseDuration: 4 * time.Second,
+	RequestLifetime: coldLongest, ReportLag: coldLag, MaxClockDrift: 0.005}
 
 // coldScenario is a user's fleet at a load, as a part of what its warm engines bear.
 type coldScenario struct {
@@ -109,7 +109,7 @@
 func (e *coldEngine) bears() int { return bears(e.completed) }
 
 func (e *coldEngine) report() sageload.Report {
-	return sageload.Report{BootID: e.bootID(), InFlight: e.inFlight, Slots: engineSlots, Bears: e.bears(), Completed: uint64(e.completed)}
+	return sageload.Report{BootID: e.bootID(), InFlight: e.inFlight, Slots: engineSlots, Capacity: e.bears(), Completed: uint64(e.completed)}
 }
 
 func newColdWorld(sc coldScenario, p coldPolicy, seed uint64) *coldWorld {
--- a/internal/sagemeasure/coldrouter.go
+++ b/internal/sagemeasure/coldrouter.go
@@ -15,7 +15,7 @@
 
 	live     []bool
 	own      []int
-	holdings []*sageload.Holding
+	holdings []*sageload.Allotment
 	ledgers  []*sageload.Ledger
 	ramps    []sageload.Ramp
 	missed   []int
@@ -45,15 +45,15 @@
 		r.live = append(r.live, true)
 	}
 	for i, e := range w.engines {
-		h := &sageload.Holding{Upstream: e.name, Holder: process, Node: routerName(r.id), Voter: true, Limits: coldLimits,
-			Guaranteed: sageload.Guaranteed(e.name, routerName(r.id), w.roster, coldFloor)}
+		h := &sageload.Allotment{Upstream: e.name, Holder: process, Node: routerName(r.id), Voter: true, Limits: coldLimits,
+			Guaranteed: sageload.GuaranteedShare(e.name, routerName(r.id), w.roster, coldFloor)}
 		if !first {
-			h.AbstainUntil = now.Add(coldLimits.Promise + coldLimits.Promise/10)
-			h.GuaranteedFrom = now.Add(coldLimits.Lifetime + coldLimits.Lifetime/10)
+			h.AbstainUntil = now.Add(coldLimits.PromiseDuration + coldLimits.PromiseDuration/10)
+			h.GuaranteedFrom = now.Add(coldLimits.RequestLifetime + coldLimits.RequestLifetime/10)
 		}
 		r.holdings = append(r.holdings, h)
-		r.ledgers = append(r.ledgers, &sageload.Ledger{Home: process, Electorate: names, Limits: coldLimits, Floor: coldFloor, WarmAfter: coldWarmAfter})
-		r.ramps[i] = sageload.Ramp{Start: 1, PerUnit: rampWork}
+		r.ledgers = append(r.ledgers, &sageload.Ledger{Coordinator: process, Voters: names, Limits: coldLimits, Floor: coldFloor, WarmAfterRequests: coldWarmAfter})
+		r.ramps[i] = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: rampWork}
 	}
 }
 
@@ -75,7 +75,7 @@
 		}
 		r.seen[i] = rep
 		if r.home(i) == r.id {
-			r.ledgers[i].Report(w.instant(), sent.Add(coldLag), rep, r.ramps[i].Observe(rep))
+			r.ledgers[i].RecordReport(w.instant(), sent.Add(coldLag), rep, r.ramps[i].Observe(rep))
 		}
 	})
 }
@@ -89,7 +89,7 @@
 			in = append(in, r.w.roster[k])
 		}
 	}
-	best, _ = sageload.Home(r.w.engines[i].name, "", in)
+	best, _ = sageload.Coordinator(r.w.engines[i].name, "", in)
 	for k, m := range r.w.roster {
 		if m.Name == best {
 			id = k
@@ -103,7 +103,7 @@
 	w, h, life := r.w, r.holdings[i], r.life
 	to := w.routers[r.home(i)]
 	units := h.InUse() + r.missed[i] + 1
-	want, ok := h.Ask(w.instant(), routerName(to.id), units)
+	want, ok := h.Request(w.instant(), routerName(to.id), units)
 	r.missed[i] = 0
 	if !ok {
 		return
@@ -112,10 +112,10 @@
 		if w.side[r.id] != w.side[to.id] {
 			return
 		}
-		g := to.ledgers[i].Ask(w.instant(), want)
+		g := to.ledgers[i].HandleRequest(w.instant(), want)
 		w.after(coldHop, func() {
 			if r.life == life && w.side[r.id] == w.side[to.id] {
-				h.Answer(g)
+				h.ApplyGrant(g)
 			}
 		})
 	})
@@ -140,7 +140,7 @@
 	for k := range n {
 		i := (a + k) % n
 		h := r.holdings[i]
-		h.Seen(w.engines[i].bootID()) // the connection names its boot
+		h.ObserveBoot(w.engines[i].bootID()) // the connection names its boot
 		if h.Acquire(now) {
 			return i
 		}
@@ -184,12 +184,12 @@
 
 // load is the estimated load of an engine relative to what it said it bears.
 func (r *coldRouter) load(i int) float64 {
-	return float64(max(r.seen[i].InFlight, r.own[i])) / float64(max(r.seen[i].Bears, 1))
+	return float64(max(r.seen[i].InFlight, r.own[i])) / float64(max(r.seen[i].Capacity, 1))
 }
 
 // within refuses an engine that seems full.
 func (r *coldRouter) within(i int) int {
-	if r.seen[i].Bears > 0 && r.load(i) >= 1 {
+	if r.seen[i].Capacity > 0 && r.load(i) >= 1 {
 		return -1
 	}
 	return i
--- a/internal/sagemeasure/replay.go
+++ b/internal/sagemeasure/replay.go
@@ -33,7 +33,7 @@
 	engines []*engine
 	routers []*router
 	tokens  map[uint64]string
-	sealer  sageplace.Sealer
+	sealer  sageplace.TokenSigner
 	results []result
 	// inService says which data centres operators have in service.
 	inService []bool
@@ -59,7 +59,7 @@
 	}
 	p := &replay{
 		site: s, variant: v, trace: trace, rand: rand.New(rand.NewPCG(seed, 0x6c61)),
-		tokens: make(map[uint64]string), sealer: sageplace.Sealer{Keys: [][]byte{[]byte("measure")}},
+		tokens: make(map[uint64]string), sealer: sageplace.TokenSigner{Keys: [][]byte{[]byte("measure")}},
 		results: make([]result, len(trace)), inService: make([]bool, s.dataCentres),
 	}
 	for i := range p.inService {
@@ -77,7 +77,7 @@
 		for e := range r.sees {
 			r.sees[e] = true
 			r.last[e] = report{completed: 1000}
-			r.estimates = append(r.estimates, sageload.Estimate{Silence: silentAfter})
+			r.estimates = append(r.estimates, sageload.Estimate{MaxReportAge: silentAfter})
 		}
 		p.routers = append(p.routers, r)
 		p.boot(r)
@@ -129,7 +129,7 @@
 			return
 		}
 	}
-	p.results[j.number] = result{refused: sageplace.Over, at: p.now, tries: len(j.tried)}
+	p.results[j.number] = result{refused: sageplace.ReasonAllAtBound, at: p.now, tries: len(j.tried)}
 }
 
 // waits reports whether the job should wait for a unit, as the daemon lets it: while an upstream has
@@ -139,16 +139,16 @@
 	if p.allotments == nil || p.now >= j.at+unitWait {
 		return false
 	}
-	c := r.policy.Choose(p.instant(), r.table, r.loads.WithUnits(), p.query(j, j.tried))
+	c := r.policy.Choose(p.instant(), r.table, r.loads.WithFreeUnits(), p.query(j, j.tried))
 	return c.Index >= 0
 }
 
 // query is what the router's policy is asked for a job.
 func (p *replay) query(j *job, passed []int) *sageplace.Query {
 	r := j.router
-	q := &sageplace.Query{Context: j.context, Chat: j.chat, Place: p.place(j)}
+	q := &sageplace.Query{Context: j.context, Chat: j.chat, Location: p.place(j)}
 	if p.variant.yield {
-		q.Yield = sageplace.DefaultYield[j.priority]
+		q.Headroom = sageplace.DefaultHeadroom[j.priority]
 	}
 	for _, i := range passed {
 		if k := slices.Index(r.at, i); k >= 0 {
@@ -159,26 +159,26 @@
 }
 
 // choose returns the engine that the router's policy takes.
-func (p *replay) choose(j *job, passed []int) (int, sageplace.Why) {
+func (p *replay) choose(j *job, passed []int) (int, sageplace.Reason) {
 	r := j.router
 	c := r.policy.Choose(p.instant(), r.table, r.loads, p.query(j, passed))
 	if _, sees := r.policy.(*seer); sees || c.Index < 0 {
-		return c.Index, c.Why
+		return c.Index, c.Reason
 	}
-	return r.at[c.Index], c.Why
+	return r.at[c.Index], c.Reason
 }
 
-func (p *replay) place(j *job) sageplace.Place {
+func (p *replay) place(j *job) sageplace.Location {
 	if p.variant.token {
-		if at, ok := p.sealer.Open(p.tokens[j.chat], "", j.chatName, p.instant()); ok {
+		if at, ok := p.sealer.Verify(p.tokens[j.chat], "", j.chatName, p.instant()); ok {
 			return at
 		}
 	}
 	if p.variant.memory {
-		at, _ := j.router.memory.Place(j.chat)
+		at, _ := j.router.memory.Lookup(j.chat)
 		return at
 	}
-	return sageplace.Place{}
+	return sageplace.Location{}
 }
 
 // ended takes a job back from its engine; a lost one is sent to another engine, being idempotent.
@@ -196,11 +196,11 @@
 	p.results[j.number] = result{
 		done: true, at: p.now, cached: j.cached, engine: j.engine, started: j.started, tries: len(j.tried) + 1,
 	}
-	at := sageplace.Place{Upstream: sageplace.Key(j.engine.name), Generation: j.engine.generation}
+	at := sageplace.Location{Upstream: sageplace.Key(j.engine.name), Generation: j.engine.generation}
 	if p.variant.token {
-		p.tokens[j.chat] = p.sealer.Seal("", j.chatName, at, p.instant().Add(tokenLife))
+		p.tokens[j.chat] = p.sealer.Sign("", j.chatName, at, p.instant().Add(tokenLife))
 	}
 	if p.variant.memory {
-		r.memory.Stored(j.chat, at.Upstream, at.Generation)
+		r.memory.RecordStored(j.chat, at.Upstream, at.Generation)
 	}
 }
--- a/internal/sagemeasure/result.go
+++ b/internal/sagemeasure/result.go
@@ -10,7 +10,7 @@
 // result is the end of one request of the trace.
 type result struct {
 	done    bool
-	refused sageplace.Why
+	refused sageplace.Reason
 	at      time.Duration // when it ended
 	cached  int
 	engine  *engine
--- a/internal/sagemeasure/router.go
+++ b/internal/sagemeasure/router.go
@@ -17,7 +17,7 @@
 	at     []int // engine of each place in the table
 	loads  *sageplace.Loads
 	policy sageplace.Policy
-	memory *sageplace.Evidence
+	memory *sageplace.PrefixLocations
 	own    []int
 	last   []report
 	// estimates are the real ones of the daemon, one an engine.
@@ -34,7 +34,7 @@
 // boot gives a router a new process: it forgets what it remembered.
 func (p *replay) boot(r *router) {
 	r.policy = p.variant.policy(p)
-	r.memory = sageplace.NewEvidence(1 << 14)
+	r.memory = sageplace.NewPrefixLocations(1 << 14)
 	p.rebuild(r)
 }
 
@@ -102,9 +102,9 @@
 		if r.sees[i] != candidate {
 			r.sees[i] = candidate
 			// A new one is unknown, and cold.
-			r.last[i], r.estimates[i] = report{}, sageload.Estimate{Silence: silentAfter}
+			r.last[i], r.estimates[i] = report{}, sageload.Estimate{MaxReportAge: silentAfter}
 			for range r.own[i] {
-				r.estimates[i].Dispatched()
+				r.estimates[i].RecordDispatch()
 			}
 			p.rebuild(r)
 		}
@@ -122,9 +122,9 @@
 func (p *replay) count(r *router, i, n int) {
 	r.own[i] += n
 	if n > 0 {
-		r.estimates[i].Dispatched()
+		r.estimates[i].RecordDispatch()
 	} else {
-		r.estimates[i].Ended()
+		r.estimates[i].RecordEnd()
 	}
 	p.update(r, i)
 }
--- a/internal/sagemeasure/skew.go
+++ b/internal/sagemeasure/skew.go
@@ -8,7 +8,7 @@
 )
 
 // promised is the multiple of the mean that no engine is to exceed.
-const promised = sageplace.DefaultMultiple
+const promised = sageplace.DefaultLoadBound
 
 // Skew measures how unevenly the engines are loaded: Zipf accounts, at haller with a context that
 // three chats of ten share, while each 15 seconds a router loses sight of an engine for 10 seconds.
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -27,7 +27,7 @@
 // under allotments of what each engine bears.
 var ours = variant{
 	name: "sagestand", token: true, yield: true,
-	allot: &allotRule{multiple: noMultiple, headroom: 1, onDemand: true}, policy: byLoad(sageplace.Aims(promised)),
+	allot: &allotRule{multiple: noMultiple, headroom: 1, onDemand: true}, policy: byLoad(sageplace.LoadBounds(promised)),
 }
 
 // noMultiple leaves the allotments of an engine at what it bears.
@@ -56,19 +56,19 @@
 
 func byLoad(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.ByLoad]{Bound: bound, Fresh: fresh, Width: sageplace.NewByLoad(1024)}
+		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(1024)}
 	}
 }
 
 func byShare(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.ByShare]{Bound: bound, Fresh: fresh, Width: sageplace.NewByShare(1024)}
+		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByShare(1024)}
 	}
 }
 
 func narrow(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[sageplace.Narrow]{Bound: bound, Fresh: fresh}
+		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: fresh}
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 // seerBound is the bound of the oracle, the same as ours.
-var seerBound, _ = sageplace.Aims(promised)
+var seerBound, _ = sageplace.LoadBounds(promised)
 
 // seer is the oracle: it sees the true caches and loads of all engines without lag, and sends each
 // request to the one under the bound that holds most of its prompt, the least loaded of these.
@@ -111,9 +111,9 @@
 		}
 	}
 	if best < 0 {
-		return sageplace.Choice{Index: -1, Why: sageplace.Over}
+		return sageplace.Choice{Index: -1, Reason: sageplace.ReasonAllAtBound}
 	}
-	return sageplace.Choice{Index: best, Why: sageplace.First}
+	return sageplace.Choice{Index: best, Reason: sageplace.ReasonHashOrder}
 }
 
 // usable reports whether an engine is a candidate in truth.
--- a/internal/sagenode/load.go
+++ b/internal/sagenode/load.go
@@ -30,9 +30,9 @@
 	return &sageloadd.Service{
 		Node: cfg.Listen.Peer, Roster: roster, Live: n.liveMembers, Config: conf, Peers: peers,
 		Limits: sageload.Limits{
-			Grant: millis(cfg.Load.GrantMillis), Promise: millis(cfg.Load.PromiseMillis),
-			Lifetime: millis(cfg.Limits.DeadlineMillis) + cutSlack, ReportLag: millis(cfg.Load.ReportLagMillis),
-			Drift: clockDrift,
+			GrantDuration: millis(cfg.Load.GrantMillis), PromiseDuration: millis(cfg.Load.PromiseMillis),
+			RequestLifetime: millis(cfg.Limits.DeadlineMillis) + cutSlack, ReportLag: millis(cfg.Load.ReportLagMillis),
+			MaxClockDrift: clockDrift,
 		},
 		Floor: cfg.Load.Floor, Ramp: uint64(cfg.Load.RampCompletions), Log: n.Log.Part("load"),
 	}
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -163,7 +163,7 @@
 	k.Register("retry", retries)
 	placement := &sageplacement.Service{
 		Config: conf, Load: load, Circuits: retries, Multiple: cfg.Placement.LoadBound,
-		Sealer:     sageplace.Sealer{Keys: [][]byte{[]byte(n.peerKey)}},
+		Sealer:     sageplace.TokenSigner{Keys: [][]byte{[]byte(n.peerKey)}},
 		TokenValid: millis(cfg.Placement.TokenValidMillis), Metrics: n.metrics,
 	}
 	k.Register("placement", placement)
--- a/internal/sageplacement/doc.go
+++ b/internal/sageplacement/doc.go
@@ -12,6 +12,6 @@
 // # Usage
 //
 //	p := &sageplacement.Service{Config: cfg, Load: load, Multiple: settings.Placement.LoadBound,
-//		Sealer: sageplace.Sealer{Keys: [][]byte{key}}, TokenValid: time.Hour, Metrics: set}
+//		Sealer: sageplace.TokenSigner{Keys: [][]byte{key}}, TokenValid: time.Hour, Metrics: set}
 //	pick, ref := p.Pick(ctx, r, tried)
 package sageplacement
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -41,7 +41,7 @@
 	// Multiple is the multiple of the mean load that no upstream is to exceed.
 	Multiple float64
 	// Sealer makes and opens the placement tokens, which hold for TokenValid.
-	Sealer     sageplace.Sealer
+	Sealer     sageplace.TokenSigner
 	TokenValid time.Duration
 	// Metrics may be nil.
 	Metrics *metrics.Set
@@ -51,8 +51,8 @@
 	groups   map[groupKey]*group
 	uses     uint64
 	ended    uint64 // requests given back so far
-	placer   *sageplace.Placer[*sageplace.ByLoad]
-	evidence *sageplace.Evidence
+	placer   *sageplace.Placer[*sageplace.WidthByLoad]
+	evidence *sageplace.PrefixLocations
 }
 
 // Pick implements [sageentry.Placement]. It waits for a unit while an upstream has room that this
@@ -94,7 +94,7 @@
 		name := g.table.Upstreams[c.Index].Name
 		if s.Load.Acquire(name, now) {
 			if s.lets(now, name, r.Deadline) {
-				s.count(c.Why)
+				s.count(c.Reason)
 				return s.pick(now, r, g, c.Index), nil, false
 			}
 		} else if now.Before(preferUntil) {
@@ -111,10 +111,10 @@
 			continue
 		}
 		if c.Index < 0 {
-			return s.wanted(now, r, g, q, c.Why == sageplace.Empty && !passed)
+			return s.wanted(now, r, g, q, c.Reason == sageplace.ReasonNoCandidate && !passed)
 		}
 		if s.take(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
-			s.count(c.Why)
+			s.count(c.Reason)
 			return s.pick(now, r, g, c.Index), nil, false
 		}
 		// The allotment went since the loads were read, or the circuit is open. The upstream is
@@ -130,12 +130,12 @@
 // It guards against refusing what the fleet has room for: units lie with the routers that last used
 // them, so a router whose callers have just turned to it holds none, while the upstreams idle.
 func (s *Service) wanted(now time.Time, r *sageentry.Request, g *group, q *sageplace.Query, allTried bool) (*sageentry.Pick, *sagewire.Refusal, bool) {
-	c := s.placer.Choose(now, g.table, g.loads.WithUnits(), q)
+	c := s.placer.Choose(now, g.table, g.loads.WithFreeUnits(), q)
 	if c.Index >= 0 && s.take(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
-		s.count(c.Why)
+		s.count(c.Reason)
 		return s.pick(now, r, g, c.Index), nil, false
 	}
-	s.count(sageplace.Over)
+	s.count(sageplace.ReasonAllAtBound)
 	return nil, refuse(now, r, g, allTried), c.Index >= 0
 }
 
@@ -146,11 +146,11 @@
 // units of the upstreams that it uses, so one that it never reaches would never be asked for.
 func (s *Service) lacking(now time.Time, g *group, q *sageplace.Query) sageplace.Choice {
 	none := sageplace.Choice{Index: -1}
-	if !g.loads.Short() {
+	if !g.loads.LacksUnits() {
 		return none
 	}
-	c := s.placer.Choose(now, g.table, g.loads.WithUnits(), q)
-	if c.Why != sageplace.Kept && c.Why != sageplace.First || g.loads.At(c.Index).Free > 0 {
+	c := s.placer.Choose(now, g.table, g.loads.WithFreeUnits(), q)
+	if c.Reason != sageplace.ReasonCachedPrefix && c.Reason != sageplace.ReasonHashOrder || g.loads.At(c.Index).Free > 0 {
 		return none
 	}
 	return c
@@ -191,9 +191,9 @@
 // the first request after it, so nothing is placed by an earlier state.
 func (s *Service) group(state *sageconfig.State, key groupKey) *group {
 	if s.placer == nil {
-		bound, fresh := sageplace.Aims(s.Multiple)
-		s.placer = &sageplace.Placer[*sageplace.ByLoad]{Bound: bound, Fresh: fresh, Width: sageplace.NewByLoad(hotContexts)}
-		s.evidence = sageplace.NewEvidence(evidenceSize)
+		bound, fresh := sageplace.LoadBounds(s.Multiple)
+		s.placer = &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(hotContexts)}
+		s.evidence = sageplace.NewPrefixLocations(evidenceSize)
 	}
 	if s.state != state {
 		s.state, s.groups = state, make(map[groupKey]*group)
@@ -227,7 +227,7 @@
 // query says what the request is to placement. Contexts are told apart by upstream set: the width of
 // one belongs to the engines it is spread over.
 func (s *Service) query(now time.Time, r *sageentry.Request, key groupKey) *sageplace.Query {
-	q := &sageplace.Query{Request: sageplace.Key(r.ID), Yield: sageplace.DefaultYield[r.Priority]}
+	q := &sageplace.Query{Request: sageplace.Key(r.ID), Headroom: sageplace.DefaultHeadroom[r.Priority]}
 	if r.Context != "" {
 		q.Context = sageplace.Key(key.set + "/" + r.Context)
 	}
@@ -235,10 +235,10 @@
 		return q
 	}
 	q.Chat = chatKey(r)
-	if place, ok := s.Sealer.Open(r.Token, r.Account, r.ChatID, now); ok {
-		q.Place = place
-	} else if place, ok := s.evidence.Place(q.Chat); ok {
-		q.Place = place
+	if place, ok := s.Sealer.Verify(r.Token, r.Account, r.ChatID, now); ok {
+		q.Location = place
+	} else if place, ok := s.evidence.Lookup(q.Chat); ok {
+		q.Location = place
 	}
 	return q
 }
@@ -246,31 +246,31 @@
 func chatKey(r *sageentry.Request) uint64 { return sageplace.Key(r.Account + "/" + r.ChatID) }
 
 func (s *Service) pick(now time.Time, r *sageentry.Request, g *group, i int) *sageentry.Pick {
-	g.loads.Add(i, 1)
+	g.loads.AddRequests(i, 1)
 	u, name := g.upstreams[i], g.table.Upstreams[i].Name
 	p := &sageentry.Pick{Upstream: name, Address: u.Address, Engine: u.Kind == sageconfig.Engine}
-	place := sageplace.Place{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
+	place := sageplace.Location{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
 	if p.Engine {
-		p.Token = s.Sealer.Seal(r.Account, r.ChatID, place, now.Add(s.TokenValid))
+		p.Token = s.Sealer.Sign(r.Account, r.ChatID, place, now.Add(s.TokenValid))
 	}
 	var once sync.Once
 	p.Done = func(res *sagedispatch.Result) { once.Do(func() { s.done(r, g, i, place, res) }) }
 	return p
 }
 
-func (s *Service) done(r *sageentry.Request, g *group, i int, place sageplace.Place, res *sagedispatch.Result) {
+func (s *Service) done(r *sageentry.Request, g *group, i int, place sageplace.Location, res *sagedispatch.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, name := time.Now(), g.table.Upstreams[i].Name
 	completed := res != nil && res.Outcome == sagewire.Complete
 	s.Load.Release(name, now, completed)
-	g.loads.Add(i, -1)
+	g.loads.AddRequests(i, -1)
 	s.ended++
 	if s.Circuits != nil {
 		s.Circuits.Ended(now, name, res)
 	}
 	if completed && r.Kind == sageconfig.RouteChat && r.ChatID != "" {
-		s.evidence.Stored(chatKey(r), place.Upstream, place.Generation)
+		s.evidence.RecordStored(chatKey(r), place.Upstream, place.Generation)
 	}
 }
 
@@ -290,11 +290,11 @@
 }
 
 var whyNames = [...]string{
-	sageplace.Empty: "empty", sageplace.Over: "over", sageplace.Kept: "kept",
-	sageplace.First: "first", sageplace.Spilled: "spilled", sageplace.Silent: "silent",
+	sageplace.ReasonNoCandidate: "empty", sageplace.ReasonAllAtBound: "over", sageplace.ReasonCachedPrefix: "kept",
+	sageplace.ReasonHashOrder: "first", sageplace.ReasonSpilled: "spilled", sageplace.ReasonLoadUnknown: "silent",
 }
 
-func (s *Service) count(why sageplace.Why) {
+func (s *Service) count(why sageplace.Reason) {
 	if s.Metrics != nil {
 		s.Metrics.GetOrCreateCounter(fmt.Sprintf("sagestand_placements_total{rule=%q}", whyNames[why])).Inc()
 	}
--- a/internal/sageplacement/service_test.go
+++ b/internal/sageplacement/service_test.go
@@ -67,7 +67,7 @@
 	)
 	l := &OwnLoad{Config: c}
 	s := &Service{Config: c, Load: l, Multiple: 1.5, TokenValid: time.Hour, Metrics: metrics.NewSet(),
-		Sealer: sageplace.Sealer{Keys: [][]byte{[]byte("key")}}}
+		Sealer: sageplace.TokenSigner{Keys: [][]byte{[]byte("key")}}}
 	return s, c, l
 }
 
--- a/internal/sagestandin/platform.go
+++ b/internal/sagestandin/platform.go
@@ -166,7 +166,7 @@
 		http.Error(w, "expected version: not a number", http.StatusBadRequest)
 		return
 	}
-	b, err := io.ReadAll(io.LimitReader(r.Body, sageobject.MaxValue+1))
+	b, err := io.ReadAll(io.LimitReader(r.Body, sageobject.MaxValueBytes+1))
 	if err != nil {
 		http.Error(w, "read body: "+err.Error(), http.StatusBadRequest)
 		return
--- a/pkg/sageclaim/book.go
+++ b/pkg/sageclaim/book.go
@@ -56,7 +56,7 @@
 }
 
 // maxLines bounds a decompressed object, so that a small malformed one can't fill the memory.
-const maxLines = 4 * sageobject.MaxValue
+const maxLines = 4 * sageobject.MaxValueBytes
 
 // DecodeBook decodes and checks a claim object.
 func DecodeBook(value []byte) (*Book, error) {
--- a/pkg/sageclaim/committer.go
+++ b/pkg/sageclaim/committer.go
@@ -27,7 +27,7 @@
 )
 
 // maxObject is the size at which an object takes no more claims; the rest is left for finishes.
-const maxObject = sageobject.MaxValue * 3 / 4
+const maxObject = sageobject.MaxValueBytes * 3 / 4
 
 // maxConflicts bounds the conditional updates of one commit that lose against another committer.
 const maxConflicts = 32
--- a/pkg/sageload/detect.go
+++ b/pkg/sageload/detect.go
@@ -8,9 +8,9 @@
 // the request, such as the time to the first token per uncached prompt token.
 type Detector struct {
 	// Enter and Leave are multiples of the usual latency; Enter > Leave. Zero means 3 and 1.5.
-	Enter, Leave float64
+	EnterFactor, LeaveFactor float64
 	// Samples is how many in a row must be beyond a threshold; zero means 8.
-	Samples int
+	MinSamples int
 
 	fast, slow float64
 	n          int
@@ -70,22 +70,22 @@
 }
 
 func (d *Detector) enter() float64 {
-	if d.Enter > 0 {
-		return d.Enter
+	if d.EnterFactor > 0 {
+		return d.EnterFactor
 	}
 	return 3
 }
 
 func (d *Detector) leave() float64 {
-	if d.Leave > 0 {
-		return d.Leave
+	if d.LeaveFactor > 0 {
+		return d.LeaveFactor
 	}
 	return 1.5
 }
 
 func (d *Detector) samples() int {
-	if d.Samples > 0 {
-		return d.Samples
+	if d.MinSamples > 0 {
+		return d.MinSamples
 	}
 	return 8
 }
--- a/pkg/sageload/doc.go
+++ b/pkg/sageload/doc.go
@@ -5,7 +5,7 @@
 //   - An [Estimate] joins the last load report of an upstream, which lags, with the router's own
 //     dispatches since. Silence is unknown load, not no load.
 //   - In-flight allotments bound what an upstream carries. Each upstream has one home node
-//     ([Home]), whose [Ledger] grants routers shares of the upstream's cap; a router's [Holding]
+//     ([Coordinator]), whose [Ledger] grants routers shares of the upstream's cap; a router's [Allotment]
 //     lets a request go only while it holds an unused unit.
 //   - A [Ramp] says what an upstream bears now. It starts low and grows with completed work. A
 //     [Detector] restarts it when latency shows a cold upstream that gave no notice.
@@ -14,9 +14,9 @@
 //
 // At every instant the requests in flight at one boot of an upstream are at most the greatest cap
 // that its homes have used since the oldest of these requests began. The cap includes the
-// guaranteed shares ([Guaranteed]), which need no grant. No clock is compared with another: a
+// guaranteed shares ([GuaranteedShare]), which need no grant. No clock is compared with another: a
 // holder counts a grant's deadline from when it asked, the granter from when it answered, and
-// [Limits.Drift] covers different clock rates. What has to be assumed stands at [Limits] and in
+// [Limits.MaxClockDrift] covers different clock rates. What has to be assumed stands at [Limits] and in
 // docs/design/allotments.md.
 //
 // A home may grant only while most of the upstream's electorate has promised to recognise no
--- a/pkg/sageload/estimate.go
+++ b/pkg/sageload/estimate.go
@@ -7,7 +7,7 @@
 // without the correction all of them would send to the upstream that looked idle.
 type Estimate struct {
 	// Silence is how long a report counts; later the load is unknown.
-	Silence time.Duration
+	MaxReportAge time.Duration
 
 	report  Report
 	at      time.Time // when the report arrived
@@ -17,10 +17,10 @@
 }
 
 // Dispatched counts a request sent to the upstream.
-func (e *Estimate) Dispatched() { e.own++; e.pending++ }
+func (e *Estimate) RecordDispatch() { e.own++; e.pending++ }
 
 // Ended counts a request that is no longer in flight.
-func (e *Estimate) Ended() {
+func (e *Estimate) RecordEnd() {
 	e.own = max(0, e.own-1)
 	e.pending = min(e.pending, e.own)
 	e.recent = min(e.recent, e.own-e.pending)
@@ -45,7 +45,7 @@
 
 // Known reports whether the last report is recent enough to be believed.
 func (e *Estimate) Known(now time.Time) bool {
-	return !e.at.IsZero() && now.Sub(e.at) < e.Silence
+	return !e.at.IsZero() && now.Sub(e.at) < e.MaxReportAge
 }
 
 // Report returns the last report.
--- a/pkg/sageload/example_test.go
+++ b/pkg/sageload/example_test.go
@@ -11,17 +11,17 @@
 // process may have made, learns the load and then grants itself six of eight units.
 func Example() {
 	limits := sageload.DefaultLimits
-	home := &sageload.Ledger{Home: "entry1.1", Electorate: []string{"entry1"}, Limits: limits}
-	router := &sageload.Holding{Upstream: "engine1", Holder: "entry1.1", Node: "entry1", Voter: true, Limits: limits}
-	ramp := &sageload.Ramp{Start: 2, PerUnit: 4}
+	home := &sageload.Ledger{Coordinator: "entry1.1", Voters: []string{"entry1"}, Limits: limits}
+	router := &sageload.Allotment{Upstream: "engine1", Holder: "entry1.1", Node: "entry1", Voter: true, Limits: limits}
+	ramp := &sageload.Ramp{InitialCap: 2, CompletionsPerUnit: 4}
 
 	now := time.Unix(0, 0)
 	for range 20 {
 		now = now.Add(time.Second / 2)
-		r := sageload.Report{BootID: "b1", Bears: 8, Completed: 100}
-		home.Report(now, now, r, ramp.Observe(r))
-		if w, ok := router.Ask(now, "entry1", 6); ok {
-			router.Answer(home.Ask(now, w))
+		r := sageload.Report{BootID: "b1", Capacity: 8, Completed: 100}
+		home.RecordReport(now, now, r, ramp.Observe(r))
+		if w, ok := router.Request(now, "entry1", 6); ok {
+			router.ApplyGrant(home.HandleRequest(now, w))
 		}
 	}
 	ok := router.Acquire(now)
--- a/pkg/sageload/holding.go
+++ b/pkg/sageload/holding.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Want is a router's ask to the home of one upstream. It is also the router's recognition of the
+// GrantRequest is a router's ask to the home of one upstream. It is also the router's recognition of the
 // asked node as home.
-type Want struct {
+type GrantRequest struct {
 	Upstream string
 	// Holder names one process of one router.
 	Holder string
@@ -13,56 +13,56 @@
 	// Seq grows with each ask of a holder.
 	Seq uint64
 	// Echo is the Seq of the last answer that the holder adopted from this home; 0 for none.
-	Echo uint64
-	// Home is the process that gave the echoed answer.
-	Home string
+	AdoptedSeq uint64
+	// Coordinator is the process that gave the echoed answer.
+	Coordinator string
 	// Over is the number of requests in flight beyond the guaranteed share.
-	Over int
+	ExcessInFlight int
 	// Units is the number the holder would like, beyond the guaranteed share.
 	Units int
 	// Spare says how many of Units are only to be held in reserve; they yield to needs of others.
-	Spare int
-	// Recognise promises to recognise no other home until [Limits.Promise] has passed.
-	Recognise bool
+	Reserve int
+	// Recognise promises to recognise no other home until [Limits.PromiseDuration] has passed.
+	Vote bool
 }
 
 // Grant is a home's answer. Zero units confirm the ask and allow nothing.
 type Grant struct {
 	Upstream string
 	Seq      uint64
-	// Home names one process of the granting node.
-	Home  string
-	Units int
+	// Coordinator names one process of the granting node.
+	Coordinator string
+	Units       int
 	// BootID is the boot of the upstream that the units are for.
 	BootID string
 	Cap    int
 	Report Report
 	// Known says that Report is recent.
-	Known bool
+	ReportFresh bool
 	// Pending says that this node grants nothing yet: the holder keeps what it has to its deadline.
 	Pending bool
 	// Warm says that the guaranteed shares may be used on this boot.
-	Warm bool
+	GuaranteedUsable bool
 	// Resigned releases the holder from its promise: this home grants no more.
 	Resigned bool
 }
 
-// Holding is a router's side of the allotment of one upstream. It is not safe for concurrent use.
-type Holding struct {
+// Allotment is a router's side of the allotment of one upstream. It is not safe for concurrent use.
+type Allotment struct {
 	Upstream string
 	// Holder names this process, Node its place on the roster.
 	Holder string
 	Node   string
 	// Voter says that Node is in the upstream's electorate.
 	Voter bool
-	// Guaranteed is the part usable without a grant, see [Guaranteed]: on boots that a home said are
+	// GuaranteedShare is the part usable without a grant, see [GuaranteedShare]: on boots that a home said are
 	// warm, or on any if Static is set. Static suits upstreams that report no load; their whole limit
 	// is divided into guaranteed shares.
 	Guaranteed int
 	Static     bool
 	// Spare is how many of the units that the next ask wants are only a reserve.
-	Spare  int
-	Limits Limits
+	Reserve int
+	Limits  Limits
 	// AbstainUntil is the end of the first promise period after the start of this process.
 	//
 	// A voter that restarts has forgotten its promise. If it voted at once, two homes could have a
@@ -92,52 +92,52 @@
 
 // Ask returns the ask to send to the node that this router takes for home. It is false while a
 // promise binds the router to another node.
-func (h *Holding) Ask(now time.Time, home string, units int) (Want, bool) {
+func (h *Allotment) Request(now time.Time, home string, units int) (GrantRequest, bool) {
 	if h.Voter && h.promised != "" && h.promised != home && now.Before(h.promise) {
-		return Want{}, false
+		return GrantRequest{}, false
 	}
-	w := Want{Upstream: h.Upstream, Holder: h.Holder, Node: h.Node, Over: max(0, h.InUse()-h.own(now)), Units: max(0, units-h.own(now))}
-	w.Spare = min(h.Spare, w.Units)
+	w := GrantRequest{Upstream: h.Upstream, Holder: h.Holder, Node: h.Node, ExcessInFlight: max(0, h.InUse()-h.own(now)), Units: max(0, units-h.own(now))}
+	w.Reserve = min(h.Reserve, w.Units)
 	if h.Voter && !now.Before(h.AbstainUntil) {
-		h.promised, h.promise = home, now.Add(h.Limits.Promise)
-		w.Recognise = true
+		h.promised, h.promise = home, now.Add(h.Limits.PromiseDuration)
+		w.Vote = true
 	}
 	h.seq++
 	h.askedAt = now
-	w.Seq, w.Echo, w.Home = h.seq, h.echo, h.home
+	w.Seq, w.AdoptedSeq, w.Coordinator = h.seq, h.echo, h.home
 	return w, true
 }
 
 // Answer adopts a home's answer to the latest ask and reports whether it did. An answer to an
 // earlier ask is dropped: the home has already stopped counting it.
-func (h *Holding) Answer(g Grant) bool {
+func (h *Allotment) ApplyGrant(g Grant) bool {
 	if g.Seq != h.seq || g.Seq == h.echo {
 		return false
 	}
 	if g.Resigned {
 		h.promised = ""
 	}
-	h.echo, h.home = g.Seq, g.Home
+	h.echo, h.home = g.Seq, g.Coordinator
 	if g.Pending {
 		return true
 	}
 	h.boot = g.BootID
-	if g.Warm {
+	if g.GuaranteedUsable {
 		h.warm = g.BootID
 	}
 	h.units, h.unitBoot = g.Units, g.BootID
 	// The home counts from a later instant, when it answered, and for longer.
-	h.until = h.askedAt.Add(h.Limits.Grant)
+	h.until = h.askedAt.Add(h.Limits.GrantDuration)
 	return true
 }
 
 // Acquire takes one unit and reports whether the request may go. The request may only be sent on a
-// connection to the boot that was last seen, see [Holding.Seen].
+// connection to the boot that was last seen, see [Holding.ObserveBoot].
 //
 // It compares the deadline with the present, not with the last tick: a router that was paused past
 // the deadline would otherwise go on sending on units that the home has since given to others, and
 // the upstream would carry more than its cap.
-func (h *Holding) Acquire(now time.Time) bool {
+func (h *Allotment) Acquire(now time.Time) bool {
 	if h.Free(now) <= 0 {
 		return false
 	}
@@ -146,10 +146,10 @@
 }
 
 // Release gives back the unit of a request that has ended.
-func (h *Holding) Release() { h.running = max(0, h.running-1) }
+func (h *Allotment) Release() { h.running = max(0, h.running-1) }
 
 // Free returns the units that Acquire can still give.
-func (h *Holding) Free(now time.Time) int {
+func (h *Allotment) Free(now time.Time) int {
 	n := h.own(now)
 	if now.Before(h.until) && h.unitBoot == h.boot {
 		n += h.units
@@ -163,17 +163,17 @@
 // A restart closes the connections of the earlier boot. If each new connection is asked for its
 // boot id before it carries a request, no unit meant for a warm engine reaches its cold successor,
 // however late the home learns of the restart.
-func (h *Holding) Seen(boot string) { h.boot = boot }
+func (h *Allotment) ObserveBoot(boot string) { h.boot = boot }
 
 // BootID returns the boot last seen.
-func (h *Holding) BootID() string { return h.boot }
+func (h *Allotment) BootID() string { return h.boot }
 
 // InUse returns the requests in flight. Those of an earlier boot count until they are released;
 // their connections break with it.
-func (h *Holding) InUse() int { return h.running }
+func (h *Allotment) InUse() int { return h.running }
 
 // own returns the part of the guaranteed share that is usable now.
-func (h *Holding) own(now time.Time) int {
+func (h *Allotment) own(now time.Time) int {
 	if now.Before(h.GuaranteedFrom) || !h.Static && (h.warm == "" || h.warm != h.boot) {
 		return 0
 	}
--- a/pkg/sageload/home.go
+++ b/pkg/sageload/home.go
@@ -15,8 +15,8 @@
 // Sizes of an electorate. Fewer than the least of one data centre could not lose a node; more than
 // the greatest would make every home hear from too many.
 const (
-	MinElectorate = 5
-	MaxElectorate = 9
+	MinVoters = 5
+	MaxVoters = 9
 )
 
 // score is the rendezvous weight of a node for an upstream.
@@ -29,13 +29,13 @@
 	return d.Sum64()
 }
 
-// Spread returns a number that differs between nodes, for choices that they should make differently.
-func Spread(node string) uint64 { return score("", node) }
+// NodeHash returns a number that differs between nodes, for choices that they should make differently.
+func NodeHash(node string) uint64 { return score("", node) }
 
-// Home returns the node that should probe the upstream and grant its shares: the first in
+// Coordinator returns the node that should probe the upstream and grant its shares: the first in
 // rendezvous order among the live nodes of its data centre, or among all of them if none is there.
 // Callers pass only nodes of the upstream's electorate, because only these can win a majority.
-func Home(upstream, dataCentre string, live []Member) (string, bool) {
+func Coordinator(upstream, dataCentre string, live []Member) (string, bool) {
 	best, found, near := "", false, false
 	var top uint64
 	for _, m := range live {
@@ -51,22 +51,22 @@
 	return best, found
 }
 
-// Electorate returns the roster nodes whose majority decides who is the upstream's home, and of
+// Voters returns the roster nodes whose majority decides who is the upstream's home, and of
 // which the home is one. It is drawn from the nodes of the upstream's data centre if they are at
-// least [MinElectorate], else from the whole roster. Of a larger roster every k-th node forms one
+// least [MinVoters], else from the whole roster. Of a larger roster every k-th node forms one
 // cell, and the upstream belongs to one cell, so that what a node spends on promises doesn't grow
 // with the fleet, and neighbours on the roster, who may share a rack, sit in different cells.
-func Electorate(upstream, dataCentre string, roster []Member) []Member {
+func Voters(upstream, dataCentre string, roster []Member) []Member {
 	var near []Member
 	for _, m := range roster {
 		if m.DataCentre == dataCentre {
 			near = append(near, m)
 		}
 	}
-	if len(near) < MinElectorate {
+	if len(near) < MinVoters {
 		near = roster
 	}
-	cells := (len(near) + MaxElectorate - 1) / MaxElectorate
+	cells := (len(near) + MaxVoters - 1) / MaxVoters
 	if cells <= 1 {
 		return near
 	}
@@ -77,10 +77,10 @@
 	return cell
 }
 
-// Guaranteed returns the node's part of the floor units of an upstream that are set aside for use
+// GuaranteedShare returns the node's part of the floor units of an upstream that are set aside for use
 // without a grant. The parts of all roster nodes sum to floor exactly; the first in rendezvous
 // order get one more where it does not divide.
-func Guaranteed(upstream, node string, roster []Member, floor int) int {
+func GuaranteedShare(upstream, node string, roster []Member, floor int) int {
 	if len(roster) == 0 || floor <= 0 {
 		return 0
 	}
--- a/pkg/sageload/ledger.go
+++ b/pkg/sageload/ledger.go
@@ -19,15 +19,15 @@
 // use, whichever is more. What holders of earlier homes left running is committed as carried.
 // The sum of all commitments and the floor stays within the cap whenever it grants.
 type Ledger struct {
-	// Home names this process.
-	Home       string
-	Electorate []string
-	Limits     Limits
+	// Coordinator names this process.
+	Coordinator string
+	Voters      []string
+	Limits      Limits
 	// Floor is the sum of the guaranteed shares. It is set aside, and the shares become usable, once
 	// a boot has completed WarmAfter requests: a cold upstream might not bear even them, and while
 	// they belong to single routers the others could not warm it.
-	Floor     int
-	WarmAfter uint64
+	Floor             int
+	WarmAfterRequests uint64
 
 	capacity int
 	boot     string
@@ -87,11 +87,11 @@
 }
 
 // Ask takes a holder's ask at the instant now and returns the answer.
-func (l *Ledger) Ask(now time.Time, w Want) Grant {
+func (l *Ledger) HandleRequest(now time.Time, w GrantRequest) Grant {
 	l.advance(now)
-	l.turn = strconv.FormatInt(now.UnixNano()/int64(turns*l.Limits.Grant+1), 36)
-	g := Grant{Upstream: w.Upstream, Seq: w.Seq, Home: l.Home, BootID: l.boot, Cap: l.capacity,
-		Report: l.report, Known: l.Known(now), Pending: true, Resigned: l.resigned}
+	l.turn = strconv.FormatInt(now.UnixNano()/int64(turns*l.Limits.GrantDuration+1), 36)
+	g := Grant{Upstream: w.Upstream, Seq: w.Seq, Coordinator: l.Coordinator, BootID: l.boot, Cap: l.capacity,
+		Report: l.report, ReportFresh: l.ReportFresh(now), Pending: true, Resigned: l.resigned}
 	h := l.holder(w)
 	if w.Seq <= h.seq {
 		// A late or repeated ask carries an old count of requests in flight; taking it would free
@@ -100,22 +100,22 @@
 	}
 	l.confirm(now, h, w)
 	l.vote(now, w)
-	if l.Granting(now) && l.settle(h) {
+	if l.CanGrant(now) && l.settle(h) {
 		g.Units, g.Pending = l.share(w.Holder, h), false
 	}
 	h.seq = w.Seq
-	h.last = sent{seq: w.Seq, units: g.Units, at: now, until: now.Add(l.Limits.long(l.Limits.Grant))}
+	h.last = sent{seq: w.Seq, units: g.Units, at: now, until: now.Add(l.Limits.long(l.Limits.GrantDuration))}
 	if g.Pending {
 		h.last.units, h.last.until = h.echo.units, h.echo.until // the holder keeps what it has
 	}
 	// Only once grants have made room for the floor may it be used.
-	g.Warm = !g.Pending && l.floor() > 0 && l.Committed() <= l.capacity
+	g.GuaranteedUsable = !g.Pending && l.floor() > 0 && l.Committed() <= l.capacity
 	return g
 }
 
 // Report takes the answer of a probe that was sent at the instant sent and says what the upstream
 // bears now (see [Ramp]).
-func (l *Ledger) Report(now, sent time.Time, r Report, bears int) {
+func (l *Ledger) RecordReport(now, sent time.Time, r Report, bears int) {
 	l.advance(now)
 	if sent.Before(l.probed) {
 		return
@@ -128,13 +128,13 @@
 }
 
 // Known reports whether the last report is recent.
-func (l *Ledger) Known(now time.Time) bool {
-	return !l.reported.IsZero() && now.Sub(l.reported) < l.Limits.Grant
+func (l *Ledger) ReportFresh(now time.Time) bool {
+	return !l.reported.IsZero() && now.Sub(l.reported) < l.Limits.GrantDuration
 }
 
 // Granting reports whether this home may grant now.
-func (l *Ledger) Granting(now time.Time) bool {
-	return !l.resigned && l.recognisedAt(now) && !now.Before(l.grantFrom) && l.Known(now)
+func (l *Ledger) CanGrant(now time.Time) bool {
+	return !l.resigned && l.recognisedAt(now) && !now.Before(l.grantFrom) && l.ReportFresh(now)
 }
 
 // Resign ends the term: from now on nothing is granted, and answers release the holders from
@@ -144,7 +144,7 @@
 // floor returns what is set aside for guaranteed shares. Completed only grows within a boot, so a
 // later home, whose report is newer, sets aside at least as much.
 func (l *Ledger) floor() int {
-	if l.reported.IsZero() || l.report.Completed < l.WarmAfter {
+	if l.reported.IsZero() || l.report.Completed < l.WarmAfterRequests {
 		return 0
 	}
 	return l.Floor
@@ -160,7 +160,7 @@
 }
 
 // holder returns the record of the asking process, a new one if it has none.
-func (l *Ledger) holder(w Want) *holder {
+func (l *Ledger) holder(w GrantRequest) *holder {
 	if l.holders == nil {
 		l.holders = make(map[string]*holder)
 	}
@@ -174,16 +174,16 @@
 
 // confirm takes over what the ask says of the holder. The holder adopts only the answer to its
 // latest ask, so of all answers only the echoed one and the coming one count from here on.
-func (l *Ledger) confirm(now time.Time, h *holder, w Want) {
-	if w.Home == l.Home && h.last.seq == w.Echo {
+func (l *Ledger) confirm(now time.Time, h *holder, w GrantRequest) {
+	if w.Coordinator == l.Coordinator && h.last.seq == w.AdoptedSeq {
 		h.echo = h.last
-	} else if h.echo.seq != w.Echo || w.Home != l.Home {
+	} else if h.echo.seq != w.AdoptedSeq || w.Coordinator != l.Coordinator {
 		h.echo = sent{}
 	}
 	if !now.Before(h.echo.until) {
 		h.echo.units = 0
 	}
-	h.over, h.want, h.spare = w.Over, w.Units, min(w.Spare, w.Units)
+	h.over, h.want, h.spare = w.ExcessInFlight, w.Units, min(w.Reserve, w.Units)
 	if !l.carried.seen.IsZero() && !h.known && h.echo.at.After(l.carried.seen) {
 		h.known = true
 		l.carried.units = max(0, l.carried.units-h.over)
--- a/pkg/sageload/part_test.go
+++ b/pkg/sageload/part_test.go
@@ -19,64 +19,64 @@
 		}
 		sum := 0
 		for _, m := range roster {
-			sum += Guaranteed("u", m.Name, roster, floor)
+			sum += GuaranteedShare("u", m.Name, roster, floor)
 		}
 		require.Equal(t, floor, sum)
-		require.Zero(t, Guaranteed("u", "stranger", roster, floor))
+		require.Zero(t, GuaranteedShare("u", "stranger", roster, floor))
 	})
 }
 
 func TestHomeIsNearAndMovesLittle(t *testing.T) {
 	live := []Member{{"a", "x"}, {"b", "x"}, {"c", "y"}, {"d", "y"}}
 	for _, u := range []string{"u1", "u2", "u3", "u4", "u5", "u6"} {
-		h, ok := Home(u, "y", live)
+		h, ok := Coordinator(u, "y", live)
 		require.True(t, ok)
 		require.Contains(t, []string{"c", "d"}, h)
 		without := live[:3] // d is gone: only its upstreams move
 		if h == "c" {
-			again, _ := Home(u, "y", without)
+			again, _ := Coordinator(u, "y", without)
 			require.Equal(t, "c", again)
 		}
-		far, ok := Home(u, "z", live)
+		far, ok := Coordinator(u, "z", live)
 		require.True(t, ok)
 		require.NotEmpty(t, far)
 	}
-	_, ok := Home("u", "x", nil)
+	_, ok := Coordinator("u", "x", nil)
 	require.False(t, ok)
-	require.Len(t, Electorate("u", "y", live), 4, "two are too few to decide alone")
+	require.Len(t, Voters("u", "y", live), 4, "two are too few to decide alone")
 	var many []Member
 	for i := range 45 {
 		many = append(many, Member{Name: string(rune('A' + i)), DataCentre: "x"})
 	}
-	cell := Electorate("u", "x", many)
+	cell := Voters("u", "x", many)
 	require.Len(t, cell, 9)
-	require.Equal(t, cell, Electorate("u", "x", many), "the same on every node")
-	require.NotEqual(t, cell, Electorate("u2", "x", many))
+	require.Equal(t, cell, Voters("u", "x", many), "the same on every node")
+	require.NotEqual(t, cell, Voters("u2", "x", many))
 }
 
 func TestRampGrowsWithWorkAndRestarts(t *testing.T) {
-	p := Ramp{Start: 2, PerUnit: 4, Max: 9}
+	p := Ramp{InitialCap: 2, CompletionsPerUnit: 4, MaxCap: 9}
 	for _, c := range []struct {
 		name string
 		r    Report
 		want int
 	}{
-		{"just started", Report{BootID: "b1", Bears: 8}, 2},
-		{"time alone", Report{BootID: "b1", Bears: 8}, 2},
-		{"a quarter of much", Report{BootID: "b1", Bears: 16}, 4},
-		{"work", Report{BootID: "b1", Bears: 8, Completed: 8}, 4},
-		{"bears less than the ramp", Report{BootID: "b1", Bears: 3, Completed: 12}, 3},
-		{"configured limit", Report{BootID: "b1", Bears: 16, Completed: 100}, 9},
-		{"cache dropped", Report{BootID: "b1", Bears: 8, Completed: 100, CacheGeneration: 1}, 2},
-		{"work again", Report{BootID: "b1", Bears: 8, Completed: 104, CacheGeneration: 1}, 3},
-		{"new boot", Report{BootID: "b2", Bears: 8, Completed: 1, CacheGeneration: 1}, 2},
+		{"just started", Report{BootID: "b1", Capacity: 8}, 2},
+		{"time alone", Report{BootID: "b1", Capacity: 8}, 2},
+		{"a quarter of much", Report{BootID: "b1", Capacity: 16}, 4},
+		{"work", Report{BootID: "b1", Capacity: 8, Completed: 8}, 4},
+		{"bears less than the ramp", Report{BootID: "b1", Capacity: 3, Completed: 12}, 3},
+		{"configured limit", Report{BootID: "b1", Capacity: 16, Completed: 100}, 9},
+		{"cache dropped", Report{BootID: "b1", Capacity: 8, Completed: 100, CacheGeneration: 1}, 2},
+		{"work again", Report{BootID: "b1", Capacity: 8, Completed: 104, CacheGeneration: 1}, 3},
+		{"new boot", Report{BootID: "b2", Capacity: 8, Completed: 1, CacheGeneration: 1}, 2},
 	} {
 		require.Equal(t, c.want, p.Observe(c.r), c.name)
 	}
-	warm := Ramp{Start: 2, PerUnit: 4}
-	require.Equal(t, 16, warm.Observe(Report{BootID: "b1", Bears: 16, Completed: 1000}), "a new home of a warm engine")
+	warm := Ramp{InitialCap: 2, CompletionsPerUnit: 4}
+	require.Equal(t, 16, warm.Observe(Report{BootID: "b1", Capacity: 16, Completed: 1000}), "a new home of a warm engine")
 	warm.Restart()
-	require.Equal(t, 4, warm.Observe(Report{BootID: "b1", Bears: 16, Completed: 1000}), "back from an exit")
+	require.Equal(t, 4, warm.Observe(Report{BootID: "b1", Capacity: 16, Completed: 1000}), "back from an exit")
 }
 
 // Story: an engine drops its compiled kernels without restarting and tells nobody; users see
@@ -106,11 +106,11 @@
 // as the report stays. Its own dispatches must count, and an old report must not pass for idle.
 func TestEstimateAddsOwnDispatches(t *testing.T) {
 	now := time.Unix(100, 0)
-	e := Estimate{Silence: 5 * time.Second}
+	e := Estimate{MaxReportAge: 5 * time.Second}
 	require.False(t, e.Known(now), "never heard of is unknown")
 	e.Observe(now, Report{AsOf: now})
 	for range 4 {
-		e.Dispatched()
+		e.RecordDispatch()
 	}
 	require.EqualValues(t, 4, e.InFlight())
 	e.Observe(now.Add(time.Second), Report{AsOf: now.Add(time.Second), InFlight: 1})
@@ -118,26 +118,26 @@
 	e.Observe(now.Add(2*time.Second), Report{AsOf: now.Add(2 * time.Second), InFlight: 4})
 	require.EqualValues(t, 4, e.InFlight(), "now it shows them")
 	for range 4 {
-		e.Ended()
+		e.RecordEnd()
 	}
 	require.True(t, e.Known(now.Add(6*time.Second)))
 	require.False(t, e.Known(now.Add(7*time.Second)))
 }
 
 func TestLimitsCheck(t *testing.T) {
-	require.NoError(t, DefaultLimits.Check())
-	require.ErrorIs(t, Limits{}.Check(), ErrBadLimits)
+	require.NoError(t, DefaultLimits.Validate())
+	require.ErrorIs(t, Limits{}.Validate(), ErrBadLimits)
 	bad := DefaultLimits
-	bad.Drift = 0.5
-	require.ErrorIs(t, bad.Check(), ErrBadLimits)
+	bad.MaxClockDrift = 0.5
+	require.ErrorIs(t, bad.Validate(), ErrBadLimits)
 	bad = DefaultLimits
-	bad.ReportLag = bad.Grant
-	require.ErrorIs(t, bad.Check(), ErrBadLimits)
+	bad.ReportLag = bad.GrantDuration
+	require.ErrorIs(t, bad.Validate(), ErrBadLimits)
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
 	now := time.Unix(0, 0)
-	h := Holding{Guaranteed: 4, Static: true, Limits: DefaultLimits}
+	h := Allotment{Guaranteed: 4, Static: true, Limits: DefaultLimits}
 	b.ReportAllocs()
 	for b.Loop() {
 		h.Acquire(now)
@@ -151,14 +151,14 @@
 	const upstreams, holders = 2300, 100
 	for b.Loop() {
 		start := heap()
-		all := make([]*Holding, upstreams)
+		all := make([]*Allotment, upstreams)
 		for i := range all {
-			all[i] = &Holding{Upstream: "engine", Limits: DefaultLimits}
+			all[i] = &Allotment{Upstream: "engine", Limits: DefaultLimits}
 		}
 		held := heap()
 		l := &Ledger{Limits: DefaultLimits}
 		for i := range holders {
-			l.Ask(time.Unix(0, 0), Want{Holder: strconv.Itoa(i), Seq: 1})
+			l.HandleRequest(time.Unix(0, 0), GrantRequest{Holder: strconv.Itoa(i), Seq: 1})
 		}
 		b.ReportMetric(float64(held-start)/upstreams, "B/holding")
 		b.ReportMetric(float64(heap()-held)/holders, "B/holder")
@@ -177,7 +177,7 @@
 func BenchmarkLedgerAsk(b *testing.B) {
 	s := newStage("")
 	l := s.homeOf("a")
-	var asking []*Holding
+	var asking []*Allotment
 	for _, n := range []string{"a", "b", "c", "d"} {
 		asking = append(asking, s.router(n))
 	}
@@ -185,7 +185,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		s.now = s.now.Add(time.Millisecond)
-		w, _ := asking[0].Ask(s.now, "a", 5)
-		asking[0].Answer(l.Ask(s.now, w))
+		w, _ := asking[0].Request(s.now, "a", 5)
+		asking[0].ApplyGrant(l.HandleRequest(s.now, w))
 	}
 }
--- a/pkg/sageload/ramp.go
+++ b/pkg/sageload/ramp.go
@@ -10,11 +10,11 @@
 // share of the warm one that it was.
 type Ramp struct {
 	// Start is the least that the upstream bears at any time.
-	Start int
+	InitialCap int
 	// PerUnit is the number of completed requests for one more at once; 0 means 1.
-	PerUnit uint64
+	CompletionsPerUnit uint64
 	// Max is the configured limit; 0 means none.
-	Max int
+	MaxCap int
 
 	seen       bool
 	boot       string
@@ -33,7 +33,7 @@
 		p.base = r.Completed
 	}
 	p.seen, p.boot, p.generation, p.completed = true, r.BootID, r.CacheGeneration, r.Completed
-	return p.Cap(r.Bears)
+	return p.Cap(r.Capacity)
 }
 
 // Restart begins the ramp anew: the upstream is cold although it runs as the same boot.
@@ -43,14 +43,14 @@
 func (p *Ramp) Cap(bears int) int {
 	grown := uint64(0)
 	if p.completed > p.base {
-		grown = (p.completed - p.base) / max(p.PerUnit, 1)
+		grown = (p.completed - p.base) / max(p.CompletionsPerUnit, 1)
 	}
-	c, start := bears, max(p.Start, bears/4)
+	c, start := bears, max(p.InitialCap, bears/4)
 	if uint64(start)+grown < uint64(max(bears, 0)) {
 		c = start + int(grown)
 	}
-	if p.Max > 0 {
-		c = min(c, p.Max)
+	if p.MaxCap > 0 {
+		c = min(c, p.MaxCap)
 	}
 	return max(c, 0)
 }
--- a/pkg/sageload/spare_test.go
+++ b/pkg/sageload/spare_test.go
@@ -9,16 +9,16 @@
 )
 
 // round lets every router ask the home once; the last one needs a unit, the others only hold reserves.
-func (s *stage) round(l *Ledger, routers []*Holding, needs int) {
-	l.Report(s.now, s.now, Report{BootID: "e1", InFlight: s.inFlight()}, 4)
+func (s *stage) round(l *Ledger, routers []*Allotment, needs int) {
+	l.RecordReport(s.now, s.now, Report{BootID: "e1", InFlight: s.inFlight()}, 4)
 	for i, h := range routers {
 		units, spare := 2, 2
 		if i == len(routers)-1 {
 			units, spare = needs, 0
 		}
-		h.Spare = spare
-		if w, ok := h.Ask(s.now, "a", units); ok {
-			h.Answer(l.Ask(s.now, w))
+		h.Reserve = spare
+		if w, ok := h.Request(s.now, "a", units); ok {
+			h.ApplyGrant(l.HandleRequest(s.now, w))
 		}
 	}
 	s.now = s.now.Add(100 * time.Millisecond)
@@ -31,9 +31,9 @@
 func TestNeedComesBeforeReserves(t *testing.T) {
 	s := newStage("")
 	l := s.homeOf("a")
-	var routers []*Holding
+	var routers []*Allotment
 	for i := range 8 {
-		h := &Holding{Upstream: "u", Holder: fmt.Sprintf("r%d", i), Node: fmt.Sprint("n", i), Limits: s.limits}
+		h := &Allotment{Upstream: "u", Holder: fmt.Sprintf("r%d", i), Node: fmt.Sprint("n", i), Limits: s.limits}
 		if i < len(s.voters) {
 			h.Node, h.Voter = s.voters[i], true
 		}
--- a/pkg/sageload/story_test.go
+++ b/pkg/sageload/story_test.go
@@ -13,7 +13,7 @@
 	limits  Limits
 	without guard
 	dead    int // in flight at the upstream for routers that are gone
-	routers []*Holding
+	routers []*Allotment
 	voters  []string
 	rate    float64 // of the home's clock
 }
@@ -22,17 +22,17 @@
 
 func newStage(without guard) *stage {
 	return &stage{now: time.Unix(1e6, 0), without: without, voters: []string{"a", "b", "c"}, rate: 1,
-		limits: Limits{Grant: 1500 * time.Millisecond, Promise: 800 * time.Millisecond, Lifetime: time.Minute}}
+		limits: Limits{GrantDuration: 1500 * time.Millisecond, PromiseDuration: 800 * time.Millisecond, RequestLifetime: time.Minute}}
 }
 
-func (s *stage) router(node string) *Holding {
-	h := &Holding{Upstream: "u", Holder: node + ".1", Node: node, Voter: node != "d", Limits: s.limits}
+func (s *stage) router(node string) *Allotment {
+	h := &Allotment{Upstream: "u", Holder: node + ".1", Node: node, Voter: node != "d", Limits: s.limits}
 	s.routers = append(s.routers, h)
 	return h
 }
 
 func (s *stage) homeOf(node string) *Ledger {
-	return &Ledger{Home: node + ".1", Electorate: s.voters, Limits: s.limits}
+	return &Ledger{Coordinator: node + ".1", Voters: s.voters, Limits: s.limits}
 }
 
 // clock is the home's clock, which may run faster than the routers'.
@@ -50,16 +50,16 @@
 }
 
 // run lets the routers ask the home ten times a second for d; units are wanted by the first one.
-func (s *stage) run(d time.Duration, l *Ledger, node string, units int, asking ...*Holding) {
+func (s *stage) run(d time.Duration, l *Ledger, node string, units int, asking ...*Allotment) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(100 * time.Millisecond) {
-		l.Report(s.clock(), s.clock(), Report{BootID: "e1", InFlight: s.inFlight()}, bearsTen)
+		l.RecordReport(s.clock(), s.clock(), Report{BootID: "e1", InFlight: s.inFlight()}, bearsTen)
 		for i, h := range asking {
 			n := 0
 			if i == 0 {
 				n = units
 			}
-			if w, ok := h.Ask(s.now, node, n); ok {
-				h.Answer(l.Ask(s.clock(), w))
+			if w, ok := h.Request(s.now, node, n); ok {
+				h.ApplyGrant(l.HandleRequest(s.clock(), w))
 			}
 			s.remove(l)
 		}
@@ -83,7 +83,7 @@
 }
 
 // take starts as many requests as the holding allows at that instant.
-func (s *stage) take(h *Holding, at time.Time) int {
+func (s *stage) take(h *Allotment, at time.Time) int {
 	n := 0
 	for ; n < 2*bearsTen; n++ {
 		if !h.Acquire(at) {
@@ -140,7 +140,7 @@
 	bothWays(t, withMargin, func(s *stage) {
 		s.rate = 1.3
 		if s.without != withMargin {
-			s.limits.Drift = 0.14 // (1+0.14)/(1-0.14) > 1.3
+			s.limits.MaxClockDrift = 0.14 // (1+0.14)/(1-0.14) > 1.3
 		}
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		home := s.homeOf("a")
@@ -161,7 +161,7 @@
 		b.Holder = "b.2"
 		b.promised = ""
 		if s.without != withAbstain {
-			b.AbstainUntil = s.now.Add(s.limits.long(s.limits.Promise))
+			b.AbstainUntil = s.now.Add(s.limits.long(s.limits.PromiseDuration))
 		}
 		for range 7 { // d reaches a, and b and c reach each other
 			s.run(100*time.Millisecond, next, "b", bearsTen, c, b)
@@ -181,7 +181,7 @@
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		minority, majority := s.homeOf("a"), s.homeOf("b")
 		if s.without == withMajority {
-			minority.Electorate = []string{"a"}
+			minority.Voters = []string{"a"}
 		}
 		for range 50 {
 			s.run(100*time.Millisecond, minority, "a", bearsTen, d, a)
@@ -202,11 +202,11 @@
 		home.Floor, b.Guaranteed = 2, 2
 		s.run(5*time.Second, home, "a", bearsTen, c, a, b)
 		s.dead = s.take(b, s.now)
-		s.routers = []*Holding{a, c}
+		s.routers = []*Allotment{a, c}
 		again := s.router("b")
 		again.Holder, again.Guaranteed = "b.2", 2
 		if s.without != withOwn {
-			again.GuaranteedFrom = s.now.Add(s.limits.Lifetime)
+			again.GuaranteedFrom = s.now.Add(s.limits.RequestLifetime)
 		}
 		s.run(time.Second, home, "a", bearsTen, c, a, again)
 		s.take(c, s.now)
--- a/pkg/sageload/term.go
+++ b/pkg/sageload/term.go
@@ -8,18 +8,18 @@
 // vote counts the holder's recognition of this home. The promise began when the holder sent the
 // ask, which was after this home sent the answer that the ask echoes; counting from that answer
 // ends before the promise does, on any clock.
-func (l *Ledger) vote(now time.Time, w Want) {
-	if !w.Recognise || w.Home != l.Home || l.resigned || !l.elects(w.Node) {
+func (l *Ledger) vote(now time.Time, w GrantRequest) {
+	if !w.Vote || w.Coordinator != l.Coordinator || l.resigned || !l.elects(w.Node) {
 		return
 	}
 	h := l.holders[w.Holder]
-	if h.echo.seq != w.Echo {
+	if h.echo.seq != w.AdoptedSeq {
 		return
 	}
 	if l.recognised == nil {
 		l.recognised = make(map[string]time.Time)
 	}
-	until := h.echo.at.Add(l.Limits.short(l.Limits.Promise))
+	until := h.echo.at.Add(l.Limits.short(l.Limits.PromiseDuration))
 	if until.After(l.recognised[w.Node]) {
 		l.recognised[w.Node] = until
 	}
@@ -27,7 +27,7 @@
 }
 
 func (l *Ledger) elects(node string) bool {
-	for _, n := range l.Electorate {
+	for _, n := range l.Voters {
 		if n == node {
 			return true
 		}
@@ -45,7 +45,7 @@
 	for _, t := range l.recognised {
 		until = append(until, t)
 	}
-	need := len(l.Electorate)/2 + 1
+	need := len(l.Voters)/2 + 1
 	if len(until) < need {
 		return
 	}
@@ -54,7 +54,7 @@
 	if running || !l.recognisedAt(now) {
 		return
 	}
-	l.grantFrom = now.Add(l.Limits.long(l.Limits.Grant))
+	l.grantFrom = now.Add(l.Limits.long(l.Limits.GrantDuration))
 	l.forget(l.grantFrom)
 }
 
@@ -67,7 +67,7 @@
 		h.known = false
 		h.last.units, h.echo.units, h.over = 0, 0, 0
 	}
-	l.carried = carried{units: unbounded, from: from, until: from.Add(l.Limits.long(l.Limits.Lifetime))}
+	l.carried = carried{units: unbounded, from: from, until: from.Add(l.Limits.long(l.Limits.RequestLifetime))}
 }
 
 // restart begins the account of another boot. Grants name their boot and die with it; what an
@@ -104,7 +104,7 @@
 			l.carried.seen = now
 		}
 	}
-	life := l.Limits.long(l.Limits.Lifetime)
+	life := l.Limits.long(l.Limits.RequestLifetime)
 	for k, h := range l.holders {
 		end := h.until()
 		if !now.Before(end) {
--- a/pkg/sageload/view.go
+++ b/pkg/sageload/view.go
@@ -23,7 +23,7 @@
 	InFlight int    `json:"in_flight"`
 	Slots    int    `json:"slots"`
 	// Bears is the number of requests at once that the upstream says it can take now.
-	Bears           int    `json:"bears"`
+	Capacity        int    `json:"bears"`
 	CacheGeneration uint64 `json:"cache_generation"`
 	// AsOf is the upstream's own clock when it took the figures; only compared with itself.
 	AsOf time.Time `json:"as_of"`
--- a/pkg/sageload/world_test.go
+++ b/pkg/sageload/world_test.go
@@ -33,8 +33,8 @@
 	worldWork  = 8 // completed requests after which the floor is set aside
 )
 
-var worldLimits = Limits{Grant: 1500 * time.Millisecond, Promise: 800 * time.Millisecond, Lifetime: 3 * time.Second,
-	ReportLag: 200 * time.Millisecond, Drift: 0.08}
+var worldLimits = Limits{GrantDuration: 1500 * time.Millisecond, PromiseDuration: 800 * time.Millisecond, RequestLifetime: 3 * time.Second,
+	ReportLag: 200 * time.Millisecond, MaxClockDrift: 0.08}
 
 // world is one upstream before five routers with drifting clocks, over a network that loses,
 // repeats and delays. Everything follows from the seed.
@@ -59,7 +59,7 @@
 type message struct {
 	at       time.Duration
 	to, from int
-	want     *Want
+	want     *GrantRequest
 	grant    *Grant
 }
 
@@ -80,7 +80,7 @@
 	busy   bool
 	want   int
 	next   time.Duration
-	h      Holding
+	h      Allotment
 	l      *Ledger
 	ramp   Ramp
 }
@@ -91,7 +91,7 @@
 		w.rate[i] = []float64{0, 0.1, 0.3, 1}[w.r.IntN(4)]
 	}
 	for i := range worldNodes {
-		n := &worldNode{id: i, rate: 1 + worldLimits.Drift*(2*w.r.Float64()-1), offset: time.Duration(w.r.IntN(1e6)) * time.Millisecond}
+		n := &worldNode{id: i, rate: 1 + worldLimits.MaxClockDrift*(2*w.r.Float64()-1), offset: time.Duration(w.r.IntN(1e6)) * time.Millisecond}
 		w.nodes = append(w.nodes, n)
 		w.boot(n)
 		n.h.AbstainUntil = time.Time{} // first start: nobody has promised anything yet
@@ -114,13 +114,13 @@
 		names = append(names, "n"+strconv.Itoa(i))
 	}
 	node := names[n.id]
-	n.h = Holding{Upstream: "u", Holder: id, Node: node, Voter: true, Limits: w.limits,
-		Guaranteed: Guaranteed("u", node, roster, worldFloor), AbstainUntil: w.clock(n).Add(w.limits.long(w.limits.Promise))}
+	n.h = Allotment{Upstream: "u", Holder: id, Node: node, Voter: true, Limits: w.limits,
+		Guaranteed: GuaranteedShare("u", node, roster, worldFloor), AbstainUntil: w.clock(n).Add(w.limits.long(w.limits.PromiseDuration))}
 	if n.life > 1 {
-		n.h.GuaranteedFrom = w.clock(n).Add(w.limits.long(w.limits.Lifetime))
+		n.h.GuaranteedFrom = w.clock(n).Add(w.limits.long(w.limits.RequestLifetime))
 	}
-	n.l = &Ledger{Home: id, Electorate: names, Limits: w.limits, Floor: worldFloor, WarmAfter: worldWork}
-	n.ramp = Ramp{Start: worldCold, PerUnit: 2}
+	n.l = &Ledger{Coordinator: id, Voters: names, Limits: w.limits, Floor: worldFloor, WarmAfterRequests: worldWork}
+	n.ramp = Ramp{InitialCap: worldCold, CompletionsPerUnit: 2}
 }
 
 func (w *world) bears() int { return min(worldWarm, worldCold+int(w.done/2)) }
@@ -133,7 +133,7 @@
 func (w *world) step() {
 	w.now += worldStep
 	if len(w.past) == 0 {
-		w.past = append(w.past, Report{BootID: w.bootID(), Bears: worldCold})
+		w.past = append(w.past, Report{BootID: w.bootID(), Capacity: worldCold})
 	}
 	w.faults()
 	w.finish()
@@ -144,7 +144,7 @@
 		}
 		w.act(n)
 	}
-	w.past = append(w.past, Report{BootID: w.bootID(), InFlight: w.inFlight(), Bears: w.bears(), Completed: w.done})
+	w.past = append(w.past, Report{BootID: w.bootID(), InFlight: w.inFlight(), Capacity: w.bears(), Completed: w.done})
 	w.peak = max(w.peak, w.inFlight()-w.bears())
 	w.total += w.inFlight()
 }
@@ -240,7 +240,7 @@
 	for _, m := range due {
 		n := w.nodes[m.to]
 		if m.grant != nil {
-			n.h.Answer(*m.grant)
+			n.h.ApplyGrant(*m.grant)
 			continue
 		}
 		g := w.ask(n, *m.want)
@@ -248,12 +248,12 @@
 	}
 }
 
-func (w *world) ask(n *worldNode, want Want) Grant {
+func (w *world) ask(n *worldNode, want GrantRequest) Grant {
 	now := w.clock(n)
 	if h := n.l.holders[want.Holder]; h != nil && w.without == withOrder {
 		h.seq = 0
 	}
-	return n.l.Ask(now, want)
+	return n.l.HandleRequest(now, want)
 }
 
 func (w *world) act(n *worldNode) {
@@ -266,9 +266,9 @@
 		if w.chance(0.1) {
 			n.want = w.r.IntN(2 * worldWarm)
 		}
-		if want, ok := n.h.Ask(w.clock(n), "n"+strconv.Itoa(n.belief), n.want); ok {
+		if want, ok := n.h.Request(w.clock(n), "n"+strconv.Itoa(n.belief), n.want); ok {
 			if n.belief == n.id {
-				n.h.Answer(w.ask(n, want))
+				n.h.ApplyGrant(w.ask(n, want))
 			} else {
 				w.send(message{to: n.belief, from: n.id, want: &want})
 			}
@@ -288,24 +288,24 @@
 	}
 	r := w.past[max(0, len(w.past)-1-w.r.IntN(int(worldLimits.ReportLag/worldStep)))]
 	if r.BootID != w.bootID() {
-		r = Report{BootID: w.bootID(), Bears: worldCold}
+		r = Report{BootID: w.bootID(), Capacity: worldCold}
 	}
 	bears := n.ramp.Observe(r)
 	if w.without == withRamp {
 		bears = worldWarm
 	}
-	n.l.Report(w.clock(n), w.clock(n), r, bears)
+	n.l.RecordReport(w.clock(n), w.clock(n), r, bears)
 }
 
 func (w *world) dispatch(n *worldNode) {
 	now := w.clock(n)
 	if w.without != withBoot {
-		n.h.Seen(w.bootID())
+		n.h.ObserveBoot(w.bootID())
 	}
 	if !n.h.Acquire(now) {
 		return
 	}
-	life := time.Duration(w.r.IntN(int(worldLimits.Lifetime/2))) / 2
+	life := time.Duration(w.r.IntN(int(worldLimits.RequestLifetime/2))) / 2
 	if w.chance(0.2) {
 		life *= 4
 	}
--- a/pkg/sageobject/client.go
+++ b/pkg/sageobject/client.go
@@ -42,7 +42,7 @@
 		return 0, nil, nil, fmt.Errorf("%v: %w", err, lost)
 	}
 	defer func() { _ = res.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(res.Body, 2*MaxValue))
+	b, err := io.ReadAll(io.LimitReader(res.Body, 2*MaxValueBytes))
 	if err != nil {
 		return 0, nil, nil, fmt.Errorf("read answer: %v: %w", err, lost)
 	}
@@ -100,7 +100,7 @@
 
 // Put implements [Store].
 func (c *Client) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("put %s, %d bytes: %w", key, len(value), ErrTooLarge)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.objectURL(key), bytes.NewReader(value))
--- a/pkg/sageobject/memory.go
+++ b/pkg/sageobject/memory.go
@@ -86,7 +86,7 @@
 
 // Put implements [Store].
 func (m *Memory) Put(_ context.Context, key string, value []byte, want int64) (int64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("put %s, %d bytes: %w", key, len(value), ErrTooLarge)
 	}
 	if err := m.before(OpPut, key); err != nil {
--- a/pkg/sageobject/object_test.go
+++ b/pkg/sageobject/object_test.go
@@ -30,7 +30,7 @@
 	require.NoError(t, m.Delete(ctx, "k", w))
 	_, err = m.Get(ctx, "k")
 	require.ErrorIs(t, err, ErrNotFound)
-	_, err = m.Put(ctx, "k", make([]byte, MaxValue+1), AnyVersion)
+	_, err = m.Put(ctx, "k", make([]byte, MaxValueBytes+1), AnyVersion)
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
--- a/pkg/sageobject/store.go
+++ b/pkg/sageobject/store.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValue is the greatest size of a value in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the greatest size of a value in bytes.
+const MaxValueBytes = 1 << 20
 
 // Errors of a store; every error that a [Store] returns wraps one of them or a context's error.
 var (
@@ -19,7 +19,7 @@
 	ErrUnavailable = errors.New("object store unavailable")
 	// ErrUnknown: the answer to a write was lost; it may have taken effect.
 	ErrUnknown = errors.New("outcome of object write unknown")
-	// ErrTooLarge: the value exceeds [MaxValue]; nothing was written.
+	// ErrTooLarge: the value exceeds [MaxValueBytes]; nothing was written.
 	ErrTooLarge = errors.New("object value too large")
 )
 
--- a/pkg/sageplace/baseline.go
+++ b/pkg/sageplace/baseline.go
@@ -14,7 +14,7 @@
 // Choose implements [Policy].
 func (p *Random) Choose(_ time.Time, t *Table, l *Loads, q *Query) Choice {
 	if len(t.Upstreams) == 0 {
-		return Choice{Index: -1, Why: Empty}
+		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	}
 	return next(l, q, p.Rand.IntN(len(t.Upstreams)))
 }
@@ -25,7 +25,7 @@
 // Choose implements [Policy].
 func (p *RoundRobin) Choose(_ time.Time, t *Table, l *Loads, q *Query) Choice {
 	if len(t.Upstreams) == 0 {
-		return Choice{Index: -1, Why: Empty}
+		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	}
 	p.last = (p.last + 1) % len(t.Upstreams)
 	return next(l, q, p.last)
@@ -55,7 +55,7 @@
 func (p *TwoChoices) Choose(_ time.Time, t *Table, l *Loads, q *Query) Choice {
 	n := len(t.Upstreams)
 	if n == 0 {
-		return Choice{Index: -1, Why: Empty}
+		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	}
 	a, b := p.Rand.IntN(n), p.Rand.IntN(n)
 	if l.relative(b) < l.relative(a) {
@@ -103,7 +103,7 @@
 
 func chosen(i int) Choice {
 	if i < 0 {
-		return Choice{Index: -1, Why: Over}
+		return Choice{Index: -1, Reason: ReasonAllAtBound}
 	}
-	return Choice{Index: i, Why: First}
+	return Choice{Index: i, Reason: ReasonHashOrder}
 }
--- a/pkg/sageplace/bench_test.go
+++ b/pkg/sageplace/bench_test.go
@@ -24,7 +24,7 @@
 			qs[k].Context = mix(uint64(k%64 + 1))
 		}
 		if k%3 == 0 {
-			qs[k].Place.Upstream = t.hashes[k%len(t.hashes)]
+			qs[k].Location.Upstream = t.hashes[k%len(t.hashes)]
 		}
 	}
 	return qs
@@ -33,7 +33,7 @@
 func BenchmarkChoose256(b *testing.B) {
 	t, l := busy()
 	qs := queries(t)
-	p := &Placer[*ByLoad]{Bound: testBound, Fresh: testFresh, Width: NewByLoad(1024)}
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		p.Choose(start, t, l, &qs[n%len(qs)])
@@ -50,17 +50,17 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	s := &Sealer{Keys: [][]byte{[]byte("key")}}
-	tok := s.Seal("ab", "c", Place{Upstream: 1, Generation: 2}, start.Add(time.Hour))
+	s := &TokenSigner{Keys: [][]byte{[]byte("key")}}
+	tok := s.Sign("ab", "c", Location{Upstream: 1, Generation: 2}, start.Add(time.Hour))
 	for b.Loop() {
-		s.Open(tok, "ab", "c", start)
+		s.Verify(tok, "ab", "c", start)
 	}
 }
 
 func TestChooseAllocatesNothing(t *testing.T) {
 	tab, l := busy()
 	qs := queries(tab)
-	p := &Placer[*ByLoad]{Bound: testBound, Fresh: testFresh, Width: NewByLoad(1024)}
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
 	n := 0
 	require.Zero(t, testing.AllocsPerRun(500, func() {
 		p.Choose(start.Add(time.Duration(n)*time.Second), tab, l, &qs[n%len(qs)])
@@ -71,7 +71,7 @@
 // BenchmarkRefuse256 is the worst case: no candidate fits, so each is looked at twice.
 func BenchmarkRefuse256(b *testing.B) {
 	t, l := NewTable(upstreams(256, 16)), even(256, 16, 16)
-	p := &Placer[*ByLoad]{Bound: testBound, Fresh: testFresh, Width: NewByLoad(1024)}
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
 	q := &Query{Chat: 7}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/sageplace/bounded.go
+++ b/pkg/sageplace/bounded.go
@@ -1,11 +1,11 @@
 package sageplace
 
-// ways is the number of entries that share a slot of a [Bounded]; the oldest of them gives way.
+// ways is the number of entries that share a slot of a [LRUMap]; the oldest of them gives way.
 const ways = 4
 
-// Bounded is a map of fixed size from hashed keys to values. A full slot forgets the entry that was
+// LRUMap is a map of fixed size from hashed keys to values. A full slot forgets the entry that was
 // used longest ago, so what it holds is only ever a hint. It allocates only when made.
-type Bounded[V any] struct {
+type LRUMap[V any] struct {
 	slots []slot[V]
 	clock uint32
 }
@@ -16,13 +16,13 @@
 	values [ways]V
 }
 
-// NewBounded returns a map that holds about n entries.
-func NewBounded[V any](n int) *Bounded[V] {
-	return &Bounded[V]{slots: make([]slot[V], max(1, n/ways))}
+// NewLRUMap returns a map that holds about n entries.
+func NewLRUMap[V any](n int) *LRUMap[V] {
+	return &LRUMap[V]{slots: make([]slot[V], max(1, n/ways))}
 }
 
 // Get returns the value of key, or nil. The pointer holds until the next Put.
-func (b *Bounded[V]) Get(key uint64) *V {
+func (b *LRUMap[V]) Get(key uint64) *V {
 	s := b.slot(key)
 	for i, k := range s.keys {
 		if k == key {
@@ -35,7 +35,7 @@
 }
 
 // Put returns the value of key, a zero one if it was absent.
-func (b *Bounded[V]) Put(key uint64) *V {
+func (b *LRUMap[V]) GetOrInsert(key uint64) *V {
 	if v := b.Get(key); v != nil {
 		return v
 	}
@@ -53,7 +53,7 @@
 }
 
 // Delete forgets key.
-func (b *Bounded[V]) Delete(key uint64) {
+func (b *LRUMap[V]) Delete(key uint64) {
 	s := b.slot(key)
 	for i, k := range s.keys {
 		if k == key {
@@ -63,6 +63,6 @@
 	}
 }
 
-func (b *Bounded[V]) slot(key uint64) *slot[V] {
+func (b *LRUMap[V]) slot(key uint64) *slot[V] {
 	return &b.slots[mix(key)%uint64(len(b.slots))]
 }
--- a/pkg/sageplace/doc.go
+++ b/pkg/sageplace/doc.go
@@ -19,14 +19,14 @@
 //
 // # Returning chats
 //
-// An answer carries a token, made by a [Sealer], that names the upstream and its cache generation.
+// An answer carries a token, made by a [TokenSigner], that names the upstream and its cache generation.
 // The chat's next request goes back there while the upstream is a candidate, has not lost its cache
-// and is under the bound. Where no token comes, [Evidence] from own answers and cache events serves.
+// and is under the bound. Where no token comes, [PrefixLocations] from own answers and cache events serves.
 // Both are hints: without them the order alone decides.
 //
 // # Hot contexts
 //
-// A [Widener] says over how many upstreams of its order a context is spread; its chats are divided
+// A [WidthPolicy] says over how many upstreams of its order a context is spread; its chats are divided
 // among them by their own order.
 //
 // # Usage
@@ -34,9 +34,9 @@
 //	t := sageplace.NewTable(candidates)
 //	l := sageplace.NewLoads(len(candidates))
 //	l.Refresh(func(i int) sageplace.Load { return loadOf(candidates[i].Name) })
-//	bound, fresh := sageplace.Aims(sageplace.DefaultMultiple)
-//	p := &sageplace.Placer[*sageplace.ByLoad]{
-//		Bound: bound, Fresh: fresh, Width: sageplace.NewByLoad(1024),
+//	bound, fresh := sageplace.LoadBounds(sageplace.DefaultLoadBound)
+//	p := &sageplace.Placer[*sageplace.WidthByLoad]{
+//		Bound: bound, Fresh: fresh, Width: sageplace.NewWidthByLoad(1024),
 //	}
 //	c := p.Choose(time.Now(), t, l, &sageplace.Query{Chat: sageplace.Key("chat-1")})
 //
--- a/pkg/sageplace/loads.go
+++ b/pkg/sageplace/loads.go
@@ -41,7 +41,7 @@
 
 // WithUnits returns a copy in which this router has a free unit of every upstream. It says where a
 // request would go if only allotments were lacking.
-func (l *Loads) WithUnits() *Loads {
+func (l *Loads) WithFreeUnits() *Loads {
 	c := &Loads{all: make([]Load, len(l.all)), inFlight: l.inFlight, capacity: l.capacity}
 	copy(c.all, l.all)
 	for i := range c.all {
@@ -51,7 +51,7 @@
 }
 
 // Short reports whether this router lacks a unit of any upstream.
-func (l *Loads) Short() bool {
+func (l *Loads) LacksUnits() bool {
 	for i := range l.all {
 		if l.all[i].Free < 1 {
 			return true
@@ -61,7 +61,7 @@
 }
 
 // Add corrects the load of upstream i by n own requests.
-func (l *Loads) Add(i, n int) {
+func (l *Loads) AddRequests(i, n int) {
 	v := l.all[i]
 	v.InFlight = math.Max(0, v.InFlight+float64(n))
 	v.Free -= n
--- a/pkg/sageplace/main_test.go
+++ b/pkg/sageplace/main_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-var testBound, testFresh = Aims(DefaultMultiple)
+var testBound, testFresh = LoadBounds(DefaultLoadBound)
 
 func upstreams(n, weight int) []Upstream {
 	ups := make([]Upstream, n)
--- a/pkg/sageplace/placer.go
+++ b/pkg/sageplace/placer.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// DefaultMultiple is the multiple of the mean load that no upstream is to exceed.
+// DefaultLoadBound is the multiple of the mean load that no upstream is to exceed.
 // docs/design/placement.md has the measurement that chose it.
-const DefaultMultiple = 1.5
+const DefaultLoadBound = 1.5
 
-// Aims returns the bounds to place by so that a multiple of the mean is seldom exceeded. The bound is
+// LoadBounds returns the bounds to place by so that a multiple of the mean is seldom exceeded. The bound is
 // for all requests, fresh for chats of which an upstream holds nothing: these even out the load, since
 // moving them costs no cache. A bound below the multiple gains nothing, as loads are known too late.
-func Aims(multiple float64) (bound, fresh float64) {
+func LoadBounds(multiple float64) (bound, fresh float64) {
 	return multiple, 1 + (multiple-1)/5
 }
 
-// DefaultYield is the part of an upstream's capacity that a request leaves free, from the most urgent
+// DefaultHeadroom is the part of an upstream's capacity that a request leaves free, from the most urgent
 // priority class to the least.
-var DefaultYield = [3]float64{0, 0.05, 0.2}
+var DefaultHeadroom = [3]float64{0, 0.05, 0.2}
 
-// Place names an upstream by the [Key] of its name, and the generation of its cache.
-type Place struct {
+// Location names an upstream by the [Key] of its name, and the generation of its cache.
+type Location struct {
 	Upstream   uint64
 	Generation uint64
 }
@@ -34,37 +34,37 @@
 	Chat uint64
 	// Request spreads requests that have neither context nor chat.
 	Request uint64
-	// Place is where the chat's cached prefix is thought to be; its zero value says nothing.
-	Place Place
+	// Location is where the chat's cached prefix is thought to be; its zero value says nothing.
+	Location Location
 	// Tried lists upstreams, by place in the table, that must not be chosen again.
 	Tried []int
 	// Yield is the part of an upstream's capacity that the request leaves to more urgent ones.
-	Yield float64
+	Headroom float64
 }
 
-// Why tells which rule chose.
-type Why uint8
+// Reason tells which rule chose.
+type Reason uint8
 
 // The rules.
 const (
 	// Empty: the table has no candidate outside Tried.
-	Empty Why = iota
+	ReasonNoCandidate Reason = iota
 	// Over: every candidate is at its bound.
-	Over
+	ReasonAllAtBound
 	// Kept: the chat stays where its prefix is.
-	Kept
+	ReasonCachedPrefix
 	// First: the first upstream of the key's order, or one that the context is spread over.
-	First
+	ReasonHashOrder
 	// Spilled: the first upstream of the order that is under the bound.
-	Spilled
+	ReasonSpilled
 	// Silent: nothing known fits; this upstream's load is unknown.
-	Silent
+	ReasonLoadUnknown
 )
 
 // Choice is a decision. Index is -1 if no upstream may take the request.
 type Choice struct {
-	Index int
-	Why   Why
+	Index  int
+	Reason Reason
 }
 
 // Policy decides which upstream of a table takes a request.
@@ -74,30 +74,30 @@
 
 // Placer is the policy of this package, with a rule for the width of hot contexts. It is not safe for
 // concurrent use.
-type Placer[W Widener] struct {
-	// Bound is the multiple of the mean load up to which a request may be placed at all; see [Aims].
-	Bound float64
+type Placer[W WidthPolicy] struct {
+	// Bound is the multiple of the mean load up to which a request may be placed at all; see [LoadBounds].
+	LoadBound float64
 	// Fresh is the multiple up to which an upstream takes chats that it holds nothing of. Below
 	// Bound, it keeps room for the chats that it does hold.
-	Fresh float64
-	Width W
+	UncachedLoadBound float64
+	WidthPolicy       W
 }
 
 // Choose implements [Policy].
 func (p *Placer[W]) Choose(now time.Time, t *Table, l *Loads, q *Query) Choice {
 	if i := p.kept(t, l, q); i >= 0 {
-		return Choice{Index: i, Why: Kept}
+		return Choice{Index: i, Reason: ReasonCachedPrefix}
 	}
 	key := q.key()
 	if q.Context != 0 {
 		if i := p.wide(now, t, l, q); i >= 0 {
-			return Choice{Index: i, Why: First}
+			return Choice{Index: i, Reason: ReasonHashOrder}
 		}
 	}
-	c := inOrder(t, l, key, q.Tried, l.limit(p.Fresh, q.Yield))
-	if c.Why == Silent || c.Why == Over && l.anyFits(l.limit(p.Bound, q.Yield)) {
+	c := inOrder(t, l, key, q.Tried, l.limit(p.UncachedLoadBound, q.Headroom))
+	if c.Reason == ReasonLoadUnknown || c.Reason == ReasonAllAtBound && l.anyFits(l.limit(p.LoadBound, q.Headroom)) {
 		// Above Fresh everywhere: the bound itself decides.
-		c = inOrder(t, l, key, q.Tried, l.limit(p.Bound, q.Yield))
+		c = inOrder(t, l, key, q.Tried, l.limit(p.LoadBound, q.Headroom))
 	}
 	return c
 }
@@ -105,14 +105,14 @@
 // kept returns the upstream that holds the chat's prefix if it may take the request, or -1. A place
 // that names an older generation holds nothing any more.
 func (p *Placer[W]) kept(t *Table, l *Loads, q *Query) int {
-	if q.Place.Upstream == 0 {
+	if q.Location.Upstream == 0 {
 		return -1
 	}
-	i := t.Find(q.Place.Upstream)
-	if i < 0 || l.all[i].CacheGeneration != q.Place.Generation {
+	i := t.Find(q.Location.Upstream)
+	if i < 0 || l.all[i].CacheGeneration != q.Location.Generation {
 		return -1
 	}
-	if slices.Contains(q.Tried, i) || !l.fits(i, l.limit(p.Bound, q.Yield)) {
+	if slices.Contains(q.Tried, i) || !l.fits(i, l.limit(p.LoadBound, q.Headroom)) {
 		return -1
 	}
 	return i
@@ -122,11 +122,11 @@
 // the less loaded of the first two of the chat's own order: the chat has no cached prefix here, the
 // context is cached on both, so evening out the load costs nothing.
 func (p *Placer[W]) wide(now time.Time, t *Table, l *Loads, q *Query) int {
-	among := p.Width.Width(now, t, l, q.Context)
+	among := p.WidthPolicy.Upstreams(now, t, l, q.Context)
 	if len(among) < 2 {
 		return -1
 	}
-	key, m := q.chatKey(), l.limit(p.Fresh, q.Yield)
+	key, m := q.chatKey(), l.limit(p.UncachedLoadBound, q.Headroom)
 	const none = ^uint64(0)
 	first, firstAt := none, -1
 	second, secondAt := none, -1
@@ -201,13 +201,13 @@
 	}
 	switch {
 	case frontAt < 0:
-		return Choice{Index: -1, Why: Empty}
+		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	case silentAt == frontAt || knownAt == frontAt:
-		return Choice{Index: frontAt, Why: First}
+		return Choice{Index: frontAt, Reason: ReasonHashOrder}
 	case knownAt >= 0:
-		return Choice{Index: knownAt, Why: Spilled}
+		return Choice{Index: knownAt, Reason: ReasonSpilled}
 	case silentAt >= 0:
-		return Choice{Index: silentAt, Why: Silent}
+		return Choice{Index: silentAt, Reason: ReasonLoadUnknown}
 	}
-	return Choice{Index: -1, Why: Over}
+	return Choice{Index: -1, Reason: ReasonAllAtBound}
 }
--- a/pkg/sageplace/placer_test.go
+++ b/pkg/sageplace/placer_test.go
@@ -14,7 +14,9 @@
 
 var start = time.Date(2026, 11, 1, 8, 0, 0, 0, time.UTC)
 
-func placer() *Placer[Narrow] { return &Placer[Narrow]{Bound: testBound, Fresh: testFresh} }
+func placer() *Placer[NoWidening] {
+	return &Placer[NoWidening]{LoadBound: testBound, UncachedLoadBound: testFresh}
+}
 
 // sorted is the plain statement of inOrder: sort by cost, take the first that may be taken.
 func sorted(t *Table, l *Loads, key uint64, tried []int, m limit) Choice {
@@ -26,19 +28,19 @@
 	}
 	sort.Slice(order, func(a, b int) bool { return t.cost(key, order[a]) < t.cost(key, order[b]) })
 	if len(order) == 0 {
-		return Choice{Index: -1, Why: Empty}
+		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	}
 	if l.fits(order[0], m) {
-		return Choice{Index: order[0], Why: First}
+		return Choice{Index: order[0], Reason: ReasonHashOrder}
 	}
 	for _, want := range []bool{true, false} {
 		for _, i := range order {
 			if l.all[i].Known == want && l.fits(i, m) {
-				return Choice{Index: i, Why: map[bool]Why{true: Spilled, false: Silent}[want]}
+				return Choice{Index: i, Reason: map[bool]Reason{true: ReasonSpilled, false: ReasonLoadUnknown}[want]}
 			}
 		}
 	}
-	return Choice{Index: -1, Why: Over}
+	return Choice{Index: -1, Reason: ReasonAllAtBound}
 }
 
 func drawLoads(t *rapid.T, n int) *Loads {
@@ -78,28 +80,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		tab, l := NewTable(upstreams(n, 16)), drawLoads(t, n)
-		p := &Placer[*ByLoad]{Bound: testBound, Fresh: testFresh, Width: NewByLoad(16)}
+		p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(16)}
 		q := &Query{
-			Context: rapid.Uint64Range(0, 3).Draw(t, "context"),
-			Chat:    rapid.Uint64Range(0, 99).Draw(t, "chat"),
-			Place:   Place{Upstream: Key(fmt.Sprintf("engine-%d", rapid.IntRange(0, 13).Draw(t, "place")))},
-			Yield:   float64(rapid.IntRange(0, 1).Draw(t, "yield")) / 4,
-			Tried:   rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 2).Draw(t, "tried"),
+			Context:  rapid.Uint64Range(0, 3).Draw(t, "context"),
+			Chat:     rapid.Uint64Range(0, 99).Draw(t, "chat"),
+			Location: Location{Upstream: Key(fmt.Sprintf("engine-%d", rapid.IntRange(0, 13).Draw(t, "place")))},
+			Headroom: float64(rapid.IntRange(0, 1).Draw(t, "yield")) / 4,
+			Tried:    rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 2).Draw(t, "tried"),
 		}
 		for step := range 8 {
 			c := p.Choose(start.Add(time.Duration(step)*3*time.Second), tab, l, q)
 			if c.Index < 0 {
 				for i := range n {
-					if !slices.Contains(q.Tried, i) && l.fits(i, l.limit(p.Bound, q.Yield)) {
-						t.Fatalf("refused as %v while %d fits", c.Why, i)
+					if !slices.Contains(q.Tried, i) && l.fits(i, l.limit(p.LoadBound, q.Headroom)) {
+						t.Fatalf("refused as %v while %d fits", c.Reason, i)
 					}
 				}
 				return
 			}
-			if slices.Contains(q.Tried, c.Index) || !l.fits(c.Index, l.limit(p.Bound, q.Yield)) {
+			if slices.Contains(q.Tried, c.Index) || !l.fits(c.Index, l.limit(p.LoadBound, q.Headroom)) {
 				t.Fatalf("chose %+v with %+v", c, l.At(c.Index))
 			}
-			l.Add(c.Index, 1)
+			l.AddRequests(c.Index, 1)
 		}
 	})
 }
@@ -109,7 +111,7 @@
 	chat := Key("chat-1")
 	home := tab.Find(Key(first(tab, chat)))
 	other := (home + 1) % 6
-	place := Place{Upstream: Key(tab.Upstreams[other].Name), Generation: 4}
+	place := Location{Upstream: Key(tab.Upstreams[other].Name), Generation: 4}
 	tests := []struct {
 		name  string
 		load  Load
@@ -128,7 +130,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := even(6, 5, 10)
 			l.Set(other, tt.load)
-			c := placer().Choose(start, tab, l, &Query{Chat: chat, Place: place, Tried: tt.tried})
+			c := placer().Choose(start, tab, l, &Query{Chat: chat, Location: place, Tried: tt.tried})
 			require.Equal(t, tt.want, c.Index)
 		})
 	}
@@ -149,7 +151,7 @@
 		was := l.At(busy)
 		l.Set(busy, Load{InFlight: 10, Cap: 10, Free: 10, Known: true})
 		c := placer().Choose(start, tab, l, &Query{Chat: key})
-		require.Equal(t, Spilled, c.Why)
+		require.Equal(t, ReasonSpilled, c.Reason)
 		require.NotEqual(t, 3, c.Index)
 		l.Set(busy, was)
 	}
@@ -158,7 +160,7 @@
 	}
 	l.Set(3, Load{Cap: 10, Free: 10})
 	c := placer().Choose(start, tab, l, &Query{Chat: 1})
-	require.Equal(t, Choice{Index: -1, Why: Over}, c, "when the rest is full the silent one counts as full")
+	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, c, "when the rest is full the silent one counts as full")
 }
 
 func TestAllSilentStillServes(t *testing.T) {
@@ -166,22 +168,22 @@
 	l := NewLoads(3)
 	l.Refresh(func(int) Load { return Load{Cap: 10, Free: 1} })
 	c := placer().Choose(start, tab, l, &Query{Chat: 5})
-	require.Equal(t, First, c.Why)
-	l.Add(c.Index, 1)
+	require.Equal(t, ReasonHashOrder, c.Reason)
+	l.AddRequests(c.Index, 1)
 	c = placer().Choose(start, tab, l, &Query{Chat: 5})
-	require.Equal(t, Silent, c.Why, "allotments alone hold the bound now")
+	require.Equal(t, ReasonLoadUnknown, c.Reason, "allotments alone hold the bound now")
 }
 
 // Story: a context is spread over four engines, but all its new chats of a minute start on one of
 // them, because a hash alone is blind to load. Of the two that a chat may use, the idler one must win.
 func TestSpreadContextTakesLessLoaded(t *testing.T) {
 	tab := NewTable(upstreams(12, 20))
-	p := &Placer[fixed]{Bound: 1.35, Fresh: 1.1, Width: fixed(4)}
+	p := &Placer[fixed]{LoadBound: 1.35, UncachedLoadBound: 1.1, WidthPolicy: fixed(4)}
 	ctx, l := Key("festival"), even(12, 8, 20)
 	taken := map[int]int{}
 	for k := range 400 {
 		c := p.Choose(start, tab, l, &Query{Context: ctx, Chat: mix(uint64(k + 1))})
-		require.Equal(t, First, c.Why)
+		require.Equal(t, ReasonHashOrder, c.Reason)
 		taken[c.Index]++
 	}
 	require.Len(t, taken, 4)
@@ -200,27 +202,27 @@
 // fixed is a constant width.
 type fixed int
 
-func (n fixed) Width(_ time.Time, t *Table, _ *Loads, context uint64) []int32 {
+func (n fixed) Upstreams(_ time.Time, t *Table, _ *Loads, context uint64) []int32 {
 	order := make([]int32, n)
 	return order[:t.Order(context, order)]
 }
 
 func TestNoCandidate(t *testing.T) {
 	q := &Query{Chat: 5}
-	require.Equal(t, Choice{Index: -1, Why: Empty}, placer().Choose(start, NewTable(nil), NewLoads(0), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, placer().Choose(start, NewTable(nil), NewLoads(0), q))
 	tab := NewTable(upstreams(2, 10))
 	q.Tried = []int{0, 1}
-	require.Equal(t, Choice{Index: -1, Why: Empty}, placer().Choose(start, tab, even(2, 0, 10), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, placer().Choose(start, tab, even(2, 0, 10), q))
 	q.Tried = nil
-	require.Equal(t, Choice{Index: -1, Why: Over}, placer().Choose(start, tab, even(2, 10, 10), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, placer().Choose(start, tab, even(2, 10, 10), q))
 }
 
 // Story: half the engines leave; long audits fill the rest and a fitter on a doorstep is refused. The
 // last part of each engine must stay free for urgent requests.
 func TestBulkLeavesRoom(t *testing.T) {
 	tab, l := NewTable(upstreams(2, 10)), even(2, 8, 10)
-	require.Equal(t, Over, placer().Choose(start, tab, l, &Query{Chat: 5, Yield: 0.2}).Why)
-	require.Equal(t, First, placer().Choose(start, tab, l, &Query{Chat: 5}).Why)
+	require.Equal(t, ReasonAllAtBound, placer().Choose(start, tab, l, &Query{Chat: 5, Headroom: 0.2}).Reason)
+	require.Equal(t, ReasonHashOrder, placer().Choose(start, tab, l, &Query{Chat: 5}).Reason)
 }
 
 func TestBaselinesKeepCapacity(t *testing.T) {
--- a/pkg/sageplace/state_test.go
+++ b/pkg/sageplace/state_test.go
@@ -23,7 +23,7 @@
 	for range 128 {
 		tables, loads = append(tables, NewTable(ups)), append(loads, NewLoads(len(ups)))
 	}
-	evidence, width := NewEvidence(1<<14), NewByLoad(1<<10)
+	evidence, width := NewPrefixLocations(1<<14), NewWidthByLoad(1<<10)
 	used := heap() - before
 	runtime.KeepAlive([]any{tables, loads, evidence, width})
 	t.Logf("%d bytes", used)
--- a/pkg/sageplace/table_test.go
+++ b/pkg/sageplace/table_test.go
@@ -78,12 +78,12 @@
 }
 
 func TestBoundedForgetsLeastRecent(t *testing.T) {
-	b := NewBounded[int](ways)
+	b := NewLRUMap[int](ways)
 	for k := 1; k <= ways; k++ {
-		*b.Put(uint64(k)) = k
+		*b.GetOrInsert(uint64(k)) = k
 	}
 	require.NotNil(t, b.Get(1))
-	*b.Put(99) = 99
+	*b.GetOrInsert(99) = 99
 	require.Nil(t, b.Get(2), "the one used longest ago gives way")
 	require.Equal(t, 1, *b.Get(1))
 	b.Delete(1)
@@ -93,17 +93,17 @@
 // Story: a chat moves from a to b; a's eviction event comes late and makes the router forget that b
 // holds the chat. The chat's next request meets a cold cache.
 func TestLateEvictionChangesNothing(t *testing.T) {
-	e := NewEvidence(64)
-	e.Stored(7, 100, 1)
-	e.Stored(7, 200, 5)
-	e.Evicted(7, 100, 9)
-	p, ok := e.Place(7)
+	e := NewPrefixLocations(64)
+	e.RecordStored(7, 100, 1)
+	e.RecordStored(7, 200, 5)
+	e.RecordEvicted(7, 100, 9)
+	p, ok := e.Lookup(7)
 	require.True(t, ok)
-	require.Equal(t, Place{Upstream: 200, Generation: 5}, p)
-	e.Evicted(7, 200, 4)
-	_, ok = e.Place(7)
+	require.Equal(t, Location{Upstream: 200, Generation: 5}, p)
+	e.RecordEvicted(7, 200, 4)
+	_, ok = e.Lookup(7)
 	require.True(t, ok, "an event of an older generation says nothing of the new one")
-	e.Evicted(7, 200, 5)
-	_, ok = e.Place(7)
+	e.RecordEvicted(7, 200, 5)
+	_, ok = e.Lookup(7)
 	require.False(t, ok)
 }
--- a/pkg/sageplace/token.go
+++ b/pkg/sageplace/token.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Sealer makes and opens placement tokens. A token rides with the caller: it names the upstream and
+// TokenSigner makes and opens placement tokens. A token rides with the caller: it names the upstream and
 // the cache generation that served a chat, so any VM can send the chat there again without any VM
 // remembering it. Opening needs no state, so a replaced VM opens the tokens of the one before.
 //
 // A token is a hint under authentication, not a right: whoever holds one gets the upstream only if
 // it is still a candidate and under the bound.
-type Sealer struct {
+type TokenSigner struct {
 	// Keys are shared by all VMs. The first one seals, all of them open, so that a key can be
 	// replaced without losing the tokens under way. Without a key no token is made or believed.
 	Keys [][]byte
@@ -28,7 +28,7 @@
 )
 
 // Seal returns a token for the chat of an account that holds until the deadline, or "".
-func (s *Sealer) Seal(account, chat string, p Place, deadline time.Time) string {
+func (s *TokenSigner) Sign(account, chat string, p Location, deadline time.Time) string {
 	if len(s.Keys) == 0 || chat == "" || p.Upstream == 0 {
 		return ""
 	}
@@ -43,21 +43,21 @@
 
 // Open returns the place that a token names. A token that is malformed, expired, altered, or made for
 // another account or chat says nothing: the request is placed as if it had none.
-func (s *Sealer) Open(token, account, chat string, now time.Time) (Place, bool) {
+func (s *TokenSigner) Verify(token, account, chat string, now time.Time) (Location, bool) {
 	if len(token) != base64.RawURLEncoding.EncodedLen(tokenBytes) {
-		return Place{}, false
+		return Location{}, false
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || b[0] != tokenVersion || !s.made(b, account, chat) {
-		return Place{}, false
+	if err != nil || b[0] != tokenVersion || !s.isSigned(b, account, chat) {
+		return Location{}, false
 	}
 	if now.UnixMilli() >= int64(binary.BigEndian.Uint64(b[17:])) {
-		return Place{}, false
+		return Location{}, false
 	}
-	return Place{Upstream: binary.BigEndian.Uint64(b[1:]), Generation: binary.BigEndian.Uint64(b[9:])}, true
+	return Location{Upstream: binary.BigEndian.Uint64(b[1:]), Generation: binary.BigEndian.Uint64(b[9:])}, true
 }
 
-func (s *Sealer) made(b []byte, account, chat string) bool {
+func (s *TokenSigner) isSigned(b []byte, account, chat string) bool {
 	for _, k := range s.Keys {
 		if hmac.Equal(b[tokenFields:], seal(k, b[:tokenFields], account, chat)) {
 			return true
--- a/pkg/sageplace/width.go
+++ b/pkg/sageplace/width.go
@@ -9,32 +9,32 @@
 // bound alone decides.
 const MaxWidth = 128
 
-// Widener says over how many upstreams of its order a shared context is spread.
-type Widener interface {
+// WidthPolicy says over how many upstreams of its order a shared context is spread.
+type WidthPolicy interface {
 	// Width returns the first upstreams of the order of a context over which to spread it, at
 	// least one unless t is empty. It is called for each request of the context.
-	Width(now time.Time, t *Table, l *Loads, context uint64) []int32
+	Upstreams(now time.Time, t *Table, l *Loads, context uint64) []int32
 }
 
-// Narrow never widens: the context's first upstream takes all until the bound spills the rest.
-type Narrow struct{}
+// NoWidening never widens: the context's first upstream takes all until the bound spills the rest.
+type NoWidening struct{}
 
-// Width implements [Widener].
-func (Narrow) Width(time.Time, *Table, *Loads, uint64) []int32 { return nil }
+// Width implements [WidthPolicy].
+func (NoWidening) Upstreams(time.Time, *Table, *Loads, uint64) []int32 { return nil }
 
-// ByLoad widens a context by one and a quarter of its width when all that it is spread over have come near the bound, and
+// WidthByLoad widens a context by one and a quarter of its width when all that it is spread over have come near the bound, and
 // narrows it by one when fewer would carry their load easily. The quarter lets a rush reach a
 // width of dozens in some steps; a half cost small contexts their caches. Narrowing is in no hurry. Between the two marks, and until
 // Hold has passed since the last change, it stays: reports lag, so an effect is seen late, and each
 // change moves chats. All routers judge by the same reports, so they come to the same width
 // without telling each other.
-type ByLoad struct {
+type WidthByLoad struct {
 	// High and Low are multiples of the mean load: widen above High, narrow if what remains would
 	// stay below Low.
-	High, Low float64
+	WidenAbove, NarrowBelow float64
 	// Hold and Rest are the shortest times from a change to the next widening and narrowing.
-	Hold, Rest time.Duration
-	hot        *Bounded[spread]
+	WidenInterval, NarrowInterval time.Duration
+	hot                           *LRUMap[spread]
 }
 
 type spread struct {
@@ -45,17 +45,17 @@
 	since time.Time
 }
 
-// NewByLoad returns the rule with the marks that were measured best, for about n hot contexts.
-func NewByLoad(n int) *ByLoad {
-	return &ByLoad{
-		High: 1, Low: 0.8, Hold: 2 * time.Second, Rest: 20 * time.Second,
-		hot: NewBounded[spread](n),
+// NewWidthByLoad returns the rule with the marks that were measured best, for about n hot contexts.
+func NewWidthByLoad(n int) *WidthByLoad {
+	return &WidthByLoad{
+		WidenAbove: 1, NarrowBelow: 0.8, WidenInterval: 2 * time.Second, NarrowInterval: 20 * time.Second,
+		hot: NewLRUMap[spread](n),
 	}
 }
 
-// Width implements [Widener].
-func (r *ByLoad) Width(now time.Time, t *Table, l *Loads, context uint64) []int32 {
-	s := r.hot.Put(context)
+// Width implements [WidthPolicy].
+func (r *WidthByLoad) Upstreams(now time.Time, t *Table, l *Loads, context uint64) []int32 {
+	s := r.hot.GetOrInsert(context)
 	if s.table != t {
 		s.table = t
 		s.known = t.Order(context, s.order[:])
@@ -68,21 +68,21 @@
 	return s.order[:s.width]
 }
 
-func (r *ByLoad) step(now time.Time, l *Loads, s *spread) {
+func (r *WidthByLoad) step(now time.Time, l *Loads, s *spread) {
 	age := now.Sub(s.since)
-	if s.width < s.known && age >= r.Hold && r.crowded(l, s) {
+	if s.width < s.known && age >= r.WidenInterval && r.crowded(l, s) {
 		s.width = min(s.known, s.width+1+s.width/4)
 		s.since = now
 		return
 	}
-	if s.width > 1 && age >= r.Rest && r.easy(l, s) {
+	if s.width > 1 && age >= r.NarrowInterval && r.easy(l, s) {
 		s.width--
 		s.since = now
 	}
 }
 
-func (r *ByLoad) crowded(l *Loads, s *spread) bool {
-	m := l.limit(r.High, 0)
+func (r *WidthByLoad) crowded(l *Loads, s *spread) bool {
+	m := l.limit(r.WidenAbove, 0)
 	for _, i := range s.order[:s.width] {
 		if l.fits(int(i), m) {
 			return false
@@ -91,7 +91,7 @@
 	return true
 }
 
-func (r *ByLoad) easy(l *Loads, s *spread) bool {
+func (r *WidthByLoad) easy(l *Loads, s *spread) bool {
 	load, part := 0.0, 0.0
 	for k, i := range s.order[:s.width] {
 		load += l.estimate(int(i))
@@ -99,16 +99,16 @@
 			part += l.mean(int(i))
 		}
 	}
-	return load <= r.Low*part
+	return load <= r.NarrowBelow*part
 }
 
-// ByShare spreads a context over as many upstreams as its part of this router's requests would fill,
-// assuming that the router sees a fair sample. It is here to be measured against [ByLoad].
-type ByShare struct {
+// WidthByShare spreads a context over as many upstreams as its part of this router's requests would fill,
+// assuming that the router sees a fair sample. It is here to be measured against [WidthByLoad].
+type WidthByShare struct {
 	// Half is the time in which a request counts half.
-	Half time.Duration
-	hot  *Bounded[shared]
-	all  decayed
+	HalfLife time.Duration
+	hot      *LRUMap[shared]
+	all      decayed
 }
 
 type shared struct {
@@ -116,20 +116,20 @@
 	count  decayed
 }
 
-// NewByShare returns the rule for about n hot contexts.
-func NewByShare(n int) *ByShare {
-	return &ByShare{Half: 10 * time.Second, hot: NewBounded[shared](n)}
+// NewWidthByShare returns the rule for about n hot contexts.
+func NewWidthByShare(n int) *WidthByShare {
+	return &WidthByShare{HalfLife: 10 * time.Second, hot: NewLRUMap[shared](n)}
 }
 
-// Width implements [Widener].
-func (r *ByShare) Width(now time.Time, t *Table, _ *Loads, context uint64) []int32 {
-	c := r.hot.Put(context)
+// Width implements [WidthPolicy].
+func (r *WidthByShare) Upstreams(now time.Time, t *Table, _ *Loads, context uint64) []int32 {
+	c := r.hot.GetOrInsert(context)
 	s := &c.spread
 	if s.table != t {
 		s.table = t
 		s.known = t.Order(context, s.order[:])
 	}
-	want := c.count.add(now, r.Half) / r.all.add(now, r.Half) * float64(len(t.Upstreams))
+	want := c.count.add(now, r.HalfLife) / r.all.add(now, r.HalfLife) * float64(len(t.Upstreams))
 	// A half upstream of slack on both sides keeps the width from following the noise.
 	if w := float64(s.width); want > w+0.5 || want < w-1.5 {
 		s.width = int(math.Ceil(want))
--- a/pkg/sageplace/width_test.go
+++ b/pkg/sageplace/width_test.go
@@ -12,56 +12,56 @@
 // again when the rush is over, without going back and forth in between.
 func TestByLoadWidensAndNarrows(t *testing.T) {
 	tab := NewTable(upstreams(8, 20))
-	r := NewByLoad(16)
+	r := NewWidthByLoad(16)
 	l := even(8, 8, 20)
 	ctx := Key("festival")
 	now := start
-	width := func() int { return len(r.Width(now, tab, l, ctx)) }
+	width := func() int { return len(r.Upstreams(now, tab, l, ctx)) }
 	require.Equal(t, 1, width())
 
-	hot := r.Width(now, tab, l, ctx)[0]
+	hot := r.Upstreams(now, tab, l, ctx)[0]
 	l.Set(int(hot), Load{InFlight: 14, Cap: 20, Free: 9, Known: true})
-	now = now.Add(r.Hold)
+	now = now.Add(r.WidenInterval)
 	require.Equal(t, 2, width(), "its upstream is above the high mark")
 	require.Equal(t, 2, width(), "the second one has room")
-	second := r.Width(now, tab, l, ctx)[1]
+	second := r.Upstreams(now, tab, l, ctx)[1]
 	l.Set(int(second), Load{InFlight: 14, Cap: 20, Free: 9, Known: true})
-	now = now.Add(r.Hold / 2)
+	now = now.Add(r.WidenInterval / 2)
 	require.Equal(t, 2, width(), "the effect of the last change is not yet in the reports")
-	now = now.Add(r.Hold)
+	now = now.Add(r.WidenInterval)
 	require.Equal(t, 3, width())
 
 	l = even(8, 8, 20)
-	now = now.Add(r.Rest)
+	now = now.Add(r.NarrowInterval)
 	require.Equal(t, 3, width(), "between the marks nothing changes")
-	for _, i := range r.Width(now, tab, l, ctx) {
+	for _, i := range r.Upstreams(now, tab, l, ctx) {
 		l.Set(int(i), Load{InFlight: 1, Cap: 20, Free: 9, Known: true})
 	}
 	for want := 2; want > 0; want-- {
 		require.Equal(t, want, width())
 		require.Equal(t, want, width(), "one step in each rest")
-		now = now.Add(r.Rest)
+		now = now.Add(r.NarrowInterval)
 	}
 }
 
 func TestWidthKeptThroughTableChange(t *testing.T) {
-	r := NewByLoad(16)
+	r := NewWidthByLoad(16)
 	ctx := Key("festival")
 	now, big := start, NewTable(upstreams(8, 20))
 	full := NewLoads(8)
 	full.Refresh(func(int) Load { return Load{InFlight: 20, Cap: 20, Known: true} })
 	for range 4 {
-		r.Width(now, big, full, ctx)
-		now = now.Add(r.Hold)
+		r.Upstreams(now, big, full, ctx)
+		now = now.Add(r.WidenInterval)
 	}
-	require.Len(t, r.Width(now, big, even(8, 5, 20), ctx), 6, "1, 2, 3, 4, 6")
-	require.Len(t, r.Width(now, NewTable(upstreams(7, 20)), even(7, 5, 20), ctx), 6)
-	require.Len(t, r.Width(now, NewTable(upstreams(2, 20)), even(2, 5, 20), ctx), 2)
-	require.Empty(t, r.Width(now, NewTable(nil), NewLoads(0), ctx))
+	require.Len(t, r.Upstreams(now, big, even(8, 5, 20), ctx), 6, "1, 2, 3, 4, 6")
+	require.Len(t, r.Upstreams(now, NewTable(upstreams(7, 20)), even(7, 5, 20), ctx), 6)
+	require.Len(t, r.Upstreams(now, NewTable(upstreams(2, 20)), even(2, 5, 20), ctx), 2)
+	require.Empty(t, r.Upstreams(now, NewTable(nil), NewLoads(0), ctx))
 }
 
 func TestByShareFollowsDemand(t *testing.T) {
-	r := NewByShare(64)
+	r := NewWidthByShare(64)
 	tab, l := NewTable(upstreams(10, 20)), even(10, 5, 20)
 	now, width := start, 0
 	for k := range 2000 {
@@ -70,7 +70,7 @@
 		if k%2 == 1 {
 			ctx = mix(uint64(k))
 		}
-		if w := len(r.Width(now, tab, l, ctx)); k%2 == 0 {
+		if w := len(r.Upstreams(now, tab, l, ctx)); k%2 == 0 {
 			width = w
 		}
 	}
