--- a/pkg/sagechain/bound.go
+++ b/pkg/sagechain/bound.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// The bound on an upstream's load, in requests in flight.
+// Parameters of the load bound, in requests in flight.
 const (
-	// capSlack is what the platform tolerates beyond [Rest.CapFactor] times the mean; capMargin covers one request
-	// that another node sends at the same moment, and half of one for counts that are rounded.
+	// capSlack is the load that the platform tolerates above [BoundParams.CapFactor] times the mean. capMargin
+	// is the part of it that the bound leaves free: one request that another node sends at the same moment, and
+	// half a request for rounded counts.
 	capSlack  = 3.0
 	capMargin = 1.5
-	// mostLag is the lag that is allowed for. With older counts a lower bound makes all nodes spill at
-	// once, which takes more requests above the cap than it keeps below.
-	mostLag = 300 * time.Millisecond
-	// evenSlack is what an upstream may exceed the candidates' mean by in any case: without it,
-	// nothing could be placed when most upstreams may not be used.
-	evenSlack = 1.0
+	// maxCountLag limits the lag that the bound compensates for. With older counts the bound would be so low
+	// that all nodes spill at the same time, which puts more requests above the cap than it avoids.
+	maxCountLag = 300 * time.Millisecond
+	// meanSlack is how far an upstream may always exceed the candidates' mean load. Without it, no request
+	// could be placed while most upstreams are excluded.
+	meanSlack = 1.0
 )
 
-// DefaultCapFactor is the cap of the known platforms.
+// DefaultCapFactor is used if [BoundParams.CapFactor] is 0.
 const DefaultCapFactor = 2.0
 
-// BoundParams are the upstreams of the service that may not be chosen: cold ones, those of data centres out
-// of service, those that failed.
+// BoundParams describes the service and its upstreams that may not be chosen: cold or failed ones, and those in
+// data centres that are out of service.
 type BoundParams struct {
-	// Cap is how many times the mean load of all upstreams of the service the platform tolerates at one;
-	// 0 means [DefaultCapFactor].
+	// CapFactor is the greatest load that the platform tolerates at one upstream, as a multiple of the mean load
+	// of all upstreams of the service; 0 means [DefaultCapFactor].
 	CapFactor         float64
 	ExcludedUpstreams int
 	ExcludedLoad      int
-	// Lag is the time between two statements of the other nodes' counts.
+	// CountLag is the interval at which the other nodes report their counts.
 	CountLag time.Duration
-	// Run is how long a request runs in the mean. What an upstream got during the lag is the mean load
-	// times the lag over it.
+	// MeanRunTime is the mean duration of a request. During CountLag an upstream receives about the mean load
+	// times CountLag / MeanRunTime requests that are not in the counts.
 	MeanRunTime time.Duration
 }
 
-// LoadBound returns the greatest load at which an upstream may still be chosen. Below the cap, holding a chain
-// counts more than an idle engine: a step takes some hundredths longer for each run beside it, while reading
-// a usual chain again takes a hundred steps.
+// LoadBound returns the greatest load at which an upstream may still be chosen. Below the platform's cap, a cached
+// chain outweighs an idle engine: each concurrent request slows a generation step by a few percent, while
+// computing a typical chain again takes as long as a hundred steps.
 //
-// It guards against engines above the platform's cap when others may not be used: an idle engine that
-// is out of service lowers the mean that the cap is taken from, and the fewer are left, the more
-// evenly they have to be loaded.
-func LoadBound(cands []Candidate, rest BoundParams) float64 {
-	total := 0
+// The mean includes the excluded upstreams, since the platform's cap does. An idle engine that is out of service
+// lowers that mean, and the fewer engines are usable, the more evenly they have to be loaded to stay below the
+// cap.
+func LoadBound(cands []Candidate, params BoundParams) float64 {
+	candidateLoad := 0
 	for i := range cands {
-		total += cands[i].Load
+		candidateLoad += cands[i].Load
 	}
-	mean := float64(total) / float64(max(1, len(cands)))
-	all := float64(total+rest.ExcludedLoad) / float64(max(1, len(cands)+rest.ExcludedUpstreams))
-	unseen := 0.0
-	if rest.MeanRunTime > 0 {
-		unseen = all * float64(min(rest.CountLag, mostLag)) / float64(rest.MeanRunTime)
+	candidateMean := float64(candidateLoad) / float64(max(1, len(cands)))
+	serviceMean := float64(candidateLoad+params.ExcludedLoad) / float64(max(1, len(cands)+params.ExcludedUpstreams))
+	uncounted := 0.0
+	if params.MeanRunTime > 0 {
+		uncounted = serviceMean * float64(min(params.CountLag, maxCountLag)) / float64(params.MeanRunTime)
 	}
-	factor := rest.CapFactor
+	factor := params.CapFactor
 	if factor == 0 {
 		factor = DefaultCapFactor
 	}
-	return max(factor*all+capSlack-capMargin-unseen, mean+evenSlack)
+	return max(factor*serviceMean+capSlack-capMargin-uncounted, candidateMean+meanSlack)
 }
--- a/pkg/sagechain/chain.go
+++ b/pkg/sagechain/chain.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one part of a prompt.
+// Part is a segment of a prompt.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Chain is a prompt's parts in order; the last one belongs to the request alone.
+// Chain lists a prompt's parts in order. The last part is unique to the request.
 type Chain []Part
 
-// Shared returns the parts that other requests may have as well.
+// Shared returns the parts that other requests may have in common with this one.
 func (c Chain) Shared() Chain {
 	if len(c) < 2 {
 		return nil
@@ -23,8 +23,8 @@
 	return c[:len(c)-1]
 }
 
-// Key returns what the order of upstreams follows: the last shared part, which is the most specific
-// one that requests have in common.
+// Key returns the key for rendezvous hashing: the last shared part, which is the most specific one that requests
+// have in common.
 func (c Chain) Key() uint64 {
 	switch {
 	case len(c) == 0:
@@ -35,7 +35,7 @@
 	return c[len(c)-2].ID
 }
 
-// Own returns the part that belongs to the request alone.
+// UniquePart returns the ID of the part that is unique to the request.
 func (c Chain) UniquePart() uint64 {
 	if len(c) == 0 {
 		return 0
@@ -43,7 +43,7 @@
 	return c[len(c)-1].ID
 }
 
-// Tokens returns the length of the prompt.
+// Tokens returns the length of all parts together.
 func (c Chain) Tokens() int {
 	n := 0
 	for _, p := range c {
@@ -52,8 +52,8 @@
 	return n
 }
 
-// order is an upstream's place in a key's order; the greatest comes first.
-func order(key uint64, upstream string) uint64 {
+// hashRank returns an upstream's rendezvous hash for a key; the upstream with the greatest hash ranks first.
+func hashRank(key uint64, upstream string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], key)
 	var d xxhash.Digest
--- a/pkg/sagechain/doc.go
+++ b/pkg/sagechain/doc.go
@@ -1,30 +1,29 @@
 // Package sagechain places requests on model engines by the parts of their prompts.
 //
-// A prompt is a chain of parts, the first ones shared with other requests, the last one its own. An
-// engine that read a chain of parts once has them cached, and reading shared parts again on another
-// engine is what placement has to avoid. A [Placer] remembers which upstreams hold which parts, from
-// its own sends and from what other nodes tell, and chooses
+// A prompt is a chain of parts: the first ones are shared with other requests, the last one is unique to the
+// request. An engine keeps the parts that it has read in its cache, and placement avoids having another engine
+// read them again. A [Placer] records which upstreams hold which parts, from its own requests and from reports by
+// peers, and chooses
 //
 //  1. an upstream that holds the whole shared chain,
-//  2. or else the first in the chain's own order of upstreams (rendezvous hashing),
+//  2. or else the one that ranks first for the chain (rendezvous hashing),
 //
-// in both cases only below a bound on the load (bounded loads), so that a hot chain spreads over as
-// few upstreams as its load needs and all nodes spread it over the same ones. When the chosen one
-// lacks parts that another holds, the choice names that one, and the engine can copy the parts
-// instead of computing them.
+// in both cases only below a bound on the load (bounded loads). A frequently requested chain thus spreads over as
+// few upstreams as its load needs, and all nodes spread it over the same ones. If another upstream holds parts
+// that the chosen one lacks, the choice names it, and the engine can copy the parts instead of computing them.
 //
 // # Usage
 //
 //	p := &sagechain.Placer{}
-//	c, ok := p.Choose(now, candidates, rest, chain)
-//	... // send to candidates[c.Index], fetching from c.From
-//	p.Note(now, candidates[c.Index].ID, chain)
-//	told := p.News(400)  // for the other nodes
-//	p.Learn(now, told)   // what they told
+//	c, ok := p.Choose(now, candidates, params, chain)
+//	... // send to candidates[c.Index], copying from c.CopyFrom
+//	p.Record(now, candidates[c.Index].ID, chain)
+//	updates := p.TakeUpdates(400) // send to the peers
+//	p.Merge(now, updates)         // on a peer
 //
 // # References
 //
-// Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA 2018 (the bound);
-// Thaler, Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on
-// Networking 6 (1), 1998 (the order).
+// Mirrokni, Thorup, Zadimoghaddam, "Consistent Hashing with Bounded Loads", SODA 2018 (the bound); Thaler,
+// Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM Transactions on Networking 6 (1), 1998
+// (rendezvous hashing).
 package sagechain
--- a/pkg/sagechain/listed.go
+++ b/pkg/sagechain/listed.go
@@ -7,86 +7,85 @@
 )
 
 const (
-	// listedFor is how long what an upstream said of itself counts, like what nodes saw of it.
-	listedFor = remember
-	// maxListed bounds the memory, at four bytes a part: a quarter of a megabyte, enough for two hundred
-	// engines that list three hundred parts each. What is beyond it isn't remembered.
-	maxListed = 64 << 10
+	// listedTTL is how long a listing by an upstream is valid.
+	listedTTL = holderTTL
+	// maxListedParts bounds the index to 256 KB at four bytes a part, enough for two hundred engines that list
+	// three hundred parts each. Parts beyond it are dropped.
+	maxListedParts = 64 << 10
 )
 
-// PartHash stands for a part in lists. Among the hundreds of parts of one engine, one in ten million
-// lookups takes another part for it, which costs one more read of a prompt.
+// PartHash identifies a part in listings. At some hundred parts of an engine, one lookup in ten million collides,
+// which costs one more read of a prompt.
 type PartHash uint32
 
-// hash returns a part's hash. It halves the bytes that a large fleet tells after a restart, which the smallest
-// links need some ten milliseconds for.
-func hash(part uint64) PartHash { return PartHash(part ^ part>>32) }
+// partHash returns a part's hash. It halves the size of the listings that a large fleet sends after a restart,
+// which occupy the slowest links for some ten milliseconds.
+func partHash(part uint64) PartHash { return PartHash(part ^ part>>32) }
 
-// list is what one upstream said that it holds.
-type list struct {
-	at    sageclock.Instant
-	parts []PartHash // ascending
+// listing contains the parts that one upstream listed.
+type listing struct {
+	receivedAt sageclock.Instant
+	parts      []PartHash // ascending
 }
 
-// listed remembers what upstreams said themselves.
+// listedIndex records the parts that upstreams listed themselves.
 //
-// It guards against the loss of everything else that is known: an upstream lists all it holds, and most of
-// that are parts that belonged to one request each and never come again. Among the parts that nodes saw
-// requests share, they would fill the memory, and a full memory is emptied.
-type listed struct {
-	upstreams map[string]*list
+// It is separate from the holderIndex because most listed parts are unique to one request and never requested
+// again. In the holderIndex they would exceed its limit, and it would be cleared with all shared parts.
+type listedIndex struct {
+	upstreams map[string]*listing
 	parts     int
-	news      []listNote
+	updates   []listedHolding
 }
 
-// listNote says that an upstream listed a part.
-type listNote struct {
+// listedHolding states that an upstream listed a part.
+type listedHolding struct {
 	part     PartHash
 	upstream string
 }
 
-// add takes in some of what an upstream lists.
-func (l *listed) add(now sageclock.Instant, upstream string, parts []PartHash) {
+// add merges parts into an upstream's listing.
+func (l *listedIndex) add(now sageclock.Instant, upstream string, parts []PartHash) {
 	if l.upstreams == nil {
-		l.upstreams = make(map[string]*list)
+		l.upstreams = make(map[string]*listing)
 	}
 	x := l.upstreams[upstream]
 	if x == nil {
-		x = new(list)
+		x = new(listing)
 		l.upstreams[upstream] = x
 	}
 	l.parts -= len(x.parts)
-	x.at = now
+	x.receivedAt = now
 	x.parts = append(x.parts, parts...)
 	slices.Sort(x.parts)
 	x.parts = slices.Compact(x.parts)
-	x.parts = x.parts[:min(len(x.parts), maxListed-l.parts)]
+	x.parts = x.parts[:min(len(x.parts), maxListedParts-l.parts)]
 	l.parts += len(x.parts)
 }
 
-// holds reports whether an upstream said that it holds a part.
-func (l *listed) holds(now sageclock.Instant, upstream string, part uint64) bool {
+// holds reports whether an upstream listed a part.
+func (l *listedIndex) holds(now sageclock.Instant, upstream string, part uint64) bool {
 	x := l.upstreams[upstream]
-	if x == nil || now.Sub(x.at) >= listedFor {
+	if x == nil || now.Sub(x.receivedAt) >= listedTTL {
 		return false
 	}
-	_, found := slices.BinarySearch(x.parts, hash(part))
+	_, found := slices.BinarySearch(x.parts, partHash(part))
 	return found
 }
 
-// forget drops an upstream, and what is too old.
-func (l *listed) forget(now sageclock.Instant, upstream string) {
+// forget drops an upstream's listing and all expired ones.
+func (l *listedIndex) forget(now sageclock.Instant, upstream string) {
 	for u, x := range l.upstreams {
-		if u == upstream || now.Sub(x.at) >= listedFor {
+		if u == upstream || now.Sub(x.receivedAt) >= listedTTL {
 			l.parts -= len(x.parts)
 			delete(l.upstreams, u)
 		}
 	}
 }
 
-// tell has what an upstream said told to the other nodes.
-func (l *listed) tell(upstream string, parts []PartHash) {
+// queueUpdates queues an upstream's listed parts for sending to the peers.
+func (l *listedIndex) queueUpdates(upstream string, parts []PartHash) {
 	for _, p := range parts {
-		l.news = append(l.news, listNote{part: p, upstream: upstream})
+		l.updates = append(l.updates, listedHolding{part: p, upstream: upstream})
 	}
 }
--- a/pkg/sagechain/placer.go
+++ b/pkg/sagechain/placer.go
@@ -9,44 +9,44 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// worthCopying is the least number of tokens for which copying parts from another engine pays: a
-// copy costs some 3 ms to set up, in which an engine reads about 165 tokens.
-const worthCopying = 165
+// minCopyTokens is the least number of tokens that are worth copying from another engine: setting up a copy takes
+// about 3 ms, in which an engine reads 165 tokens.
+const minCopyTokens = 165
 
-// Candidate is an upstream that may take a request.
+// Candidate is an upstream that may be chosen for a request.
 type Candidate struct {
 	ID string
-	// Load is its requests in flight from all nodes, as far as known.
+	// Load is the number of its requests in flight from all nodes, as far as this node knows.
 	Load int
 }
 
-// Reason says what decided a choice.
+// Reason is the rule that decided a choice.
 type Reason string
 
-// The reasons of a choice.
+// The reasons.
 const (
 	ReasonHoldsChain Reason = "holds_chain"
 	ReasonHashOrder  Reason = "order"
 	ReasonAllAtBound Reason = "all_at_bound"
 )
 
-// Choice is a decision.
+// Choice is the result of a placement.
 type Choice struct {
-	// Index is the place among the candidates.
+	// Index is the index of the chosen candidate.
 	Index int
-	// Held is how many shared tokens the chosen upstream is believed to hold.
+	// HeldTokens is the length of the shared prefix that the chosen upstream is believed to hold, in tokens.
 	HeldTokens int
-	// From is the upstream that holds more of the chain and can pass it on; empty if none does. Copied is
-	// how many shared tokens it is believed to hold.
+	// CopyFrom is the upstream to copy more of the chain from; empty if there is none. CopyTokens is the length of
+	// the shared prefix that it is believed to hold.
 	CopyFrom   string
 	CopyTokens int
 	Reason     Reason
 }
 
-// SourceTrust says how well an upstream serves as the source of a copy.
+// SourceTrust says whether an upstream is likely to be running, so that parts can be copied from it.
 type SourceTrust int
 
-// What is thought of a source. One that stopped passes nothing on, and the parts are read again.
+// The degrees of trust. If the source of a copy has stopped, the copy fails and the parts are read again.
 const (
 	SourceUnusable SourceTrust = iota
 	SourceSuspect
@@ -55,42 +55,42 @@
 
 // Placer chooses upstreams for chains. It is safe for concurrent use.
 type Placer struct {
-	// SourceTrust judges whether an upstream can pass parts on to others; nil means that all can. It is set
-	// before use.
+	// SourceTrust returns whether parts can be copied from an upstream; nil means that all are trusted. It is
+	// set before use.
 	SourceTrust func(upstream string) SourceTrust
 
-	mu     sync.Mutex
-	held   held
-	listed listed
+	mu      sync.Mutex
+	holders holderIndex
+	listed  listedIndex
 }
 
-// Choose returns where a request with this chain goes, or false if there are no candidates.
-func (p *Placer) Choose(now sageclock.Instant, cands []Candidate, rest BoundParams, c Chain) (Choice, bool) {
+// Choose returns the upstream for a request with this chain, or false if there are no candidates.
+func (p *Placer) Choose(now sageclock.Instant, cands []Candidate, params BoundParams, c Chain) (Choice, bool) {
 	if len(cands) == 0 {
 		return Choice{}, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	shared, bound := c.Shared(), LoadBound(cands, rest)
-	want := shared.Tokens()
-	var room [usualParts]map[string]*holder
-	seen := p.held.look(now, shared, &p.listed, &room)
-	holders, others := split(cands, &seen, want, bound, c)
-	best := Choice{Index: holders.lesser(cands), Reason: ReasonHoldsChain}
+	shared, bound := c.Shared(), LoadBound(cands, params)
+	wantTokens := shared.Tokens()
+	var buf [typicalParts]map[string]*holder
+	view := p.holders.view(now, shared, &p.listed, &buf)
+	holders, others := partition(cands, &view, wantTokens, bound, c)
+	best := Choice{Index: holders.leastLoaded(cands), Reason: ReasonHoldsChain}
 	if best.Index < 0 {
-		best = Choice{Index: others.lesser(cands), Reason: ReasonHashOrder}
+		best = Choice{Index: others.leastLoaded(cands), Reason: ReasonHashOrder}
 	}
 	if best.Index < 0 {
-		best = Choice{Index: anyTwo(cands, c).lesser(cands), Reason: ReasonAllAtBound}
+		best = Choice{Index: firstTwo(cands, c).leastLoaded(cands), Reason: ReasonAllAtBound}
 	}
-	best.HeldTokens = seen.prefix(cands[best.Index].ID)
-	if best.CopyFrom = p.source(&seen, cands[best.Index].ID, best.HeldTokens); best.CopyFrom != "" {
-		best.CopyTokens = seen.prefix(best.CopyFrom)
+	best.HeldTokens = view.cachedTokens(cands[best.Index].ID)
+	if best.CopyFrom = p.copySource(&view, cands[best.Index].ID, best.HeldTokens); best.CopyFrom != "" {
+		best.CopyTokens = view.cachedTokens(best.CopyFrom)
 	}
 	return best, true
 }
 
-// Known reports whether some upstream is believed to hold all shared parts of a chain.
+// HasHolder reports whether some upstream is believed to hold all shared parts of a chain.
 func (p *Placer) HasHolder(now sageclock.Instant, c Chain) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,163 +98,162 @@
 	if len(shared) == 0 {
 		return true
 	}
-	var room [usualParts]map[string]*holder
-	seen, want := p.held.look(now, shared, &p.listed, &room), shared.Tokens()
-	for u := range seen.holders[len(shared)-1] {
-		if seen.prefix(u) == want {
+	var buf [typicalParts]map[string]*holder
+	view, wantTokens := p.holders.view(now, shared, &p.listed, &buf), shared.Tokens()
+	for u := range view.holders[len(shared)-1] {
+		if view.cachedTokens(u) == wantTokens {
 			return true
 		}
 	}
 	for u := range p.listed.upstreams {
-		if seen.prefix(u) == want {
+		if view.cachedTokens(u) == wantTokens {
 			return true
 		}
 	}
 	return false
 }
 
-// source returns the upstream to copy a chain from: the soundest of those that hold more of it than the
-// chosen one does, of these the one that holds most, and of several the one that was used last: it has
-// had the least time to stop unnoticed.
+// copySource returns the upstream to copy a chain from, or "" if none holds enough more of it than the chosen one.
+// It prefers the most trusted upstream, then the longest prefix, then the most recent use, since an upstream that
+// was used recently is most likely still running.
 //
-// It guards against copies from engines that crashed: their leases last some seconds, and an engine that is
-// told to copy from one reads everything itself, although another one that read it since could have
-// passed it on.
-func (p *Placer) source(seen *sight, chosen string, has int) string {
-	from, most, trust, used := "", 0, SourceUnusable, sageclock.Instant(0)
-	if seen.chain.Tokens() < has+worthCopying {
-		return from
+// Trust comes first because a crashed engine stays listed until its lease expires, some seconds later. An engine
+// that fails to copy from it reads everything itself, even if another engine holds the chain by then.
+func (p *Placer) copySource(view *chainView, chosen string, chosenTokens int) string {
+	best, bestTokens, bestTrust, bestLastUsed := "", 0, SourceUnusable, sageclock.Instant(0)
+	if view.chain.Tokens() < chosenTokens+minCopyTokens {
+		return best
 	}
-	better := func(u string) {
-		n := seen.prefix(u)
-		if u == chosen || n < has+worthCopying {
+	consider := func(u string) {
+		tokens := view.cachedTokens(u)
+		if u == chosen || tokens < chosenTokens+minCopyTokens {
 			return
 		}
-		t := SourceTrusted
+		trust := SourceTrusted
 		if p.SourceTrust != nil {
-			t = p.SourceTrust(u)
+			trust = p.SourceTrust(u)
 		}
-		at := seen.used(u)
-		if cmp.Or(cmp.Compare(t, trust), cmp.Compare(n, most), cmp.Compare(at, used), strings.Compare(from, u)) > 0 && t > SourceUnusable {
-			from, most, trust, used = u, n, t, at
+		lastUsed := view.lastUsed(u)
+		if cmp.Or(cmp.Compare(trust, bestTrust), cmp.Compare(tokens, bestTokens), cmp.Compare(lastUsed, bestLastUsed), strings.Compare(best, u)) > 0 && trust > SourceUnusable {
+			best, bestTokens, bestTrust, bestLastUsed = u, tokens, trust, lastUsed
 		}
 	}
-	for u := range seen.holders[0] {
-		better(u)
+	for u := range view.holders[0] {
+		consider(u)
 	}
 	for u := range p.listed.upstreams {
-		better(u)
+		consider(u)
 	}
-	return from
+	return best
 }
 
-// Note remembers that an upstream reads the chain of a request.
+// Record records that an upstream reads the chain of a request.
 func (p *Placer) Record(now sageclock.Instant, upstream string, c Chain) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, part := range c.Shared() {
-		if p.held.note(now, part.ID, upstream) {
-			p.held.news = append(p.held.news, note{part: part.ID, upstream: upstream})
+		if p.holders.record(now, part.ID, upstream) {
+			p.holders.updates = append(p.holders.updates, holding{part: part.ID, upstream: upstream})
 		}
 	}
 }
 
-// News returns up to n facts that other nodes have not been told, the newest first, as parts by
-// upstream, and takes them as told.
+// TakeUpdates removes up to n holdings, the newest first, from those to be sent to the peers, and returns the
+// parts by upstream.
 func (p *Placer) TakeUpdates(n int) map[string][]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from := max(0, len(p.held.news)-n)
-	out := byUpstream(p.held.news[from:])
-	p.held.news = p.held.news[:from]
+	from := max(0, len(p.holders.updates)-n)
+	out := groupByUpstream(p.holders.updates[from:])
+	p.holders.updates = p.holders.updates[:from]
 	return out
 }
 
-// Learn takes in the parts by upstream that another node told.
-func (p *Placer) Merge(now sageclock.Instant, told map[string][]uint64) {
+// Merge merges the parts by upstream that a peer sent.
+func (p *Placer) Merge(now sageclock.Instant, received map[string][]uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for u, parts := range told {
+	for u, parts := range received {
 		for _, part := range parts {
-			p.held.note(now, part, u)
+			p.holders.record(now, part, u)
 		}
 	}
 }
 
-func byUpstream(notes []note) map[string][]uint64 {
-	if len(notes) == 0 {
+func groupByUpstream(holdings []holding) map[string][]uint64 {
+	if len(holdings) == 0 {
 		return nil
 	}
 	out := make(map[string][]uint64)
-	for _, n := range notes {
-		out[n.upstream] = append(out[n.upstream], n.part)
+	for _, h := range holdings {
+		out[h.upstream] = append(out[h.upstream], h.part)
 	}
 	return out
 }
 
-// List takes in what an upstream itself says it holds, and has it told to the other nodes, each time
-// anew: nodes that joined since have not been told.
+// RecordListed records parts that an upstream listed, and queues all of them for the peers, even known ones: peers
+// that joined in the meantime don't have them.
 func (p *Placer) RecordListed(now sageclock.Instant, upstream string, parts []uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	hashes := make([]PartHash, len(parts))
 	for i, part := range parts {
-		hashes[i] = hash(part)
+		hashes[i] = partHash(part)
 	}
 	p.listed.add(now, upstream, hashes)
-	p.listed.tell(upstream, hashes)
+	p.listed.queueUpdates(upstream, hashes)
 }
 
-// NewsListed returns up to n parts that upstreams listed and other nodes have not been told, by upstream,
-// and takes them as told.
+// TakeListedUpdates removes up to n listed parts, the newest first, from those to be sent to the peers, and
+// returns them by upstream.
 func (p *Placer) TakeListedUpdates(n int) map[string][]PartHash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	from := max(0, len(p.listed.news)-n)
+	from := max(0, len(p.listed.updates)-n)
 	var out map[string][]PartHash
-	for _, n := range p.listed.news[from:] {
+	for _, h := range p.listed.updates[from:] {
 		if out == nil {
 			out = make(map[string][]PartHash)
 		}
-		out[n.upstream] = append(out[n.upstream], n.part)
+		out[h.upstream] = append(out[h.upstream], h.part)
 	}
-	p.listed.news = p.listed.news[:from]
+	p.listed.updates = p.listed.updates[:from]
 	return out
 }
 
-// LearnListed takes in parts that upstreams listed, by upstream, as another node told.
-func (p *Placer) MergeListed(now sageclock.Instant, told map[string][]PartHash) {
+// MergeListed merges the listed parts by upstream that a peer sent.
+func (p *Placer) MergeListed(now sageclock.Instant, received map[string][]PartHash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for u, parts := range told {
+	for u, parts := range received {
 		p.listed.add(now, u, parts)
 	}
 }
 
-// AllListed returns what upstreams listed, for a node that has just started.
+// AllListed returns all listed parts by upstream, for a node that has just started.
 func (p *Placer) AllListed(now sageclock.Instant) map[string][]PartHash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string][]PartHash)
 	for u, x := range p.listed.upstreams {
-		if now.Sub(x.at) < listedFor {
+		if now.Sub(x.receivedAt) < listedTTL {
 			out[u] = slices.Clone(x.parts)
 		}
 	}
 	return out
 }
 
-// All returns everything that is known as parts by upstream, for a node that has just started.
+// All returns all known holders as parts by upstream, for a node that has just started.
 func (p *Placer) All(now sageclock.Instant) map[string][]uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return byUpstream(p.held.all(now))
+	return groupByUpstream(p.holders.all(now))
 }
 
-// Forget drops what is believed of an upstream that has left, crashed or started anew.
+// Forget drops an upstream that has left, crashed or restarted.
 func (p *Placer) Forget(upstream string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held.forget(upstream)
+	p.holders.forget(upstream)
 	p.listed.forget(sageclock.Now(), upstream)
 }
--- a/pkg/sagechain/placer_test.go
+++ b/pkg/sagechain/placer_test.go
@@ -20,52 +20,52 @@
 	return out
 }
 
-func chain(thing uint64) Chain {
-	return Chain{{ID: 1, Tokens: 500}, {ID: thing, Tokens: 10_000}, {ID: thing + 1e6, Tokens: 1300}}
+func testChain(document uint64) Chain {
+	return Chain{{ID: 1, Tokens: 500}, {ID: document, Tokens: 10_000}, {ID: document + 1e6, Tokens: 1300}}
 }
 
-func TestNodesAgreeWithoutTalking(t *testing.T) {
+func TestNodesAgreeWithoutCommunication(t *testing.T) {
 	var a, b Placer
-	for thing := range uint64(100) {
-		x, ok := a.Choose(at(1), candidates(12), BoundParams{}, chain(thing+10))
+	for document := range uint64(100) {
+		x, ok := a.Choose(at(1), candidates(12), BoundParams{}, testChain(document+10))
 		require.True(t, ok)
-		y, _ := b.Choose(at(1), candidates(12), BoundParams{}, chain(thing+10))
+		y, _ := b.Choose(at(1), candidates(12), BoundParams{}, testChain(document+10))
 		require.Equal(t, x.Index, y.Index)
 	}
 }
 
-// An engine joins, and a tenth of all chains is read again by it although the engines that hold them
-// are idle. A holder below the bound goes first.
-func TestHolderGoesBeforeOrder(t *testing.T) {
+// Prevents that a new engine takes over a tenth of all chains and reads them again while their holders are idle: a
+// holder below the bound precedes the hash order.
+func TestHolderPrecedesHashOrder(t *testing.T) {
 	var p Placer
 	cands := candidates(3)
-	c, _ := p.Choose(at(1), cands, BoundParams{}, chain(7))
-	p.Record(at(1), cands[c.Index].ID, chain(7))
+	c, _ := p.Choose(at(1), cands, BoundParams{}, testChain(7))
+	p.Record(at(1), cands[c.Index].ID, testChain(7))
 	for n := 4; n < 40; n++ {
-		again, _ := p.Choose(at(2), candidates(n), BoundParams{}, chain(7))
+		again, _ := p.Choose(at(2), candidates(n), BoundParams{}, testChain(7))
 		require.Equal(t, c.Index, again.Index)
 		require.Equal(t, ReasonHoldsChain, again.Reason)
 		require.Empty(t, again.CopyFrom)
 	}
 }
 
-// One key gets a quarter of the traffic: its engine exceeds the bound on the load. The surplus goes
-// to the next in order, which copies the parts from the holder instead of reading them again.
+// A chain with a quarter of the requests drives its engine above the load bound. The surplus goes to the engine
+// that ranks next, which copies the parts from the holder instead of reading them again.
 func TestHotChainSpillsAndCopies(t *testing.T) {
 	var p Placer
 	cands := candidates(4)
-	c, _ := p.Choose(at(1), cands, BoundParams{}, chain(7))
-	p.Record(at(1), cands[c.Index].ID, chain(7))
+	c, _ := p.Choose(at(1), cands, BoundParams{}, testChain(7))
+	p.Record(at(1), cands[c.Index].ID, testChain(7))
 	cands[c.Index].Load = 12
-	spill, _ := p.Choose(at(1), cands, BoundParams{}, chain(7))
+	spill, _ := p.Choose(at(1), cands, BoundParams{}, testChain(7))
 	require.NotEqual(t, c.Index, spill.Index)
 	require.Equal(t, cands[c.Index].ID, spill.CopyFrom)
-	p.Record(at(1), cands[spill.Index].ID, chain(7))
-	again, _ := p.Choose(at(1), cands, BoundParams{}, chain(7))
-	require.Equal(t, spill.Index, again.Index, "the second holder is kept")
+	p.Record(at(1), cands[spill.Index].ID, testChain(7))
+	again, _ := p.Choose(at(1), cands, BoundParams{}, testChain(7))
+	require.Equal(t, spill.Index, again.Index, "the second holder is used again")
 }
 
-func TestAllAtBoundTakesTheLeastLoaded(t *testing.T) {
+func TestAllAtBoundPicksLeastLoaded(t *testing.T) {
 	var p Placer
 	cands := []Candidate{{"a", 2}}
 	c, ok := p.Choose(at(1), cands, BoundParams{}, nil)
@@ -75,44 +75,44 @@
 	require.False(t, ok)
 }
 
-func TestNewsReachesOtherNodes(t *testing.T) {
+func TestUpdatesReachOtherNodes(t *testing.T) {
 	var a, b Placer
-	a.Record(at(1), "e05", chain(7))
-	news := a.TakeUpdates(10)
-	require.Len(t, news["e05"], 2)
+	a.Record(at(1), "e05", testChain(7))
+	updates := a.TakeUpdates(10)
+	require.Len(t, updates["e05"], 2)
 	require.Empty(t, a.TakeUpdates(10))
-	a.Record(at(2), "e05", chain(7))
-	require.Empty(t, a.TakeUpdates(10), "known and told a second ago")
-	a.Record(at(20), "e05", chain(7))
+	a.Record(at(2), "e05", testChain(7))
+	require.Empty(t, a.TakeUpdates(10), "reported a second ago")
+	a.Record(at(20), "e05", testChain(7))
 	require.Len(t, a.TakeUpdates(1), 1)
 	require.Len(t, a.TakeUpdates(10), 1)
-	b.Merge(at(1), news)
-	c, _ := b.Choose(at(2), candidates(12), BoundParams{}, chain(7))
+	b.Merge(at(1), updates)
+	c, _ := b.Choose(at(2), candidates(12), BoundParams{}, testChain(7))
 	require.Equal(t, 5, c.Index)
 	b.Forget("e05")
-	c, _ = b.Choose(at(2), candidates(12), BoundParams{}, chain(7))
+	c, _ = b.Choose(at(2), candidates(12), BoundParams{}, testChain(7))
 	require.Equal(t, ReasonHashOrder, c.Reason)
-	c, _ = a.Choose(at(200), candidates(12), BoundParams{}, chain(7))
-	require.Equal(t, ReasonHashOrder, c.Reason, "too long ago")
+	c, _ = a.Choose(at(200), candidates(12), BoundParams{}, testChain(7))
+	require.Equal(t, ReasonHashOrder, c.Reason, "the holder has expired")
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestHolderIndexIsBounded(t *testing.T) {
 	var p Placer
 	for i := range uint64(3 * maxParts) {
 		p.Record(at(1), "e", Chain{{ID: i, Tokens: 1}, {}})
 	}
-	require.LessOrEqual(t, len(p.held.parts), maxParts)
+	require.LessOrEqual(t, len(p.holders.parts), maxParts)
 }
 
 func BenchmarkChoose(b *testing.B) {
 	var p Placer
 	cands := candidates(256)
-	for thing := range uint64(200) {
-		p.Record(at(1), cands[thing].ID, chain(thing))
+	for document := range uint64(200) {
+		p.Record(at(1), cands[document].ID, testChain(document))
 	}
 	b.ReportAllocs()
 	for i := uint64(0); b.Loop(); i++ {
-		p.Choose(at(2), cands, BoundParams{}, chain(i%200))
+		p.Choose(at(2), cands, BoundParams{}, testChain(i%200))
 	}
 }
 
@@ -125,40 +125,40 @@
 	// Output: 1 9500 holds_chain
 }
 
-// An engine leaves during a release, and the requests of its chains name it as the one to copy from
-// for a minute: the copies fail and the chains are read again, though a second engine holds them too.
-func TestCopiesComeFromEnginesThatRun(t *testing.T) {
-	gone := map[string]bool{}
+// Prevents failed copies during a rolling restart: without it, requests name a stopped engine as the source for up
+// to holderTTL, and the chains are read again although a second engine holds them.
+func TestCopySourceIsUsable(t *testing.T) {
+	stopped := map[string]bool{}
 	p := Placer{SourceTrust: func(u string) SourceTrust {
-		if gone[u] {
+		if stopped[u] {
 			return SourceUnusable
 		}
 		return SourceTrusted
 	}}
-	p.Record(at(1), "a", chain(7))
-	p.Record(at(1), "b", chain(7))
+	p.Record(at(1), "a", testChain(7))
+	p.Record(at(1), "b", testChain(7))
 	only := []Candidate{{ID: "c"}}
-	c, _ := p.Choose(at(2), only, BoundParams{}, chain(7))
+	c, _ := p.Choose(at(2), only, BoundParams{}, testChain(7))
 	require.Equal(t, "a", c.CopyFrom)
-	gone["a"] = true
-	c, _ = p.Choose(at(2), only, BoundParams{}, chain(7))
+	stopped["a"] = true
+	c, _ = p.Choose(at(2), only, BoundParams{}, testChain(7))
 	require.Equal(t, "b", c.CopyFrom)
-	gone["b"] = true
-	c, _ = p.Choose(at(2), only, BoundParams{}, chain(7))
+	stopped["b"] = true
+	c, _ = p.Choose(at(2), only, BoundParams{}, testChain(7))
 	require.Empty(t, c.CopyFrom)
 }
 
-// A data centre with three of eleven engines is out of service and three more are cold: the five that
-// are left carry everything, and one of them 22 requests where twice the mean of all eleven is 19.
-// The load comes in one by one; every engine has to stay within the platform's cap.
+// Prevents overload of the usable engines if three of eleven are in a data centre out of service and three are
+// cold. The other five carried everything, and one of them had 22 requests while twice the mean of all eleven was
+// 19.
 func TestFewEnginesAreLoadedEvenly(t *testing.T) {
 	p := new(Placer)
-	cands, rest := candidates(5), BoundParams{ExcludedUpstreams: 6}
+	cands, params := candidates(5), BoundParams{ExcludedUpstreams: 6}
 	for n := range 95 {
-		thing := uint64(n%7 + 10)
-		c, ok := p.Choose(at(1), cands, rest, chain(thing))
+		document := uint64(n%7 + 10)
+		c, ok := p.Choose(at(1), cands, params, testChain(document))
 		require.True(t, ok)
-		p.Record(at(1), cands[c.Index].ID, chain(thing))
+		p.Record(at(1), cands[c.Index].ID, testChain(document))
 		cands[c.Index].Load++
 	}
 	for _, c := range cands {
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestLoadBound(t *testing.T) {
 	loaded := func(n, load int) []Candidate {
 		out := candidates(n)
 		for i := range out {
@@ -180,41 +180,41 @@
 		want float64
 	}{
 		{"all usable", BoundParams{}, 2*5 + 1.5},
-		// Sums of counts arrive each 0.3 s: that many requests are not in them.
+		// Sums of counts arrive every 0.3 s; the requests sent in between are missing from them.
 		{"counts lag", BoundParams{CountLag: 300 * time.Millisecond, MeanRunTime: time.Second}, 2*5 + 1.5 - 0.3*5},
-		{"counts lag more than can be allowed for", BoundParams{CountLag: 900 * time.Millisecond, MeanRunTime: time.Second}, 2*5 + 1.5 - 0.3*5},
-		{"runs are long", BoundParams{CountLag: 300 * time.Millisecond, MeanRunTime: 3 * time.Second}, 2*5 + 1.5 - 0.1*5},
-		{"another cap", BoundParams{CapFactor: 1.5}, 1.5*5 + 1.5},
+		{"lag above the maximum", BoundParams{CountLag: 900 * time.Millisecond, MeanRunTime: time.Second}, 2*5 + 1.5 - 0.3*5},
+		{"long requests", BoundParams{CountLag: 300 * time.Millisecond, MeanRunTime: 3 * time.Second}, 2*5 + 1.5 - 0.1*5},
+		{"other cap factor", BoundParams{CapFactor: 1.5}, 1.5*5 + 1.5},
 		{"few usable", BoundParams{ExcludedUpstreams: 20}, 5 + 1},
 	} {
 		require.InDelta(t, tt.want, LoadBound(loaded(10, 5), tt.rest), 1e-9, tt.name)
 	}
 }
 
-// Thirteen of sixty engines crash, and their leases last some seconds. Each of their chains is read again by
-// one engine; the next ones were told to copy from the crashed one, which came first by name, and read the
-// chain again as well, two or three times for each chain.
-func TestCopiesComeFromSoundEnginesFirst(t *testing.T) {
+// Prevents copies from crashed engines while another one holds the chain. Thirteen of sixty engines crash, and
+// their leases last some seconds. One engine reads each of their chains again; without trust, the next ones were
+// sent to copy from the crashed engine, which was first by name, and each chain was read two or three times.
+func TestCopySourcePrefersTrustedEngines(t *testing.T) {
 	trust := map[string]SourceTrust{"a": SourceSuspect, "b": SourceTrusted}
 	p := Placer{SourceTrust: func(u string) SourceTrust { return trust[u] }}
-	p.Record(at(1), "a", chain(7))
+	p.Record(at(1), "a", testChain(7))
 	only := []Candidate{{ID: "c"}}
-	c, _ := p.Choose(at(2), only, BoundParams{}, chain(7))
-	require.Equal(t, "a", c.CopyFrom, "it may still run")
-	p.Record(at(2), "b", chain(7))
-	c, _ = p.Choose(at(3), only, BoundParams{}, chain(7))
+	c, _ := p.Choose(at(2), only, BoundParams{}, testChain(7))
+	require.Equal(t, "a", c.CopyFrom, "it may still be running")
+	p.Record(at(2), "b", testChain(7))
+	c, _ = p.Choose(at(3), only, BoundParams{}, testChain(7))
 	require.Equal(t, "b", c.CopyFrom)
-	require.Equal(t, chain(7).Shared().Tokens(), c.CopyTokens)
-	short := chain(7)[:1]
+	require.Equal(t, testChain(7).Shared().Tokens(), c.CopyTokens)
+	short := testChain(7)[:1]
 	p.Record(at(3), "d", append(Chain(nil), short[0], Part{ID: 99}))
 	trust["d"], trust["b"] = SourceTrusted, SourceSuspect
-	c, _ = p.Choose(at(4), only, BoundParams{}, chain(7))
-	require.Equal(t, "d", c.CopyFrom, "less, but surely")
+	c, _ = p.Choose(at(4), only, BoundParams{}, testChain(7))
+	require.Equal(t, "d", c.CopyFrom, "a shorter prefix from a trusted engine")
 	p = Placer{}
 	for i, u := range []string{"x", "y", "z"} {
-		p.Record(at(i+1), u, chain(7))
+		p.Record(at(i+1), u, testChain(7))
 	}
-	p.Record(at(5), "y", chain(7))
-	c, _ = p.Choose(at(6), only, BoundParams{}, chain(7))
-	require.Equal(t, "y", c.CopyFrom, "used last, so that it runs is known best")
+	p.Record(at(5), "y", testChain(7))
+	c, _ = p.Choose(at(6), only, BoundParams{}, testChain(7))
+	require.Equal(t, "y", c.CopyFrom, "the engine used last")
 }
--- a/pkg/sagechain/spread.go
+++ b/pkg/sagechain/spread.go
@@ -1,76 +1,76 @@
 package sagechain
 
-// pair collects the first two candidates of an order.
-type pair struct {
-	at    [2]int
-	place [2]uint64
+// topTwo collects the indexes of the two candidates with the greatest ranks.
+type topTwo struct {
+	index [2]int
+	rank  [2]uint64
 	n     int
 }
 
-// add takes a candidate in with its place in the order.
-func (p *pair) add(i int, place uint64) {
+// add offers a candidate with its rank.
+func (p *topTwo) add(i int, rank uint64) {
 	switch {
-	case p.n == 0 || place > p.place[0]:
-		p.at[1], p.place[1] = p.at[0], p.place[0]
-		p.at[0], p.place[0] = i, place
-	case p.n == 1 || place > p.place[1]:
-		p.at[1], p.place[1] = i, place
+	case p.n == 0 || rank > p.rank[0]:
+		p.index[1], p.rank[1] = p.index[0], p.rank[0]
+		p.index[0], p.rank[0] = i, rank
+	case p.n == 1 || rank > p.rank[1]:
+		p.index[1], p.rank[1] = i, rank
 	}
-	p.n = min(p.n+1, len(p.at))
+	p.n = min(p.n+1, len(p.index))
 }
 
-// lesser returns the one of the pair with less load, the first if both have as much, or -1 if the
-// pair is empty.
-func (p *pair) lesser(cands []Candidate) int {
+// leastLoaded returns the candidate with the lower load, the first one if the loads are equal, or -1 if there is
+// none.
+func (p *topTwo) leastLoaded(cands []Candidate) int {
 	switch {
 	case p.n == 0:
 		return -1
-	case p.n == 2 && cands[p.at[1]].Load < cands[p.at[0]].Load:
-		return p.at[1]
+	case p.n == 2 && cands[p.index[1]].Load < cands[p.index[0]].Load:
+		return p.index[1]
 	}
-	return p.at[0]
+	return p.index[0]
 }
 
-// split returns which candidates with room come into question: of those that hold the whole chain the
-// two that come first for this request, and of the others the first for the chain, so that all nodes
-// send a new chain to the same engine, or the two first for this request if the holders are full.
+// partition returns the candidates to choose from whose load is within the bound: the two holders of the whole
+// chain that rank first for this request, and among the others the one that ranks first for the chain, so that all
+// nodes send a new chain to the same engine. If holders exist, the others are the two that rank first for this
+// request, for the case that the holders are full.
 //
-// It guards against nodes that fill the same engine together: their counts of each other lag, so to
-// all of them the same engine looks free, and an order that depends on the chain alone, or on the
-// loads alone, sends all of a hot chain's requests there until the counts arrive. The order of a
-// request's own part differs from request to request; the lesser of two then evens the rest out.
-func split(cands []Candidate, seen *sight, want int, bound float64, c Chain) (holders, others pair) {
-	own, key := c.UniquePart(), c.Key()
-	var first pair
-	held := want == 0
+// Ranking by the request's unique part spreads the requests of nodes whose counts of each other lag. Ranking by
+// the chain or by load alone would make all nodes choose the same engine, and they would overload it before the
+// counts arrive. Taking the less loaded of two candidates evens out the rest.
+func partition(cands []Candidate, view *chainView, wantTokens int, bound float64, c Chain) (holders, others topTwo) {
+	uniquePart, key := c.UniquePart(), c.Key()
+	var firstForChain topTwo
+	hasHolder := wantTokens == 0
 	for i := range cands {
 		id := cands[i].ID
-		holds := want > 0 && seen.prefix(id) == want
-		held = held || holds
+		holds := wantTokens > 0 && view.cachedTokens(id) == wantTokens
+		hasHolder = hasHolder || holds
 		switch {
 		case float64(cands[i].Load) > bound:
 		case holds:
-			holders.add(i, order(own, id))
+			holders.add(i, hashRank(uniquePart, id))
 		default:
-			first.add(i, order(key, id))
-			others.add(i, order(own, id))
+			firstForChain.add(i, hashRank(key, id))
+			others.add(i, hashRank(uniquePart, id))
 		}
 	}
-	if !held {
-		first.n = min(first.n, 1)
-		others = first
+	if !hasHolder {
+		firstForChain.n = min(firstForChain.n, 1)
+		others = firstForChain
 	}
 	return holders, others
 }
 
-// anyTwo returns the two candidates that come first for this request.
+// firstTwo returns the two candidates that rank first for this request.
 //
-// It guards against nodes that all send to the engine with the least load as they last heard when none
-// has room.
-func anyTwo(cands []Candidate, c Chain) *pair {
-	var p pair
+// It is used when all candidates are above the bound. Choosing the least loaded of all would make the nodes choose
+// the same engine until newer counts arrive.
+func firstTwo(cands []Candidate, c Chain) *topTwo {
+	var p topTwo
 	for i := range cands {
-		p.add(i, order(c.UniquePart(), cands[i].ID))
+		p.add(i, hashRank(c.UniquePart(), cands[i].ID))
 	}
 	return &p
 }
