--- a/pkg/sagechain/listed_test.go
+++ b/pkg/sagechain/listed_test.go
@@ -31,8 +31,8 @@
 	return byUpstream
 }
 
-// Prevents that listed parts displace shared ones: after a restart of all nodes, sixty engines list 18 000 parts.
-// With both kinds in one index, its limit was exceeded, it was cleared, and all prompts were read again.
+// Prevents listed parts from displacing shared ones: after a restart of all nodes, sixty engines list 18 000
+// parts. With both kinds in one index, its limit was exceeded, it was cleared, and all prompts were read again.
 func TestListedPartsDontEvictSharedParts(t *testing.T) {
 	p := new(Placer)
 	now := sageclock.Instant(time.Hour)
--- a/pkg/sagechain/placer_test.go
+++ b/pkg/sagechain/placer_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Prevents that a new engine takes over a tenth of all chains and reads them again while their holders are idle: a
-// holder below the bound precedes the hash order.
+// Prevents a new engine from taking over a tenth of all chains and reading them again while their holders are
+// idle: a holder below the bound precedes the hash order.
 func TestHolderPrecedesHashOrder(t *testing.T) {
 	var p Placer
 	cands := candidates(3)
--- a/pkg/sagequarantine/doc.go
+++ b/pkg/sagequarantine/doc.go
@@ -1,34 +1,38 @@
-// Package sagequarantine stops requests that crash the upstreams which execute them.
+// Package sagequarantine stops requests that crash the upstreams that execute them.
 //
-// Such a request comes again, from its caller or a retry, under a new id and at any node. Judged one exchange at a
-// time, each crash looks like a fault of the upstream, and the request is offered the next healthy one. A [Tracker]
-// connects the attempts by what they ask for: a [Fingerprint] of client account, method, target and body.
+// Such a request is repeated, by its caller or a retry, under a new ID and at any node. With each exchange judged
+// on its own, a crash looks like a fault of the upstream, and the request is sent to the next healthy one. A
+// [Tracker] connects the attempts by a [Fingerprint] of client account, method, target and body.
 //
 // # Evidence
 //
 // When an upstream crashes, every request that it was executing becomes suspect. Nodes report the crashes they see
-// to each other ([Report]), so that those of one request add up wherever its attempts were handled; a crash counts
-// once however many nodes report it. A request under which [Book.Threshold] upstreams crashed is quarantined: it is refused
-// by all nodes before it reaches an upstream.
+// to each other ([Report]), so that the crashes under one request add up even if different nodes handled its
+// attempts. A crash counts once, however many nodes report it. A request under which [Tracker.Threshold] upstreams
+// crashed is quarantined: all nodes refuse it before it reaches an upstream.
 //
-// Harmless requests run at upstreams that crash as well. Two things speak for them. One that any upstream executes to
-// its end is cleared, everywhere. And a crash under a quarantined request speaks against no request that has no other.
+// Harmless requests also run at upstreams that crash. Two rules protect them. A request that any upstream executes
+// completely is cleared on all nodes. And a crash under a quarantined request doesn't count against requests that
+// have no other crash.
 //
 // # Store
 //
-// A quarantine outlasts the nodes in the platform's store. [Book.Differences] says what the store lacks or holds in
-// vain, [Book.Restore] and [Book.Release] take in what it holds. It ends after [QuarantineDuration], when an operator deletes the
-// object, or when the request succeeds: one node lets an attempt through now and then ([Book.AllowTrial]).
+// Quarantines are written to the platform's store, so that they survive restarts of the nodes.
+// [Tracker.Differences] returns the requests that have to be added to or deleted from the store, and
+// [Tracker.Restore] and [Tracker.Release] apply changes of the store. A quarantine ends after
+// [QuarantineDuration], when an operator deletes the object, or when the request succeeds in a trial, an attempt
+// that one node lets through ([Tracker.AllowTrial]).
 //
-// All collections are bounded; the oldest suspects and the quarantines that end first give way.
+// All collections are bounded. When one is full, the suspect with the oldest crash or the quarantine that ends
+// first is evicted.
 //
 // # Usage
 //
-//	b := new(sagequarantine.Tracker)
-//	fp := sagequarantine.FingerprintOf(account, r.Method, r.Host+r.URL.RequestURI(), body)
-//	if until, ok := b.Quarantined(now, fp); ok { ... } // refuse it
-//	b.Crashed(now, sagequarantine.CrashIDOf(upstream, born), fp)
-//	b.Succeeded(now, fp)
-//	reports, cleared := b.Reports(now, relays) // to the other nodes
-//	b.Learn(now, reports, cleared)             // from another node
+//	t := new(sagequarantine.Tracker)
+//	f := sagequarantine.FingerprintOf(account, r.Method, r.Host+r.URL.RequestURI(), body)
+//	if until, ok := t.QuarantinedUntil(now, f); ok { ... } // refuse it
+//	t.RecordCrash(now, sagequarantine.CrashIDOf(upstream, incarnation), f)
+//	t.RecordSuccess(now, f)
+//	reports, cleared := t.Reports(now, forward) // send to the peers
+//	t.Merge(now, reports, cleared)              // on a peer
 package sagequarantine
--- a/pkg/sagequarantine/evidence.go
+++ b/pkg/sagequarantine/evidence.go
@@ -7,187 +7,184 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// abandoned is a request that this node gave up while an upstream ran it.
+// abandoned is a request that this node abandoned while an upstream executed it.
 type abandoned struct {
 	request Fingerprint
-	crash   CrashID // of that upstream, should it crash
+	crash   CrashID // the ID of a crash of that upstream, should it happen
 	at      sageclock.Instant
 }
 
-// Crashed takes in that an upstream crashed while this node's requests ran there, and returns those that are
-// quarantined from now on. Without requests it only recalls the abandoned ones.
-func (b *Tracker) RecordCrash(now sageclock.Instant, c CrashID, requests ...Fingerprint) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	out := b.matchAbandoned(now, c)
+// RecordCrash records that an upstream crashed while it executed requests of this node, and returns those that are
+// quarantined as a result. Requests that this node abandoned there count as well.
+func (t *Tracker) RecordCrash(now sageclock.Instant, c CrashID, requests ...Fingerprint) []Entry {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.updateCounts()
+	out := t.matchAbandoned(now, c)
 	for _, f := range requests {
-		out = b.note(out, message{f, c, now, true})
+		out = t.addEvidence(out, message{f, c, now, true})
 	}
 	return out
 }
 
-// Abandoned takes in that this node gave a request up while an upstream ran it.
-//
-// It guards against a request whose callers leave before it crashes the upstream: no exchange is left that would
-// break.
-func (b *Tracker) RecordAbandoned(now sageclock.Instant, c CrashID, f Fingerprint) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.abandoned = append(b.abandoned, abandoned{f, c, now})
-	b.abandoned = b.abandoned[max(0, len(b.abandoned)-mostAbandoned):]
+// RecordAbandoned records that this node abandoned a request while an upstream executed it. When the upstream
+// crashes, no exchange is left that would fail and report the request.
+func (t *Tracker) RecordAbandoned(now sageclock.Instant, c CrashID, f Fingerprint) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.abandoned = append(t.abandoned, abandoned{f, c, now})
+	t.abandoned = t.abandoned[max(0, len(t.abandoned)-maxAbandoned):]
 }
 
-// Learn takes in another node's reports and cleared suspects, and returns the requests that are quarantined from now
-// on.
-func (b *Tracker) Merge(now sageclock.Instant, reports []Report, cleared []Fingerprint) []Entry {
+// Merge merges a peer's reports and cleared suspects, and returns the requests that are quarantined as a result.
+func (t *Tracker) Merge(now sageclock.Instant, reports []Report, cleared []Fingerprint) []Entry {
 	if len(reports) == 0 && len(cleared) == 0 {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.updateCounts()
 	var out []Entry
 	for _, r := range reports {
-		out = append(out, b.matchAbandoned(now, r.Crash)...)
+		out = append(out, t.matchAbandoned(now, r.Crash)...)
 		for _, f := range r.Suspects {
-			out = b.note(out, message{f, r.Crash, now, false})
+			out = t.addEvidence(out, message{f, r.Crash, now, false})
 		}
 	}
 	for _, f := range cleared {
-		b.clear(message{suspect: f, since: now})
+		t.clear(message{suspect: f, queuedAt: now})
 	}
 	return out
 }
 
-// Succeeded takes in that a request was executed to its end, which clears it.
+// RecordSuccess records that a request was executed completely, which clears it.
 //
-// It guards against quarantine of a harmless request that many callers send alike: while upstreams crash for other
+// It prevents the quarantine of a harmless request that many callers send: while upstreams crash for other
 // reasons, some of its attempts run there each time.
-func (b *Tracker) RecordSuccess(now sageclock.Instant, f Fingerprint) {
-	if !b.Active() {
+func (t *Tracker) RecordSuccess(now sageclock.Instant, f Fingerprint) {
+	if !t.Active() {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.count()
-	b.clear(message{suspect: f, since: now, own: true})
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	defer t.updateCounts()
+	t.clear(message{suspect: f, queuedAt: now, local: true})
 }
 
-// note takes in that a request ran when an upstream crashed, and appends it to entries if it is quarantined thereby.
-func (b *Tracker) note(entries []Entry, m message) []Entry {
-	now := m.since
-	b.out.sweep(now)
-	if e := b.entries[m.suspect]; e != nil && now < e.Until {
-		b.noteQuarantined(e, m)
+// addEvidence records that a request ran when an upstream crashed, and appends it to entries if that quarantines
+// it.
+func (t *Tracker) addEvidence(entries []Entry, m message) []Entry {
+	now := m.queuedAt
+	t.out.expire(now)
+	if e := t.entries[m.suspect]; e != nil && now < e.Until {
+		t.addQuarantinedCrash(e, m)
 		return entries
 	}
-	r := b.record(now, m.suspect)
-	if r.has(m.crash) {
+	s := t.suspectOf(now, m.suspect)
+	if s.hasCrash(m.crash) {
 		return entries
 	}
-	b.out.add(m)
-	r.last = now
-	if b.isExplained(m.crash) {
-		r.putAside(m.crash)
+	t.out.add(m)
+	s.lastCrash = now
+	if t.isExplained(m.crash) {
+		s.addDiscounted(m.crash)
 		return entries
 	}
-	r.counted = append(r.counted, m.crash)
-	if len(r.counted) < b.threshold(r) {
+	s.counted = append(s.counted, m.crash)
+	if len(s.counted) < t.threshold(s) {
 		return entries
 	}
-	e := Entry{Request: m.suspect, Crashes: r.counted, Since: now, Until: now.Add(QuarantineDuration)}
-	b.put(&e)
+	e := Entry{Request: m.suspect, Crashes: s.counted, Since: now, Until: now.Add(QuarantineDuration)}
+	t.quarantine(&e)
 	for _, c := range e.Crashes {
-		b.explain(c)
+		t.markExplained(c)
 	}
-	b.remind(now, &e)
+	t.resendCrashes(now, &e)
 	return append(entries, e)
 }
 
-// noteQuarantined takes in one more crash under a quarantined request. Whoever reports it may not know of the others; a
-// crash that is known already says nothing of that.
-func (b *Tracker) noteQuarantined(e *Entry, m message) {
-	b.explain(m.crash)
-	if slices.Contains(e.Crashes, m.crash) || len(e.Crashes) >= mostCrashes {
+// addQuarantinedCrash records another crash under a quarantined request and resends the request's crashes, since
+// the node that reported it may not know of them. A crash that is already recorded is no sign of that.
+func (t *Tracker) addQuarantinedCrash(e *Entry, m message) {
+	t.markExplained(m.crash)
+	if slices.Contains(e.Crashes, m.crash) || len(e.Crashes) >= maxCrashesPerEntry {
 		return
 	}
 	e.Crashes = append(e.Crashes, m.crash)
-	b.remind(m.since, e)
+	t.resendCrashes(m.queuedAt, e)
 }
 
-// threshold returns how many crashes quarantine a suspect.
-func (b *Tracker) threshold(r *record) int {
-	n := cmp.Or(b.Threshold, DefaultThreshold)
-	if r.succeeded {
-		n *= succeededTimes
+// threshold returns the number of crashes that quarantine a suspect.
+func (t *Tracker) threshold(s *suspect) int {
+	n := cmp.Or(t.Threshold, DefaultThreshold)
+	if s.succeeded {
+		n *= succeededFactor
 	}
 	return n
 }
 
-// remind passes the crashes of a quarantined request on anew, for nodes that know of some only: they started or were
-// cut off in between.
-func (b *Tracker) remind(now sageclock.Instant, e *Entry) {
+// resendCrashes sends the crashes of a quarantined request again, for nodes that missed some of them because they
+// started later or were cut off.
+func (t *Tracker) resendCrashes(now sageclock.Instant, e *Entry) {
 	for _, c := range e.Crashes {
-		b.out.adopt(message{e.Request, c, now, true})
+		t.out.addLocal(message{e.Request, c, now, true})
 	}
 }
 
-// matchAbandoned notes the requests that this node had given up at an upstream that crashed soon after.
-func (b *Tracker) matchAbandoned(now sageclock.Instant, c CrashID) []Entry {
-	if len(b.abandoned) == 0 {
+// matchAbandoned records the crash as evidence against the requests that this node recently abandoned there.
+func (t *Tracker) matchAbandoned(now sageclock.Instant, c CrashID) []Entry {
+	if len(t.abandoned) == 0 {
 		return nil
 	}
 	var out []Entry
-	var rest []abandoned
-	for _, a := range b.abandoned {
+	var remaining []abandoned
+	for _, a := range t.abandoned {
 		switch {
-		case now.Sub(a.at) >= runsOn:
+		case now.Sub(a.at) >= abandonedTTL:
 		case a.crash == c:
-			out = b.note(out, message{a.request, c, now, true})
+			out = t.addEvidence(out, message{a.request, c, now, true})
 		default:
-			rest = append(rest, a)
+			remaining = append(remaining, a)
 		}
 	}
-	b.abandoned = rest
+	t.abandoned = remaining
 	return out
 }
 
-// clear sets aside what speaks against a suspect and ends its quarantine.
-func (b *Tracker) clear(m message) {
-	b.out.sweep(m.since)
-	r, e := b.records[m.suspect], b.entries[m.suspect]
-	if e == nil && (r == nil || len(r.counted) == 0) {
+// clear discounts the crashes under a suspect and ends its quarantine.
+func (t *Tracker) clear(m message) {
+	t.out.expire(m.queuedAt)
+	s, e := t.suspects[m.suspect], t.entries[m.suspect]
+	if e == nil && (s == nil || len(s.counted) == 0) {
 		return
 	}
-	if r != nil {
-		r.clear()
+	if s != nil {
+		s.discountAll()
 	}
-	delete(b.entries, m.suspect)
-	b.out.add(m)
+	delete(t.entries, m.suspect)
+	t.out.add(m)
 }
 
-// explain notes a crash under which a quarantined request ran. It no longer speaks against suspects that have no other
-// one; those with more may crash upstreams as well.
-//
-// It guards against quarantine of harmless requests that come to the same upstreams as one that crashes them.
-func (b *Tracker) explain(c CrashID) {
-	if b.isExplained(c) {
+// markExplained records a crash under a quarantined request. The crash is discounted for suspects that have no
+// other one, to prevent the quarantine of harmless requests that are sent to the upstreams that the quarantined
+// request crashes. Suspects with more crashes may crash upstreams themselves.
+func (t *Tracker) markExplained(c CrashID) {
+	if t.isExplained(c) {
 		return
 	}
-	b.explained = append(b.explained, c)
-	b.explained = b.explained[max(0, len(b.explained)-mostExplained):]
-	for _, r := range b.records {
-		if len(r.counted) == 1 {
-			r.drop(c)
+	t.explainedCrashes = append(t.explainedCrashes, c)
+	t.explainedCrashes = t.explainedCrashes[max(0, len(t.explainedCrashes)-maxExplained):]
+	for _, s := range t.suspects {
+		if len(s.counted) == 1 {
+			s.discount(c)
 		}
 	}
 }
 
-func (b *Tracker) isExplained(c CrashID) bool { return slices.Contains(b.explained, c) }
+func (t *Tracker) isExplained(c CrashID) bool { return slices.Contains(t.explainedCrashes, c) }
 
-// repeated reports whether more than one crash speaks against a request.
-func (b *Tracker) repeated(f Fingerprint) bool {
-	r := b.records[f]
-	return b.entries[f] != nil || r != nil && len(r.counted) > 1
+// hasRepeatedCrashes reports whether a request is quarantined or more than one crash counts against it.
+func (t *Tracker) hasRepeatedCrashes(f Fingerprint) bool {
+	s := t.suspects[f]
+	return t.entries[f] != nil || s != nil && len(s.counted) > 1
 }
--- a/pkg/sagequarantine/fingerprint.go
+++ b/pkg/sagequarantine/fingerprint.go
@@ -9,19 +9,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrFingerprint reports text that is no fingerprint.
+// ErrFingerprint is returned for text that is not a fingerprint.
 var ErrFingerprint = errors.New("fingerprint is not 16 hexadecimal digits")
 
-// Fingerprint names what a request asks for and who asks, whichever attempt it is. Requests with the same one differ
-// in nothing that an upstream executes.
+// Fingerprint identifies what a request asks for and which client account sends it, whatever the attempt. Requests
+// with equal fingerprints are the same to an upstream.
 type Fingerprint uint64
 
 // digits is the length of a fingerprint's text.
 const digits = 16
 
-// FingerprintOf returns the fingerprint of a request: the client account, the method, the host with path and query, and the body.
+// FingerprintOf returns the fingerprint of a request: a hash of the client account, the method, the host with path
+// and query, and the body.
 //
-// The hash is a cryptographic one, since a caller who finds a collision could have another's request refused.
+// The hash is cryptographic, since a client that finds a collision could have another client's request refused.
 func FingerprintOf(account, method, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	var length [8]byte
--- a/pkg/sagequarantine/outbox.go
+++ b/pkg/sagequarantine/outbox.go
@@ -7,39 +7,39 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// message is one fact on its way to other nodes.
+// message is a report about one suspect that is sent to the peers.
 type message struct {
-	suspect Fingerprint
-	crash   CrashID // 0 if the suspect is cleared
-	since   sageclock.Instant
-	own     bool // this node saw it itself
+	suspect  Fingerprint
+	crash    CrashID // 0 if the suspect is cleared
+	queuedAt sageclock.Instant
+	local    bool // recorded by this node itself, not received from a peer
 }
 
-// outbox keeps the newest facts to pass on.
+// outbox contains the latest messages, oldest first.
 type outbox []message
 
-// add appends a fact and drops the oldest ones beyond the bound.
+// add appends a message and drops the oldest ones beyond maxQueued.
 func (o *outbox) add(m message) {
 	*o = append(*o, m)
-	if n := len(*o) - mostWaiting; n > 0 {
+	if n := len(*o) - maxQueued; n > 0 {
 		*o = append((*o)[:0], (*o)[n:]...)
 	}
 }
 
-// adopt passes a fact on as this node's own, whether it waits already or not.
-func (o *outbox) adopt(m message) {
+// addLocal marks a queued message as local, or adds the message if it isn't queued.
+func (o *outbox) addLocal(m message) {
 	i := slices.IndexFunc(*o, func(w message) bool { return w.suspect == m.suspect && w.crash == m.crash })
 	if i < 0 {
 		o.add(m)
 		return
 	}
-	(*o)[i].own = true
+	(*o)[i].local = true
 }
 
-// sweep drops the facts that were passed on for long enough.
-func (o *outbox) sweep(now sageclock.Instant) {
+// expire drops the messages that have been sent for sendFor.
+func (o *outbox) expire(now sageclock.Instant) {
 	n := 0
-	for n < len(*o) && now.Sub((*o)[n].since) >= passFor {
+	for n < len(*o) && now.Sub((*o)[n].queuedAt) >= sendFor {
 		n++
 	}
 	if n > 0 {
@@ -47,24 +47,26 @@
 	}
 }
 
-// choose returns the facts for one heartbeat: those about repeated suspects, then any others.
+// selectForHeartbeat returns the messages for one heartbeat: those about cleared suspects and suspects with
+// repeated crashes first, then a random choice of the others. Messages from peers are included only if forward is
+// set.
 //
-// It guards against the one request that matters being left out when many upstreams crash at once, each under dozens
-// of requests.
-func (o outbox) choose(learned bool, repeated func(f Fingerprint) bool) []message {
-	var first, rest []message
+// Without this order, the request that causes the crashes could be left out when many upstreams crash at the same
+// time, each with dozens of requests.
+func (o outbox) selectForHeartbeat(forward bool, isRepeated func(f Fingerprint) bool) []message {
+	var prioritized, others []message
 	for _, m := range o {
 		switch {
-		case !m.own && !learned:
-		case m.crash == 0 || repeated(m.suspect):
-			first = append(first, m)
+		case !m.local && !forward:
+		case m.crash == 0 || isRepeated(m.suspect):
+			prioritized = append(prioritized, m)
 		default:
-			rest = append(rest, m)
+			others = append(others, m)
 		}
 	}
-	if len(first)+len(rest) > mostPassed {
-		rand.Shuffle(len(rest), func(i, k int) { rest[i], rest[k] = rest[k], rest[i] })
+	if len(prioritized)+len(others) > maxPerHeartbeat {
+		rand.Shuffle(len(others), func(i, k int) { others[i], others[k] = others[k], others[i] })
 	}
-	first = first[max(0, len(first)-mostPassed):]
-	return append(first, rest[:min(len(rest), mostPassed-len(first))]...)
+	prioritized = prioritized[max(0, len(prioritized)-maxPerHeartbeat):]
+	return append(prioritized, others[:min(len(others), maxPerHeartbeat-len(prioritized))]...)
 }
