--- a/pkg/sagerollout/controller.go
+++ b/pkg/sagerollout/controller.go
@@ -6,67 +6,68 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// How a rollout is spread over its time and its bound.
+// Parameters of a rollout's schedule and shares.
 const (
-	// canaryPart is the least part of the time from order to deadline that is left to the canary.
-	canaryPart = 0.45
-	// completeWithin is how long it takes from the ramp until the baseline is idle: the longest usual answers
-	// and what counts and plans lag. completeLeast is enough for usual answers.
-	completeWithin = 8 * time.Second
-	completeLeast  = 5500 * time.Millisecond
-	// react is how long the fleet needs to notice a bad version and to stop sending to it: counts pass
-	// three nodes that each wait up to a fifth of a second, and so does the plan.
-	react = 800 * time.Millisecond
-	// rampShare is the share of the phase between canary and full.
+	// minCanaryPart is the minimum part of the time between order and deadline before the target is promoted.
+	minCanaryPart = 0.45
+	// completionTime is the time from the ramp until the baseline is idle: the duration of the longest usual
+	// answers and the lag of counts and plans. minCompletionTime suffices for usual answers.
+	completionTime    = 8 * time.Second
+	minCompletionTime = 5500 * time.Millisecond
+	// reactionTime is the time that the fleet needs to notice a bad version and to stop sending to it. Counts pass
+	// three nodes, each of which waits up to 200 ms, and so does the plan.
+	reactionTime = 800 * time.Millisecond
+	// rampShare is the target's share in the ramp phase.
 	rampShare = 0.25
-	// leastShare and mostShare bound the canary's share.
-	leastShare = 0.01
-	mostShare  = 0.5
-	// slackPart is the part of the bound's slack that the canary may use.
-	slackPart = 0.4
-	// idleFor is how long the baseline must have been idle before an order is completed, longer than any
-	// count of requests in flight lags.
-	idleFor = 1500 * time.Millisecond
-	// roomPart is the part of the target's slots that the service's requests in flight may fill.
-	roomPart = 0.7
+	// minCanaryShare and maxCanaryShare bound the target's share in the canary phase.
+	minCanaryShare = 0.01
+	maxCanaryShare = 0.5
+	// canarySlackPart is the part of [Bounds.ExposedSlack] that the canary may use.
+	canarySlackPart = 0.4
+	// baselineIdleTime is the time for which the baseline must have been idle before an order is completed. It
+	// exceeds the lag of the counts of requests in flight.
+	baselineIdleTime = 1500 * time.Millisecond
+	// maxSlotUse is the part of the target's slots that the service's requests in flight may occupy.
+	maxSlotUse = 0.7
 )
 
-// ServiceLoad is what the controller sees of a service.
+// ServiceLoad describes the upstreams of a service and their load.
 type ServiceLoad struct {
-	// TargetSlots are the slots of the target's upstreams that may be used, BaselineSlots those of the
-	// others.
+	// TargetSlots are the slots of the target's usable upstreams, BaselineSlots those of the others.
 	TargetSlots, BaselineSlots int
-	// InFlight are the requests at all upstreams, BaselineInFlight those at the baseline.
+	// InFlight are the requests in flight at all upstreams, BaselineInFlight those at the baseline.
 	InFlight, BaselineInFlight int
 }
 
-// bears reports whether the target can take the whole traffic.
-func (f *ServiceLoad) bears() bool {
-	return f.TargetSlots > 0 && float64(f.InFlight) <= roomPart*float64(f.TargetSlots)
+// targetHasCapacity reports whether the target can take all requests of the service.
+func (l *ServiceLoad) targetHasCapacity() bool {
+	return l.TargetSlots > 0 && float64(l.InFlight) <= maxSlotUse*float64(l.TargetSlots)
 }
 
-// Controller steps plans. Exported fields are set before use. It is not safe for concurrent use.
+// Controller steps plans through their phases. Exported fields are set before use. It is not safe for concurrent
+// use.
 type Controller struct {
 	// Self is this node's name.
 	Self   string
 	Bounds Bounds
-	// Weigh returns the verdict on all of an order's evidence; nil means a [SequentialTest] for each order.
+	// Evaluate returns the verdict on an order's evidence and the route that decided it; nil means a
+	// [SequentialTest] for each order.
 	Evaluate func(e Evidence) (v Verdict, route string)
 
-	orders map[uint64]*watched
+	orders map[uint64]*orderState
 }
 
-// watched is what a controller remembers of an order.
-type watched struct {
-	busy  sageclock.Instant // when its baseline last had requests
-	judge SequentialTest
+// orderState is the controller's state of an order.
+type orderState struct {
+	lastBusy sageclock.Instant // when the baseline last had requests in flight
+	test     SequentialTest
 }
 
-// Step returns the next version of an order's plan.
-func (c *Controller) Step(now sageclock.Instant, o Order, p Plan, e Evidence, f ServiceLoad) Plan {
-	w := c.watch(now, o.ID)
-	if f.BaselineInFlight > 0 {
-		w.busy = now
+// Step returns the next plan for an order.
+func (c *Controller) Step(now sageclock.Instant, o Order, p Plan, e Evidence, load ServiceLoad) Plan {
+	s := c.stateOf(now, o.ID)
+	if load.BaselineInFlight > 0 {
+		s.lastBusy = now
 	}
 	next := p
 	next.OrderID, next.Sequence, next.Controller, next.IssuedAt = o.ID, p.Sequence+1, c.Self, now
@@ -76,66 +77,66 @@
 	if p.Phase.Final() {
 		return next
 	}
-	v, _ := c.weigh(w, e)
-	if v == VerdictUnknown && requestRate(now.Sub(o.FirstSeen), e)*o.Deadline.Sub(o.FirstSeen).Seconds() < slackPart*c.Bounds.ExposedSlack {
-		v = VerdictSound // all requests until the deadline are fewer than the bound leaves to a bad version
+	v, _ := c.evaluate(s, e)
+	if v == VerdictUnknown && requestRate(now.Sub(o.FirstSeen), e)*o.Deadline.Sub(o.FirstSeen).Seconds() < canarySlackPart*c.Bounds.ExposedSlack {
+		v = VerdictSound // too few requests are expected until the deadline for a bad version to exceed its bound
 	}
-	promote := c.promoteAt(now, o, e)
+	promoteAt := c.promoteAt(now, o, e)
 	switch {
 	case v == VerdictBad:
 		next.enter(PhaseRolledBack, 0, now)
 	case now >= o.Deadline && p.Phase < PhaseFull:
 		next.enter(PhaseRolledBack, 0, now)
-	case p.Phase == PhasePending && f.bears():
-		next.enter(PhaseCanary, c.canaryShare(now, o, promote, e), now)
-	case p.Phase == PhaseCanary && now >= promote && now.Sub(p.PhaseSince) >= react && v == VerdictSound && f.bears():
+	case p.Phase == PhasePending && load.targetHasCapacity():
+		next.enter(PhaseCanary, c.canaryShare(now, o, promoteAt, e), now)
+	case p.Phase == PhaseCanary && now >= promoteAt && now.Sub(p.PhaseSince) >= reactionTime && v == VerdictSound && load.targetHasCapacity():
 		next.enter(PhaseRamp, rampShare, now)
 	case p.Phase == PhaseCanary:
-		next.Share = c.canaryShare(now, o, promote, e)
-	case p.Phase == PhaseRamp && now.Sub(p.PhaseSince) >= react && v == VerdictSound:
-		w.busy = now
+		next.Share = c.canaryShare(now, o, promoteAt, e)
+	case p.Phase == PhaseRamp && now.Sub(p.PhaseSince) >= reactionTime && v == VerdictSound:
+		s.lastBusy = now
 		next.enter(PhaseFull, 1, now)
-	case p.Phase == PhaseFull && now.Sub(p.PhaseSince) >= idleFor && now.Sub(w.busy) >= idleFor:
+	case p.Phase == PhaseFull && now.Sub(p.PhaseSince) >= baselineIdleTime && now.Sub(s.lastBusy) >= baselineIdleTime:
 		next.enter(PhaseDone, 1, now)
 	}
 	return next
 }
 
-func (c *Controller) weigh(w *watched, e Evidence) (Verdict, string) {
+func (c *Controller) evaluate(s *orderState, e Evidence) (Verdict, string) {
 	if c.Evaluate != nil {
 		return c.Evaluate(e)
 	}
-	w.judge.Add(e)
-	return w.judge.Verdict()
+	s.test.Add(e)
+	return s.test.Verdict()
 }
 
 // Verdict returns the last verdict on an order, and the route that decided it.
 func (c *Controller) Verdict(order uint64) (Verdict, string) {
-	if w := c.orders[order]; w != nil {
-		return w.judge.Verdict()
+	if s := c.orders[order]; s != nil {
+		return s.test.Verdict()
 	}
 	return VerdictUnknown, ""
 }
 
-// enter begins a phase.
+// enter starts a phase.
 func (p *Plan) enter(phase Phase, share float64, now sageclock.Instant) {
 	p.Phase, p.Share, p.PhaseSince = phase, share, now
 }
 
-// watch returns what is remembered of an order.
-func (c *Controller) watch(now sageclock.Instant, order uint64) *watched {
+// stateOf returns the state of an order and creates it if there is none.
+func (c *Controller) stateOf(now sageclock.Instant, order uint64) *orderState {
 	if c.orders == nil {
-		c.orders = make(map[uint64]*watched)
+		c.orders = make(map[uint64]*orderState)
 	}
-	w := c.orders[order]
-	if w == nil {
-		w = &watched{busy: now}
-		c.orders[order] = w
+	s := c.orders[order]
+	if s == nil {
+		s = &orderState{lastBusy: now}
+		c.orders[order] = s
 	}
-	return w
+	return s
 }
 
-// Keep forgets all orders but those for which keep is true.
+// Retain drops the state of all orders for which keep returns false.
 func (c *Controller) Retain(keep func(order uint64) bool) {
 	for id := range c.orders {
 		if !keep(id) {
@@ -144,39 +145,40 @@
 	}
 }
 
-// promoteAt returns when the target is promoted: so late that even a bad version keeps within the bound if it
-// gets everything from then on, if that leaves time to complete the order, and else so that the longest usual answers
-// end in time. It gives the canary the longest time to find a version that turns bad.
+// promoteAt returns when the target is promoted to the ramp phase. It is as late as possible, to give the canary
+// time to find a version that turns bad: so late that a bad version stays within the bound even if it gets all
+// requests from then on. If that leaves too little time to complete the order, the target is promoted early enough
+// for the longest usual answers to end before the deadline.
 func (c *Controller) promoteAt(now sageclock.Instant, o Order, e Evidence) sageclock.Instant {
-	whole := o.Deadline.Sub(o.FirstSeen)
-	earliest := time.Duration(canaryPart * float64(whole))
-	at := time.Duration((1 - c.Bounds.ExposedShare) * float64(whole))
+	duration := o.Deadline.Sub(o.FirstSeen)
+	earliest := time.Duration(minCanaryPart * float64(duration))
+	at := time.Duration((1 - c.Bounds.ExposedShare) * float64(duration))
 	if rate := requestRate(now.Sub(o.FirstSeen), e); rate > 0 {
-		at -= time.Duration((1 - slackPart) * c.Bounds.ExposedSlack / rate * float64(time.Second))
+		at -= time.Duration((1 - canarySlackPart) * c.Bounds.ExposedSlack / rate * float64(time.Second))
 	}
-	if at > whole-completeLeast {
-		at = whole - completeWithin
+	if at > duration-minCompletionTime {
+		at = duration - completionTime
 	}
 	return o.FirstSeen.Add(max(earliest, at))
 }
 
-// canaryShare returns the share at which the canary uses the part of the bound that is left when the ramp
-// and the reaction to a version that turns bad at full share are taken off.
-func (c *Controller) canaryShare(now sageclock.Instant, o Order, promote sageclock.Instant, e Evidence) float64 {
-	whole, canary := o.Deadline.Sub(o.FirstSeen).Seconds(), promote.Sub(o.FirstSeen).Seconds()
-	spent := react.Seconds() * (1 + rampShare)
-	share := max(0, c.Bounds.ExposedShare*whole-spent) / max(spent, canary)
+// canaryShare returns the target's share in the canary phase. It spends the part of the exposure bound that
+// remains after the ramp and the reaction to a version that turns bad at full share.
+func (c *Controller) canaryShare(now sageclock.Instant, o Order, promoteAt sageclock.Instant, e Evidence) float64 {
+	duration, canaryTime := o.Deadline.Sub(o.FirstSeen).Seconds(), promoteAt.Sub(o.FirstSeen).Seconds()
+	reserved := reactionTime.Seconds() * (1 + rampShare)
+	share := max(0, c.Bounds.ExposedShare*duration-reserved) / max(reserved, canaryTime)
 	if rate := requestRate(now.Sub(o.FirstSeen), e); rate > 0 {
-		share += slackPart * c.Bounds.ExposedSlack / max(1, canary) / rate
+		share += canarySlackPart * c.Bounds.ExposedSlack / max(1, canaryTime) / rate
 	}
-	return min(max(share, leastShare), mostShare)
+	return min(max(share, minCanaryShare), maxCanaryShare)
 }
 
-// requestRate returns the service's requests a second; 0 if that isn't known yet.
-func requestRate(took time.Duration, e Evidence) float64 {
-	if took < time.Second {
+// requestRate returns the service's requests per second, or 0 in the first second.
+func requestRate(elapsed time.Duration, e Evidence) float64 {
+	if elapsed < time.Second {
 		return 0
 	}
 	sum := e.Sum()
-	return float64(sum.Baseline.Total()+sum.Target.Total()) / took.Seconds()
+	return float64(sum.Baseline.Total()+sum.Target.Total()) / elapsed.Seconds()
 }
--- a/pkg/sagerollout/tally.go
+++ b/pkg/sagerollout/counts.go
@@ -8,23 +8,23 @@
 	"github.com/pkg/errors"
 )
 
-// ErrCountKey reports the key of a count that can't be read.
-var ErrCountKey = errors.New("malformed key of a rollout's count")
+// ErrCountKey is returned for text that is not a [CountKey].
+var ErrCountKey = errors.New("malformed rollout count key")
 
-// Arm is the group of upstreams that a request goes to.
+// Arm is a group of upstreams that a request may be sent to.
 type Arm uint8
 
 // The arms.
 const (
-	// ArmAny is every version: no order runs.
+	// ArmAny is all versions. It is used when no order is running.
 	ArmAny Arm = iota
-	// ArmBaseline is every version but the target.
+	// ArmBaseline is all versions but the target.
 	ArmBaseline
 	// ArmTarget is the version that the traffic is to be moved to.
 	ArmTarget
 )
 
-// CountKey names one of a rollout's counts.
+// CountKey identifies a count of answers.
 type CountKey struct {
 	OrderID uint64
 	Arm     Arm
@@ -32,7 +32,7 @@
 	Route   string
 }
 
-// String returns the key as it goes to other nodes.
+// String returns the key in the form that is sent to peers.
 func (k CountKey) String() string {
 	bad := "0"
 	if k.Bad {
@@ -41,7 +41,7 @@
 	return strconv.FormatUint(k.OrderID, 36) + "/" + strconv.Itoa(int(k.Arm)) + "/" + bad + "/" + k.Route
 }
 
-// ParseCountKey reads what [Key.String] returned.
+// ParseCountKey parses the result of [CountKey.String].
 func ParseCountKey(s string) (CountKey, error) {
 	f := strings.SplitN(s, "/", 4)
 	if len(f) != 4 {
@@ -49,32 +49,32 @@
 	}
 	order, err := strconv.ParseUint(f[0], 36, 64)
 	if err != nil {
-		return CountKey{}, fmt.Errorf("order of %q: %w", s, ErrCountKey)
+		return CountKey{}, fmt.Errorf("order ID in %q: %w", s, ErrCountKey)
 	}
 	arm, err := strconv.ParseUint(f[1], 10, 8)
 	if err != nil || Arm(arm) != ArmBaseline && Arm(arm) != ArmTarget {
-		return CountKey{}, fmt.Errorf("arm of %q: %w", s, ErrCountKey)
+		return CountKey{}, fmt.Errorf("arm in %q: %w", s, ErrCountKey)
 	}
 	if f[2] != "0" && f[2] != "1" {
-		return CountKey{}, fmt.Errorf("outcome of %q: %w", s, ErrCountKey)
+		return CountKey{}, fmt.Errorf("outcome in %q: %w", s, ErrCountKey)
 	}
 	return CountKey{OrderID: order, Arm: Arm(arm), Bad: f[2] == "1", Route: f[3]}, nil
 }
 
-// Count is a number of answers.
+// Count is a number of good and of bad answers.
 type Count struct{ Good, Bad int }
 
 // Total returns the number of all answers.
 func (c Count) Total() int { return c.Good + c.Bad }
 
-// ArmCounts are the answers of both arms on one route.
+// ArmCounts contains the answers of both arms on a route.
 type ArmCounts struct{ Baseline, Target Count }
 
-// Evidence are an order's answers by route, from all nodes.
+// Evidence contains an order's answers from all nodes by route.
 type Evidence map[string]ArmCounts
 
-// CollectEvidence returns the evidence on an order in counts by key. Keys of other orders, and those that can't be
-// read, are left out.
+// CollectEvidence returns the evidence on an order from counts by the text of their [CountKey]. Malformed keys and
+// keys of other orders are skipped.
 func CollectEvidence(order uint64, counts map[string]int) Evidence {
 	out := make(Evidence)
 	for s, n := range counts {
@@ -97,7 +97,7 @@
 	return out
 }
 
-// Sum returns the answers on all routes together.
+// Sum returns the answers on all routes.
 func (e Evidence) Sum() ArmCounts {
 	var out ArmCounts
 	for _, p := range e {
--- a/pkg/sagerollout/order.go
+++ b/pkg/sagerollout/order.go
@@ -11,13 +11,13 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// ErrOrder reports an order that can't be carried out.
-var ErrOrder = errors.New("unusable rollout order")
+// ErrOrder is returned for an order that can't be carried out.
+var ErrOrder = errors.New("invalid rollout order")
 
-// State is how far an order is, as the store shows it.
+// State is the state of an order in the store.
 type State string
 
-// The states. The empty one is that of an order of which nothing was written.
+// The states. An order without a status is unstarted.
 const (
 	StateUnstarted  State = ""
 	StateRunning    State = "running"
@@ -25,32 +25,32 @@
 	StateRolledBack State = "rolled_back"
 )
 
-// Final reports whether the state is the last one of its order.
+// Final reports whether an order in this state has ended.
 func (s State) Final() bool { return s == StateCompleted || s == StateRolledBack }
 
-// Order asks that a service's traffic be moved to a version.
+// Order requests that a service's traffic be moved to a version.
 type Order struct {
-	// ID distinguishes orders about the same service, on all nodes alike.
+	// ID identifies the order among those for the same service. It is the same on all nodes.
 	ID uint64
-	// Name is the order's name in the store.
+	// Name is the name of the order's object in the store.
 	Name    string
 	Service string
-	// ArmTarget is the version that the traffic is to be moved to.
+	// Target is the version that the traffic is to be moved to.
 	Target string
-	// Given is when this node first saw the order, Deadline when it has to be completed or rolled back.
+	// FirstSeen is when this node first saw the order, Deadline is when it must be completed or rolled back.
 	FirstSeen, Deadline sageclock.Instant
-	// Revision is that of the order's object; a status is written under the condition that it holds.
+	// Revision is the revision of the order's object. A status is written only if the object still has it.
 	Revision uint64
-	// State is what the store shows.
+	// State is the state in the store.
 	State State
 }
 
-// OrderID returns the identity of an order.
+// OrderID returns the ID of an order. created distinguishes orders with the same content.
 func OrderID(created uint64, service, target string, duration time.Duration) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%d\x00%s\x00%s\x00%d", created, service, target, duration))
 }
 
-// Check returns what is wrong with an order, or nil.
+// Check returns an error that wraps [ErrOrder] if the order lacks a service or a target.
 func (o *Order) Check() error {
 	switch {
 	case strings.TrimSpace(o.Service) == "":
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// Bounds are what the fleet must keep while an order runs.
+// Bounds limit the requests that a bad version may get.
 type Bounds struct {
-	// Share and Slack bound what a bad version gets: Share of the service's requests between order and
-	// deadline, and Slack requests.
+	// ExposedShare is a share of the service's requests between order and deadline, ExposedSlack a number of
+	// requests in addition.
 	ExposedShare, ExposedSlack float64
 }
--- a/pkg/sagerollout/plan.go
+++ b/pkg/sagerollout/plan.go
@@ -6,28 +6,27 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// lease is how long a plan counts that sends requests to the target, from when the controller issued it.
-//
-// It guards against a node that was cut off while the fleet rolled a bad version back: it would go on
-// sending the canary's share, and at full share all of its requests.
-const lease = 2 * time.Second
+// planLease is how long a plan that sends requests to the target is valid after the controller issued it. Without
+// it, a node that is cut off while the fleet rolls back a bad version would continue to send the version its share
+// of the requests, or all of them.
+const planLease = 2 * time.Second
 
 // Phase is a step of a rollout.
 type Phase uint8
 
 // The phases, in order.
 const (
-	// PhasePending waits for upstreams of the target that can bear the traffic.
+	// PhasePending waits until upstreams of the target have capacity for the traffic.
 	PhasePending Phase = iota
 	// PhaseCanary sends a small share to a few upstreams of the target.
 	PhaseCanary
 	// PhaseRamp sends a larger share to all of them.
 	PhaseRamp
-	// PhaseFull sends everything to the target and waits until the baseline is idle.
+	// PhaseFull sends all requests to the target and waits until the baseline is idle.
 	PhaseFull
-	// PhaseDone is full, with the baseline idle: the order can be completed.
+	// PhaseDone continues PhaseFull after the baseline has become idle: the order can be completed.
 	PhaseDone
-	// PhaseRolledBack sends nothing to the target any more.
+	// PhaseRolledBack sends no requests to the target. It is logged as "undone".
 	PhaseRolledBack
 )
 
@@ -40,28 +39,30 @@
 	return "unknown"
 }
 
-// Final reports whether no phase follows.
+// Final reports whether no other phase follows.
 func (p Phase) Final() bool { return p == PhaseDone || p == PhaseRolledBack }
 
-// Plan is what the controller has all nodes do for an order.
+// Plan is the controller's instruction for an order to all nodes.
 type Plan struct {
-	// Order is the order's ID.
+	// OrderID is the ID of the order.
 	OrderID uint64
 	Phase   Phase
-	// Share is the part of the requests that goes to the target, 0 to 1.
+	// Share is the share of the requests that goes to the target, from 0 to 1.
 	Share float64
-	// Version counts the controller's steps, also those of the controllers before it. By is the
-	// controller's name; of two plans of equal version the one with the greater name counts.
+	// Sequence counts the plans of the order, including those of earlier controllers. Controller is the name of
+	// the node that issued the plan; of two plans with the same sequence, the one with the greater name
+	// supersedes.
 	Sequence   uint64
 	Controller string
-	// Issued is when the controller made this version; Since is when its phase began.
+	// IssuedAt is when the plan was issued, PhaseSince is when its phase began.
 	IssuedAt, PhaseSince sageclock.Instant
 }
 
-// supersedes reports whether a plan counts more than another of the same order.
+// supersedes reports whether a plan replaces another one of the same order.
 //
-// A final phase stands whatever versions say: two nodes may take themselves for the controller, and the one
-// that knows less must not send to a version that the other one rolled back.
+// A final phase is never superseded by another phase, whatever the sequence, except that a rollback supersedes a
+// completion. Two nodes may both act as the controller, and the one that knows less must not send requests to a
+// version that the other one rolled back.
 func (p *Plan) supersedes(o *Plan) bool {
 	switch {
 	case p.Phase.Final() != o.Phase.Final():
@@ -74,14 +75,14 @@
 	return p.Controller > o.Controller
 }
 
-// share returns the part of the requests that goes to the target now.
+// share returns the share of the requests that goes to the target now.
 func (p *Plan) share(now sageclock.Instant) float64 {
 	switch {
 	case p.Phase == PhaseRolledBack:
 		return 0
 	case p.Phase == PhaseDone:
 		return 1
-	case now.Sub(p.IssuedAt) > lease:
+	case now.Sub(p.IssuedAt) > planLease:
 		return 0
 	}
 	return p.Share
--- a/pkg/sagerollout/rollout_test.go
+++ b/pkg/sagerollout/rollout_test.go
@@ -16,11 +16,11 @@
 	return Order{ID: id, Name: "chat", Service: "chat", Target: target, Deadline: at(20000)}
 }
 
-func TestKeysAreRead(t *testing.T) {
+func TestCountKeysRoundTrip(t *testing.T) {
 	for _, k := range []CountKey{{1 << 63, ArmBaseline, true, "r"}, {7, ArmTarget, false, "a/b/c"}, {0, ArmTarget, true, ""}} {
-		back, err := ParseCountKey(k.String())
+		parsed, err := ParseCountKey(k.String())
 		require.NoError(t, err)
-		require.Equal(t, k, back)
+		require.Equal(t, k, parsed)
 	}
 	for _, s := range []string{"", "1/1/0", "!/1/0/r", "1/0/0/r", "1/3/0/r", "1/x/0/r", "1/1/2/r"} {
 		_, err := ParseCountKey(s)
@@ -28,17 +28,18 @@
 	}
 }
 
-func TestOrdersAreChecked(t *testing.T) {
+func TestOrderCheck(t *testing.T) {
 	o := order(1, "v2")
 	require.NoError(t, o.Check())
 	o.Service = " "
 	require.ErrorIs(t, o.Check(), ErrOrder)
 	o = order(1, "")
 	require.ErrorIs(t, o.Check(), ErrOrder)
-	require.NotEqual(t, OrderID(1, "chat", "v2", time.Second), OrderID(2, "chat", "v2", time.Second), "the order was deleted and given again")
+	require.NotEqual(t, OrderID(1, "chat", "v2", time.Second), OrderID(2, "chat", "v2", time.Second), "the order was deleted and created again")
 }
 
-// A bad version gets more than its share of each node's requests, or rare routes are not tried.
+// Prevents a bad version from getting more than its share of a node's requests, and rare routes from being left
+// out.
 func TestSplitterKeepsTheShareAndTriesRareRoutes(t *testing.T) {
 	s := new(Splitter)
 	sent := make(map[string]int)
@@ -57,66 +58,66 @@
 	require.True(t, s.Next("busy", 1))
 }
 
-// A node that is cut off goes on sending to a version that the others took back.
-func TestPlanIsALease(t *testing.T) {
-	b := new(Tracker)
-	require.True(t, b.Put(order(1, "v2")))
-	require.Equal(t, ArmBaseline, b.Arm(at(0), "chat", "r"), "before the first plan")
-	require.True(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseFull, Share: 1, Sequence: 3, IssuedAt: at(100)}))
-	require.Equal(t, ArmTarget, b.Arm(at(2000), "chat", "r"))
-	require.Equal(t, ArmTarget, b.RetryArm(at(2000), "chat"))
-	require.Equal(t, ArmBaseline, b.Arm(at(2200), "chat", "r"))
-	require.Equal(t, ArmBaseline, b.RetryArm(at(2200), "chat"))
-	require.Equal(t, ArmAny, b.Arm(at(2200), "other", "r"))
+// Prevents a node that is cut off from sending to a version that the others rolled back.
+func TestPlanExpires(t *testing.T) {
+	tr := new(Tracker)
+	require.True(t, tr.Put(order(1, "v2")))
+	require.Equal(t, ArmBaseline, tr.Arm(at(0), "chat", "r"), "before the first plan")
+	require.True(t, tr.MergePlan(Plan{OrderID: 1, Phase: PhaseFull, Share: 1, Sequence: 3, IssuedAt: at(100)}))
+	require.Equal(t, ArmTarget, tr.Arm(at(2000), "chat", "r"))
+	require.Equal(t, ArmTarget, tr.RetryArm(at(2000), "chat"))
+	require.Equal(t, ArmBaseline, tr.Arm(at(2200), "chat", "r"))
+	require.Equal(t, ArmBaseline, tr.RetryArm(at(2200), "chat"))
+	require.Equal(t, ArmAny, tr.Arm(at(2200), "other", "r"))
 }
 
-// A version that was taken back gets requests again: another node takes itself for the controller, knows less,
-// and issues a newer plan.
-func TestFinalPhaseStands(t *testing.T) {
-	b := new(Tracker)
-	b.Put(order(1, "v2"))
-	b.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 3, IssuedAt: at(0)})
-	require.False(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseRamp, Share: 0.25, Sequence: 9, IssuedAt: at(0)}))
-	require.False(t, b.MergePlan(Plan{OrderID: 1, Phase: PhaseDone, Share: 1, Sequence: 10, IssuedAt: at(0)}))
-	require.Equal(t, ArmBaseline, b.Arm(at(10), "chat", "r"))
-	require.False(t, b.Running("chat"))
+// Prevents requests to a version that was rolled back when another node acts as the controller, knows less, and
+// issues a later plan.
+func TestFinalPhaseIsNotSuperseded(t *testing.T) {
+	tr := new(Tracker)
+	tr.Put(order(1, "v2"))
+	tr.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 3, IssuedAt: at(0)})
+	require.False(t, tr.MergePlan(Plan{OrderID: 1, Phase: PhaseRamp, Share: 0.25, Sequence: 9, IssuedAt: at(0)}))
+	require.False(t, tr.MergePlan(Plan{OrderID: 1, Phase: PhaseDone, Share: 1, Sequence: 10, IssuedAt: at(0)}))
+	require.Equal(t, ArmBaseline, tr.Arm(at(10), "chat", "r"))
+	require.False(t, tr.Running("chat"))
 	o := order(1, "v2")
 	o.State = StateCompleted
-	require.True(t, b.Put(o), "upstreams act on what the store shows")
-	require.Equal(t, ArmTarget, b.Arm(at(10), "chat", "r"))
-	require.Empty(t, b.Plans())
+	require.True(t, tr.Put(o), "upstreams act on what the store shows")
+	require.Equal(t, ArmTarget, tr.Arm(at(10), "chat", "r"))
+	require.Empty(t, tr.Plans())
 }
 
-// Versions of orders that were withdrawn or replaced get their share by load as if nothing had been ordered.
-func TestTargetOfAnOrderThatEndedGetsNothing(t *testing.T) {
-	b := new(Tracker)
-	require.Nil(t, b.VersionFilter("chat", ArmAny))
-	b.Put(order(1, "v2"))
-	target, base := b.VersionFilter("chat", ArmTarget), b.VersionFilter("chat", ArmBaseline)
-	require.True(t, target("v2") && base("v1") && !target("v1") && !base("v2"))
-	b.Delete("chat")
-	require.False(t, b.VersionFilter("chat", ArmAny)("v2"))
-	b.Put(order(2, "v3"))
-	base = b.VersionFilter("chat", ArmBaseline)
-	require.True(t, base("v1") && !base("v2") && !base("v3"))
-	b.Put(order(3, "v2"))
-	require.True(t, b.VersionFilter("chat", ArmTarget)("v2"), "ordered again")
-	require.False(t, b.VersionFilter("chat", ArmBaseline)("v3"))
+// Prevents requests to the target of an order that was deleted or replaced.
+func TestTargetOfEndedOrderGetsNoRequests(t *testing.T) {
+	tr := new(Tracker)
+	require.Nil(t, tr.VersionFilter("chat", ArmAny))
+	tr.Put(order(1, "v2"))
+	target, baseline := tr.VersionFilter("chat", ArmTarget), tr.VersionFilter("chat", ArmBaseline)
+	require.True(t, target("v2") && baseline("v1") && !target("v1") && !baseline("v2"))
+	tr.Delete("chat")
+	require.False(t, tr.VersionFilter("chat", ArmAny)("v2"))
+	tr.Put(order(2, "v3"))
+	baseline = tr.VersionFilter("chat", ArmBaseline)
+	require.True(t, baseline("v1") && !baseline("v2") && !baseline("v3"))
+	tr.Put(order(3, "v2"))
+	require.True(t, tr.VersionFilter("chat", ArmTarget)("v2"), "target again")
+	require.False(t, tr.VersionFilter("chat", ArmBaseline)("v3"))
 }
 
-func TestCountsAreOfRunningOrders(t *testing.T) {
-	b := new(Tracker)
-	b.Put(order(1, "v2"))
-	b.RecordAnswer("chat", "v2", "r", true)
-	b.RecordAnswer("chat", "v1", "r", false)
-	b.RecordAnswer("other", "v1", "r", false)
-	counts := b.Counts()
+func TestOnlyRunningOrdersAreCounted(t *testing.T) {
+	tr := new(Tracker)
+	tr.Put(order(1, "v2"))
+	tr.RecordAnswer("chat", "v2", "r", true)
+	tr.RecordAnswer("chat", "v1", "r", false)
+	tr.RecordAnswer("other", "v1", "r", false)
+	counts := tr.Counts()
 	require.Equal(t, map[string]int{CountKey{1, ArmTarget, true, "r"}.String(): 1, CountKey{1, ArmBaseline, false, "r"}.String(): 1}, counts)
 	counts["damaged"] = 3
 	require.Equal(t, Evidence{"r": {Baseline: Count{Good: 1}, Target: Count{Bad: 1}}}, CollectEvidence(1, counts))
 	require.Empty(t, CollectEvidence(2, counts))
-	b.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 1})
-	require.Empty(t, b.Counts())
+	tr.MergePlan(Plan{OrderID: 1, Phase: PhaseRolledBack, Sequence: 1})
+	require.Empty(t, tr.Counts())
 }
 
 func TestVerdicts(t *testing.T) {
@@ -127,16 +128,16 @@
 		want  Verdict
 		route string
 	}{
-		{"nothing", Evidence{}, VerdictUnknown, ""},
-		{"too little", Evidence{"r": {many, Count{Good: 5}}}, VerdictUnknown, ""},
-		{"as good", Evidence{"r": {many, Count{Good: 40}}}, VerdictSound, ""},
-		{"fails by itself as often", Evidence{"r": {Count{86, 14}, Count{43, 7}}}, VerdictSound, ""},
-		{"one route fails", Evidence{"r": {many, Count{40, 0}}, "q": {many, Count{6, 4}}}, VerdictBad, "q"},
-		{"may be worse", Evidence{"r": {many, Count{0, 2}}}, VerdictSuspect, ""},
+		{"no answers", Evidence{}, VerdictUnknown, ""},
+		{"too few answers", Evidence{"r": {many, Count{Good: 5}}}, VerdictUnknown, ""},
+		{"as good as the baseline", Evidence{"r": {many, Count{Good: 40}}}, VerdictSound, ""},
+		{"as bad as the baseline", Evidence{"r": {Count{86, 14}, Count{43, 7}}}, VerdictSound, ""},
+		{"bad on one route", Evidence{"r": {many, Count{40, 0}}, "q": {many, Count{6, 4}}}, VerdictBad, "q"},
+		{"possibly worse", Evidence{"r": {many, Count{0, 2}}}, VerdictSuspect, ""},
 	} {
-		j := new(SequentialTest)
-		j.Add(tt.e)
-		v, route := j.Verdict()
+		st := new(SequentialTest)
+		st.Add(tt.e)
+		v, route := st.Verdict()
 		require.Equal(t, tt.want, v, tt.name)
 		if tt.route != "" {
 			require.Equal(t, tt.route, route, tt.name)
@@ -144,35 +145,36 @@
 	}
 }
 
-// Trouble that hits both versions counts against the target, which gets most of its requests meanwhile.
-func TestTroubleOfBothVersionsIsNotTheTargets(t *testing.T) {
-	j := new(SequentialTest)
+// Prevents faults that affect both versions from counting against the target, even if it gets most of the
+// requests.
+func TestFaultsOfBothVersionsDontCountAgainstTarget(t *testing.T) {
+	st := new(SequentialTest)
 	e := Evidence{"r": {Count{10000, 50}, Count{20, 0}}}
-	j.Add(e)
+	st.Add(e)
 	for range 10 {
 		p := e["r"]
 		p.Baseline.Good, p.Baseline.Bad = p.Baseline.Good+80, p.Baseline.Bad+20
 		p.Target.Good, p.Target.Bad = p.Target.Good+40, p.Target.Bad+10
 		e = Evidence{"r": p}
-		j.Add(e)
-		v, _ := j.Verdict()
+		st.Add(e)
+		v, _ := st.Verdict()
 		require.NotEqual(t, VerdictBad, v)
 	}
 }
 
-func TestPhasesFollowEachOther(t *testing.T) {
+func TestPhaseSequence(t *testing.T) {
 	c := &Controller{Self: "vm1", Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	o := order(1, "v2")
 	e := Evidence{"r": {Count{Good: 100}, Count{}}}
 	var p Plan
 	var seen []Phase
 	for ms := 0; ms <= 20000; ms += 200 {
-		f := ServiceLoad{BaselineSlots: 100, InFlight: 20, BaselineInFlight: 20}
+		load := ServiceLoad{BaselineSlots: 100, InFlight: 20, BaselineInFlight: 20}
 		if ms > 1000 {
-			f.TargetSlots = 100
+			load.TargetSlots = 100
 		}
 		if p.Phase == PhaseFull && at(ms).Sub(p.PhaseSince) > time.Second {
-			f.BaselineInFlight = 0
+			load.BaselineInFlight = 0
 		}
 		if p.Share > 0 {
 			r := e["r"]
@@ -180,7 +182,7 @@
 			r.Baseline.Good += 100
 			e = Evidence{"r": r}
 		}
-		p = c.Step(at(ms), o, p, e, f)
+		p = c.Step(at(ms), o, p, e, load)
 		if len(seen) == 0 || seen[len(seen)-1] != p.Phase {
 			seen = append(seen, p.Phase)
 		}
@@ -194,8 +196,8 @@
 	require.Equal(t, VerdictUnknown, v)
 }
 
-// An order whose new upstreams can't take the traffic moves it all the same, and they are overrun.
-func TestTargetThatIsTooSmallIsRolledBackAtTheDeadline(t *testing.T) {
+// Prevents overload of a target without enough capacity for the traffic.
+func TestTooSmallTargetIsRolledBackAtDeadline(t *testing.T) {
 	c := &Controller{Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	var p Plan
 	for ms := 0; ms <= 20000; ms += 200 {
@@ -207,8 +209,8 @@
 	require.Equal(t, PhaseRolledBack, p.Phase)
 }
 
-// The fleet's controller is lost in the middle: the next one goes on from the plan that it knows.
-func TestAnotherControllerGoesOn(t *testing.T) {
+// If the controller is lost during a rollout, the next one continues from the last plan that it knows.
+func TestAnotherControllerContinues(t *testing.T) {
 	p := Plan{OrderID: 1, Phase: PhaseRamp, Share: 0.25, Sequence: 40, Controller: "vm1", IssuedAt: at(9000), PhaseSince: at(8500)}
 	c := &Controller{Self: "vm2", Bounds: Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	e := Evidence{"r": {Count{Good: 3000}, Count{Good: 300}}}
@@ -220,7 +222,7 @@
 
 func TestSlowAnswers(t *testing.T) {
 	var p LatencyTracker
-	require.False(t, p.IsSlow("r", Latencies{Total: time.Minute}), "nothing to compare with")
+	require.False(t, p.IsSlow("r", Latencies{Total: time.Minute}), "no answers of the baseline")
 	for range 50 {
 		p.Add("r", Latencies{Total: 40 * time.Millisecond, EventInterval: 20 * time.Millisecond})
 	}
@@ -240,12 +242,12 @@
 }
 
 func BenchmarkArm(b *testing.B) {
-	k := new(Tracker)
-	k.Put(order(1, "v2"))
-	k.MergePlan(Plan{OrderID: 1, Phase: PhaseCanary, Share: 0.04, Sequence: 1, IssuedAt: at(0)})
+	tr := new(Tracker)
+	tr.Put(order(1, "v2"))
+	tr.MergePlan(Plan{OrderID: 1, Phase: PhaseCanary, Share: 0.04, Sequence: 1, IssuedAt: at(0)})
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Arm(at(10), "chat", "r")
+		tr.Arm(at(10), "chat", "r")
 	}
 }
 
--- a/pkg/sagerollout/splitter.go
+++ b/pkg/sagerollout/splitter.go
@@ -1,23 +1,23 @@
 package sagerollout
 
-// mostCredit bounds what a node saves up for the target while no request may use it.
-const mostCredit = 2.0
+// maxCredit bounds the credit that accumulates while no request may use it.
+const maxCredit = 2.0
 
 // Splitter sends a share of a node's requests to the target. It is not safe for concurrent use.
 //
-// Requests on the routes of which the target has had the least are preferred, so that a version that is bad
-// on a rare route only is found out as soon as one that is bad on a busy one.
+// Each request adds its share to a credit, and a request for the target takes 1 from it. Requests on the routes
+// with the fewest requests for the target are preferred, so that a version that is bad only on a rare route is
+// detected as fast as one that is bad on a busy route.
 type Splitter struct {
-	// Begin is where this node begins between two requests for the target, a random part of 1: of many nodes
-	// that see a few requests each some send one there, and the share holds for all of them together. It is
-	// set before use.
+	// InitialCredit is a random number in [0, 1). It makes some of many nodes that get few requests each send one
+	// to the target, so that the share holds for all nodes together. It is set before use.
 	InitialCredit float64
 
 	credit float64
 	sent   map[string]int
 }
 
-// Next reports whether the next request, on a route, goes to the target.
+// Next reports whether the next request on a route goes to the target.
 func (s *Splitter) Next(route string, share float64) bool {
 	if share >= 1 {
 		return true
@@ -26,9 +26,9 @@
 		s.sent, s.credit = make(map[string]int), s.InitialCredit
 	}
 	n := s.sent[route]
-	s.sent[route] = n // a route counts from its first request on
-	s.credit = min(s.credit+max(0, share), mostCredit)
-	if share <= 0 || s.credit < 1 || n > s.least() && s.credit < mostCredit {
+	s.sent[route] = n // adds a new route with 0
+	s.credit = min(s.credit+max(0, share), maxCredit)
+	if share <= 0 || s.credit < 1 || n > s.fewestSent() && s.credit < maxCredit {
 		return false
 	}
 	s.credit--
@@ -36,13 +36,13 @@
 	return true
 }
 
-// least returns how many requests of the route with the fewest went to the target.
-func (s *Splitter) least() int {
-	out := -1
+// fewestSent returns the number of requests for the target on the route with the fewest of them.
+func (s *Splitter) fewestSent() int {
+	fewest := -1
 	for _, n := range s.sent {
-		if out < 0 || n < out {
-			out = n
+		if fewest < 0 || n < fewest {
+			fewest = n
 		}
 	}
-	return out
+	return fewest
 }
