--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -37,7 +37,7 @@
 	recalled func() bool
 	flights  sageflight.Counter
 	broken   sageflight.Counter // nodes whose own exchanges broke
-	health   sagehealth.Book
+	health   sagehealth.Tracker
 	paces    paces
 	// rollouts is nil if the fleet carries none out; answers are the counts of their answers by key.
 	rollouts     *sagerollout.Tracker
@@ -45,8 +45,8 @@
 	answers      sageflight.Counter
 
 	mu      sync.Mutex
-	cold    sageshare.Cold
-	retries sageshare.Retries
+	cold    sageshare.ColdLimiter
+	retries sageshare.RetryLimiter
 }
 
 // bounds sets the bounds that settings may change.
@@ -177,10 +177,10 @@
 
 func (f *fleet) picked(set *sageupstream.Set, e *sageupstream.Entry, c sagechain.Choice, loads map[string]int, q *sagerelay.Query) *sagerelay.Pick {
 	p := &sagerelay.Pick{
-		Upstream: e, Why: string(c.Reason), Load: loads[e.ID], Unread: q.Chain.Tokens() - max(c.HeldTokens, c.CopyTokens), Done: f.flights.Start(e.ID),
+		Upstream: e, Rule: string(c.Reason), Load: loads[e.ID], UncachedTokens: q.Chain.Tokens() - max(c.HeldTokens, c.CopyTokens), Done: f.flights.Start(e.ID),
 	}
 	if from := set.Reachable(sageclock.Now(), c.CopyFrom); from != nil {
-		p.From = from.Address
+		p.CacheSource = from.Address
 	}
 	return p
 }
@@ -190,9 +190,9 @@
 	now := sageclock.Now()
 	e := f.view.set.Load().Reachable(now, upstream)
 	switch {
-	case e == nil || f.health.Out(now, e.Service, upstream):
+	case e == nil || f.health.Excluded(now, e.Service, upstream):
 		return sagechain.SourceUnusable
-	case f.health.Suspect(now, e.Service, upstream):
+	case f.health.Suspected(now, e.Service, upstream):
 		return sagechain.SourceSuspect
 	}
 	return sagechain.SourceTrusted
@@ -213,14 +213,14 @@
 }
 
 // First implements [sagerelay.Fleet].
-func (f *fleet) First(service string) {
+func (f *fleet) RecordFirstSend(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.retries.First(sageclock.Now(), service)
+	f.retries.RecordFirstSend(sageclock.Now(), service)
 }
 
 // Again implements [sagerelay.Fleet].
-func (f *fleet) Again(service string) bool {
+func (f *fleet) AllowRetry(service string) bool {
 	nodes := len(f.known())
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,29 +228,31 @@
 }
 
 // Began implements [sagerelay.Fleet].
-func (f *fleet) Began(p *sagerelay.Pick, took time.Duration) {
-	if p.Unread > 0 {
-		f.paces.of(p.Upstream.Service).read.Add(float64(p.Unread), took)
+func (f *fleet) RecordFirstEvent(p *sagerelay.Pick, took time.Duration) {
+	if p.UncachedTokens > 0 {
+		f.paces.of(p.Upstream.Service).read.Add(float64(p.UncachedTokens), took)
 	}
 }
 
 // Ran implements [sagerelay.Fleet].
-func (f *fleet) Ran(service string, took time.Duration) { f.paces.of(service).run.Add(took) }
+func (f *fleet) RecordServiceTime(service string, took time.Duration) {
+	f.paces.of(service).run.Add(took)
+}
 
 // Reads implements [sagerelay.Fleet].
-func (f *fleet) Reads(service string, tokens int) time.Duration {
+func (f *fleet) PrefillTime(service string, tokens int) time.Duration {
 	return time.Duration(tokens) * f.paces.of(service).read.Slope()
 }
 
 // Ended implements [sagerelay.Fleet].
-func (f *fleet) Ended(u *sageupstream.Entry, res sagehealth.Result) {
-	f.health.Note(sageclock.Now(), u.Service, u.ID, res)
+func (f *fleet) RecordExchange(u *sageupstream.Entry, res sagehealth.Result) {
+	f.health.Record(sageclock.Now(), u.Service, u.ID, res)
 }
 
 // told takes in with how many other nodes' exchanges each upstream broke.
 func (f *fleet) told(now sageclock.Instant) {
 	set, table, loads := f.view.set.Load(), f.view.table.Load(), f.flights.Sum(now)
-	for id, nodes := range f.broken.Others(now) {
+	for id, nodes := range f.broken.SumOthers(now) {
 		e := set.Get(id)
 		if e == nil {
 			continue
@@ -259,7 +261,7 @@
 		if holdsPrompts(table, e.Service) {
 			load = loads[id]
 		}
-		if f.health.Reported(now, e.Service, id, nodes, load) {
+		if f.health.RecordReports(now, e.Service, id, nodes, load) {
 			f.view.log.Limited(sagelog.KindBelief, "Upstream is avoided, as other nodes' exchanges broke.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
 		}
 	}
@@ -271,12 +273,12 @@
 }
 
 // Read implements [sagerelay.Fleet].
-func (f *fleet) Read(u *sageupstream.Entry, c sagechain.Chain) {
+func (f *fleet) RecordPrompt(u *sageupstream.Entry, c sagechain.Chain) {
 	f.placer.Record(sageclock.Now(), u.ID, c)
 }
 
 // Gone implements [sagerelay.Fleet].
-func (f *fleet) Gone(u *sageupstream.Entry) {
-	f.health.Note(sageclock.Now(), u.Service, u.ID, sagehealth.Broken)
+func (f *fleet) RecordMisdirected(u *sageupstream.Entry) {
+	f.health.Record(sageclock.Now(), u.Service, u.ID, sagehealth.Broken)
 	f.placer.Forget(u.ID)
 }
--- a/pkg/sagerollout/latency.go
+++ b/pkg/sagerollout/latency.go
@@ -66,7 +66,7 @@
 		switch {
 		case d <= 0:
 		case means[i] == nil:
-			means[i] = &sagepace.Mean{Start: min(d, maxSample), Most: maxSample}
+			means[i] = &sagepace.Mean{Initial: min(d, maxSample), Max: maxSample}
 		default:
 			means[i].Add(d)
 		}
