--- a/pkg/sagechain/holders.go
+++ b/pkg/sagechain/holders.go
@@ -51,19 +51,19 @@
 
 // view looks up the holders of a chain's parts; buf provides the memory for typical chains.
 func (h *holderIndex) view(now sageclock.Instant, c Chain, l *listedIndex, buf *[typicalParts]map[string]*holder) chainView {
-	s := chainView{now: now, chain: c, holders: buf[:0], listed: l}
+	v := chainView{now: now, chain: c, holders: buf[:0], listed: l}
 	for _, p := range c {
-		s.holders = append(s.holders, h.parts[p.ID])
+		v.holders = append(v.holders, h.parts[p.ID])
 	}
-	return s
+	return v
 }
 
 // cachedTokens returns the length of the chain's prefix that an upstream holds, in tokens.
-func (s *chainView) cachedTokens(upstream string) int {
+func (v *chainView) cachedTokens(upstream string) int {
 	n := 0
-	for i, p := range s.chain {
-		o := s.holders[i][upstream]
-		if (o == nil || s.now.Sub(o.lastUsed) >= holderTTL) && !s.listed.holds(s.now, upstream, p.ID) {
+	for i, p := range v.chain {
+		o := v.holders[i][upstream]
+		if (o == nil || v.now.Sub(o.lastUsed) >= holderTTL) && !v.listed.holds(v.now, upstream, p.ID) {
 			break
 		}
 		n += p.Tokens
@@ -72,8 +72,8 @@
 }
 
 // lastUsed returns when an upstream last used the last part of the chain, or 0 if it is not known to have done so.
-func (s *chainView) lastUsed(upstream string) sageclock.Instant {
-	if o := s.holders[len(s.holders)-1][upstream]; o != nil {
+func (v *chainView) lastUsed(upstream string) sageclock.Instant {
+	if o := v.holders[len(v.holders)-1][upstream]; o != nil {
 		return o.lastUsed
 	}
 	return 0
--- a/pkg/sagechain/placer.go
+++ b/pkg/sagechain/placer.go
@@ -55,8 +55,8 @@
 
 // Placer chooses upstreams for chains. It is safe for concurrent use.
 type Placer struct {
-	// SourceTrust returns whether parts can be copied from an upstream; nil means that all are trusted. It is
-	// set before use.
+	// SourceTrust returns how far an upstream is trusted as the source of a copy; nil means that all are trusted.
+	// It is set before use.
 	SourceTrust func(upstream string) SourceTrust
 
 	mu      sync.Mutex
--- a/pkg/sagechain/placer_test.go
+++ b/pkg/sagechain/placer_test.go
@@ -148,8 +148,9 @@
 	require.Empty(t, c.CopyFrom)
 }
 
-// Prevents overload of the usable engines if three of eleven are in a data centre out of service and three are
-// cold. The other five carried everything, and one of them had 22 requests while twice the mean of all eleven was
+// Prevents overload of one of the usable engines if three of eleven are in a data centre out of service and three
+// are cold. The other five carried everything, and one of them had 22 requests while twice the mean of all eleven
+// was
 // 19.
 func TestFewEnginesAreLoadedEvenly(t *testing.T) {
 	p := new(Placer)
--- a/pkg/sagequarantine/evidence.go
+++ b/pkg/sagequarantine/evidence.go
@@ -59,8 +59,8 @@
 
 // RecordSuccess records that a request was executed completely, which clears it.
 //
-// It prevents the quarantine of a harmless request that many callers send: while upstreams crash for other
-// reasons, some of its attempts run there each time.
+// It prevents the quarantine of a harmless request that many callers send: when upstreams crash for other
+// reasons, some of its attempts are often running there.
 func (t *Tracker) RecordSuccess(now sageclock.Instant, f Fingerprint) {
 	if !t.Active() {
 		return
@@ -104,7 +104,7 @@
 }
 
 // addQuarantinedCrash records another crash under a quarantined request and resends the request's crashes, since
-// the node that reported it may not know of them. A crash that is already recorded is no sign of that.
+// the node that reported it may not know of them. Nothing is resent for a crash that is already recorded.
 func (t *Tracker) addQuarantinedCrash(e *Entry, m message) {
 	t.markExplained(m.crash)
 	if slices.Contains(e.Crashes, m.crash) || len(e.Crashes) >= maxCrashesPerEntry {
--- a/pkg/sagequarantine/simulation_test.go
+++ b/pkg/sagequarantine/simulation_test.go
@@ -16,8 +16,7 @@
 	simStep      = 50 * time.Millisecond
 	simDuration  = 60 * time.Second
 	restartTime  = 4 * time.Second
-	// stopWithin is the time after the third crash from which the fatal request may be sent maxLateSends times
-	// more.
+	// maxLateSends bounds how often the fatal request is still sent later than stopWithin after its third crash.
 	stopWithin   = 3 * time.Second
 	maxLateSends = 3
 	fatalRequest = Fingerprint(1)
--- a/pkg/sagequarantine/tracker.go
+++ b/pkg/sagequarantine/tracker.go
@@ -20,7 +20,7 @@
 	// succeededFactor multiplies the threshold of a request that succeeded before, since an upstream can execute
 	// it.
 	succeededFactor = 2
-	// QuarantineDuration gives operators time to fix the upstream.
+	// QuarantineDuration is how long a request stays quarantined, so that operators have time to fix the upstream.
 	QuarantineDuration = 30 * time.Minute
 	// suspectTTL is the time after its last crash for which a suspect is recorded.
 	suspectTTL = QuarantineDuration
