--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -37,7 +37,7 @@
 		Rules: sageclaim.Rules{
 			Bucket: claimBucket, Shards: claimShards, Retention: millis(cfg.Claims.RetentionMillis), MaxAhead: claimAhead,
 		},
-		Committer: &sageclaim.Committer{Store: store, Window: millis(cfg.Claims.CollectMillis), CommitTimeout: claimTimeout},
+		Committer: &sageclaim.Committer{Store: store, BatchWindow: millis(cfg.Claims.CollectMillis), CommitTimeout: claimTimeout},
 		Store:     store,
 		Self:      cfg.Listen.Peer,
 		Peers:     n.livePeers,
@@ -46,7 +46,7 @@
 		},
 		HeldBytes:   cfg.Limits.HeldAnswersBytes,
 		SettleAfter: millis(cfg.Limits.DeadlineMillis) + settleSlack,
-		Log:         n.Log.Part("claims"),
+		Log:         n.Log.Component("claims"),
 		Metrics:     n.metrics,
 	}
 }
@@ -72,7 +72,7 @@
 		},
 		Candidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
 		HTTP:      &http.Client{Timeout: orderTimeout},
-		Log:       n.Log.Part("orders"),
+		Log:       n.Log.Component("orders"),
 	}
 }
 
--- a/internal/sagerelay/job.go
+++ b/internal/sagerelay/job.go
@@ -179,7 +179,7 @@
 }
 
 func (j *job) logGivenUp(reason Reason) {
-	j.s.Log.Limited(sagelog.KindGivenUp, "Request given up.", "id", j.meta.ID, "reason", string(reason), "route", j.route.Name, "service", j.serviceName,
+	j.s.Log.Limited(sagelog.KindAbandoned, "Request given up.", "id", j.meta.ID, "reason", string(reason), "route", j.route.Name, "service", j.serviceName,
 		"sends", j.sends, "runs", j.possibleRuns, "cause", j.cause, "fingerprint", j.fingerprint().String(), "config_version", j.version, "age_ms", time.Since(j.start).Milliseconds())
 }
 
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -264,7 +264,7 @@
 			load = loads[id]
 		}
 		if f.health.RecordReports(now, e.Service, id, nodes, load) {
-			f.view.log.Limited(sagelog.KindBelief, "Upstream ejected on reports of other nodes.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
+			f.view.log.Limited(sagelog.KindStateChange, "Upstream ejected on reports of other nodes.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
 		}
 	}
 }
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -37,7 +37,7 @@
 
 // applyQuarantines applies changes of the quarantine objects. Operators release a request by deleting its object.
 func (n *Node) applyQuarantines(changes []sagefollow.Change, _ bool) {
-	log := n.Log.Part("quarantine")
+	log := n.Log.Component("quarantine")
 	for _, c := range changes {
 		f, err := sagequarantine.ParseFingerprint(c.Object.Name)
 		if err != nil {
@@ -72,7 +72,7 @@
 // mergeCrashes merges the crash reports of another node.
 func (n *Node) mergeCrashes(now sageclock.Instant, h *sagemesh.Heartbeat) {
 	for _, e := range n.quarantine.Merge(now, h.Crashes, h.Cleared) {
-		n.Log.Part("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
+		n.Log.Component("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
 			"learned", "node", "from", h.Node)
 	}
 }
@@ -119,7 +119,7 @@
 			continue
 		}
 		if err := r.write(ctx, d); err != nil {
-			r.Log.Limited(sagelog.KindBelief, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
+			r.Log.Limited(sagelog.KindStateChange, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
 			r.pausedUntil = now.Add(reconcileRetryDelay)
 			return
 		}
--- a/internal/sagerouter/registrar.go
+++ b/internal/sagerouter/registrar.go
@@ -30,7 +30,7 @@
 
 // Run registers the node, with retries, and returns when ctx ends.
 func (r *registrar) Run(ctx context.Context) error {
-	log := r.node.Log.Part("members")
+	log := r.node.Log.Component("members")
 	for ctx.Err() == nil {
 		err := r.register(ctx)
 		if err == nil {
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("list nodes: %w", err)
 	}
-	log := n.Log.Part("members")
+	log := n.Log.Component("members")
 	for _, c := range d.Changes {
 		names = append(names, c.Object.Name)
 		var e nodeEntry
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -26,7 +26,7 @@
 // applyRollouts applies changes of the rollout orders.
 func (n *Node) applyRollouts(changes []sagefollow.Change, _ bool) {
 	now := sageclock.Now()
-	log := n.Log.Part("rollouts")
+	log := n.Log.Component("rollouts")
 	for _, c := range changes {
 		if c.Deleted {
 			log.Info("Rollout order withdrawn.", "name", c.Object.Name, "revision", c.Object.Revision)
@@ -49,7 +49,7 @@
 // mergePlan merges a plan issued by this node or received from another.
 func (n *Node) mergePlan(now sageclock.Instant, p sagerollout.Plan) {
 	if n.fleet.rollouts.MergePlan(p) {
-		n.Log.Part("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
+		n.Log.Component("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
 			"version", p.Sequence, "by", p.Controller, "age_ms", now.Sub(p.IssuedAt).Milliseconds())
 	}
 }
@@ -105,7 +105,7 @@
 	if p.Phase != e.Plan.Phase {
 		v, route := c.controller.Verdict(e.Order.ID)
 		sum := evidence.Sum()
-		n.Log.Part("rollouts").Info("Rollout decision.", "order", e.Order.ID, "service", e.Order.Service, "target", e.Order.Target,
+		n.Log.Component("rollouts").Info("Rollout decision.", "order", e.Order.ID, "service", e.Order.Service, "target", e.Order.Target,
 			"phase", p.Phase.String(), "from", e.Plan.Phase.String(), "verdict", v.String(), "route", route,
 			"target_bad", sum.Target.Bad, "target_answers", sum.Target.Total(), "baseline_bad", sum.Baseline.Bad,
 			"baseline_answers", sum.Baseline.Total(), "target_slots", load.TargetSlots, "baseline_in_flight", load.BaselineInFlight,
@@ -137,7 +137,7 @@
 // writeStatus writes one status. It is conditional on the revision, so that two controllers can't write different
 // final states.
 func (n *Node) writeStatus(ctx context.Context, o sagerollout.Order, state sagerollout.State) {
-	log := n.Log.Part("rollouts")
+	log := n.Log.Component("rollouts")
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := n.Decoder.RolloutStatus(state, o.Target)
@@ -146,7 +146,7 @@
 		return
 	}
 	if err := n.Store.SetStatus(ctx, n.Kinds.Rollouts, o.Name, o.Revision, status); err != nil {
-		log.Limited(sagelog.KindBelief, "Rollout status not written.", "name", o.Name, "state", string(state), "revision", o.Revision, "err", err)
+		log.Limited(sagelog.KindStateChange, "Rollout status not written.", "name", o.Name, "state", string(state), "revision", o.Revision, "err", err)
 		return
 	}
 	log.Info("Rollout status written.", "name", o.Name, "state", string(state), "revision", o.Revision)
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -48,14 +48,14 @@
 	deadline := time.Now().Add(seconds(n.Settings.Bounds.StopWithinSeconds) - exitMargin)
 	n.leaving.Store(true)
 	n.mesh.TriggerHeartbeats(true)
-	n.Log.Part("node").Info("Leaving.", "in_flight", n.relay.InFlight())
+	n.Log.Component("node").Info("Leaving.", "in_flight", n.relay.InFlight())
 	time.Sleep(min(maxCachedTTLs*DirectoryTTL+DirectoryTTL/2, time.Until(deadline)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shut down %s: %w", s.name, err)
 	}
-	n.Log.Part("node").Info("Entry closed.", "in_flight", n.relay.InFlight())
+	n.Log.Component("node").Info("Entry closed.", "in_flight", n.relay.InFlight())
 	return s.http.Close()
 }
 
--- a/pkg/sagesync/helpers_test.go
+++ b/pkg/sagesync/helpers_test.go
@@ -47,8 +47,8 @@
 
 func newTestStore() *testStore {
 	s := &testStore{log: []*sageconfig.Ticket{nil}, states: []*sageconfig.State{sageconfig.NewState()}}
-	s.acceptor = sageticket.Acceptor{Store: &s.mem, Now: func() time.Time { return start }, Keep: 2}
-	s.acceptor.Base = func() (uint64, *sageconfig.State) { return uint64(len(s.log) - 1), s.states[len(s.log)-1] }
+	s.acceptor = sageticket.Acceptor{Store: &s.mem, Now: func() time.Time { return start }, KeepRecords: 2}
+	s.acceptor.BaseState = func() (uint64, *sageconfig.State) { return uint64(len(s.log) - 1), s.states[len(s.log)-1] }
 	return s
 }
 
@@ -69,7 +69,7 @@
 	tk := &sageconfig.Ticket{Number: uint64(len(s.log)), Reason: incompressibleText(pad, uint64(len(s.log)))}
 	for i, n := range names {
 		tk.Changes = append(tk.Changes, sageconfig.Change{
-			Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: n},
+			Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: n},
 			DataCentre: &sageconfig.DataCentre{InService: true, Region: incompressibleText(pad, uint64(len(s.log)+i))},
 		})
 	}
@@ -84,7 +84,9 @@
 // stateAt returns the state of a revision.
 func (s *testStore) stateAt(revision uint64) *sageconfig.State { return s.states[revision] }
 
-func entries(s *sageconfig.State) map[sageconfig.Thing]sageconfig.Entry { return maps.Collect(s.All()) }
+func entries(s *sageconfig.State) map[sageconfig.EntryKey]sageconfig.Entry {
+	return maps.Collect(s.All())
+}
 
 // update brings r up to date from the store, as a watcher does.
 func (s *testStore) update(t require.TestingT, r *Replica, now time.Time) {
--- a/pkg/sagesync/property_test.go
+++ b/pkg/sagesync/property_test.go
@@ -63,7 +63,7 @@
 		s := n.Current()
 		require.Equal(t, entries(f.store.stateAt(s.Revision)), entries(s.State), "node %d at revision %d", i, s.Revision)
 		for th, e := range f.lastServed[i].All() {
-			require.GreaterOrEqual(t, s.State.Number(th), e.Number, "the ticket number of %s went back at node %d", th, i)
+			require.GreaterOrEqual(t, s.State.TicketNumber(th), e.TicketNumber, "the ticket number of %s went back at node %d", th, i)
 		}
 		f.lastServed[i] = s.State
 		for k, rec := range n.tail {
@@ -114,7 +114,7 @@
 				f.now = f.now.Add(time.Second)
 				f.store.accept(t, rapid.SampledFrom([]int{0, 150, 1500}).Draw(t, "pad"), names...)
 			},
-			"fold":      func(t *rapid.T) { require.NoError(t, f.store.acceptor.Fold(ctx)) },
+			"fold":      func(t *rapid.T) { require.NoError(t, f.store.acceptor.Compact(ctx)) },
 			"watch":     func(t *rapid.T) { f.store.update(t, f.nodes[f.node(t)], f.now) },
 			"digest":    digest,
 			"digest 2":  digest,
--- a/pkg/sagesync/replica.go
+++ b/pkg/sagesync/replica.go
@@ -151,7 +151,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.observe(h.Revision)
-	missing, ok := h.Since(r.Current().Revision)
+	missing, ok := h.RecordsSince(r.Current().Revision)
 	if !ok {
 		return false
 	}
--- a/pkg/sagesync/transfer.go
+++ b/pkg/sagesync/transfer.go
@@ -104,7 +104,7 @@
 // thingKey is a thing with its sort key in the order of a transfer.
 type thingKey struct {
 	key   string
-	thing sageconfig.Thing
+	thing sageconfig.EntryKey
 }
 
 // thingIndex holds the things of one revision in order.
@@ -142,7 +142,7 @@
 		raw := encode(e)
 		if size += len(raw) + 1; size > budget {
 			if len(ch.Entries) == 0 {
-				id := fmt.Sprintf("entry/%s/%d", keys[i].key, e.Number)
+				id := fmt.Sprintf("entry/%s/%d", keys[i].key, e.TicketNumber)
 				ch.Fragment = nextFragment(id, raw, p, budget*3/4)
 				ch.Last = keys[i].key
 				i++
--- a/pkg/sagesync/wire.go
+++ b/pkg/sagesync/wire.go
@@ -108,8 +108,8 @@
 	if err := json.Unmarshal(b, &e); err != nil {
 		return e, fmt.Errorf("decode entry: %v: %w", err, ErrBadDelta)
 	}
-	if err := e.Change.Check(); err != nil || e.Number == 0 {
-		return e, fmt.Errorf("invalid entry %d: %v: %w", e.Number, err, ErrBadDelta)
+	if err := e.Change.Check(); err != nil || e.TicketNumber == 0 {
+		return e, fmt.Errorf("invalid entry %d: %v: %w", e.TicketNumber, err, ErrBadDelta)
 	}
 	return e, nil
 }
