--- a/cmd/sagestand/ticket.go
+++ b/cmd/sagestand/ticket.go
@@ -109,13 +109,13 @@
 		Example: "  sagestand ticket list --count 50",
 		Args:    sagecli.Exactly(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			var ps []sageticket.Past
+			var ps []sageticket.Summary
 			if err := f.call(c.Context(), http.MethodGet, "/v1/tickets?n="+strconv.Itoa(count), nil, &ps); err != nil {
 				return err
 			}
 			return out.Print(c.OutOrStdout(), ps, func(w io.Writer) {
 				for _, p := range ps {
-					_, _ = fmt.Fprintf(w, "%8d  revision %-8d %s  %d things  %s  %s\n", p.Number, p.Revision, p.AcceptedAt.Format(time.RFC3339), p.Things, p.Author, p.Reason)
+					_, _ = fmt.Fprintf(w, "%8d  revision %-8d %s  %d things  %s  %s\n", p.Number, p.Revision, p.AcceptedAt.Format(time.RFC3339), p.ChangeCount, p.Author, p.Reason)
 				}
 			})
 		},
@@ -131,7 +131,7 @@
 		Example: "  sagestand ticket show data_centre/derby",
 		Args:    sagecli.Exactly("KIND/NAME"),
 		RunE: func(c *cobra.Command, args []string) error {
-			t, err := sageconfig.ParseThing(args[0])
+			t, err := sageconfig.ParseEntryKey(args[0])
 			if err != nil {
 				return fmt.Errorf("%w: %v", sagecli.ErrUsage, err)
 			}
--- a/internal/sageadmission/service_test.go
+++ b/internal/sageadmission/service_test.go
@@ -29,8 +29,8 @@
 	f := &fakeLoad{state: sageconfig.NewState()}
 	f.slots.Store(int64(slots))
 	f.state.ApplyTicket(&sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{
-		{Thing: sageconfig.Thing{Kind: sageconfig.KindRoute, Name: "assist"}, Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: "engines"}},
-		{Thing: sageconfig.Thing{Kind: sageconfig.KindUpstreamSet, Name: "engines"}, UpstreamSet: &sageconfig.UpstreamSet{Upstreams: []string{"e1"}}},
+		{Key: sageconfig.EntryKey{Kind: sageconfig.KindRoute, Name: "assist"}, Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: "engines"}},
+		{Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstreamSet, Name: "engines"}, UpstreamSet: &sageconfig.UpstreamSet{Upstreams: []string{"e1"}}},
 	}})
 	return &Service{Config: f, Load: f, InFlight: 100, Queued: 100}, f
 }
--- a/internal/sageclaims/backlog.go
+++ b/internal/sageclaims/backlog.go
@@ -156,7 +156,7 @@
 	for _, fresh := range []bool{false, true} {
 		rec, _, err := s.commit(ctx, j.object, j.entry, j.answer, fresh)
 		switch {
-		case err == nil && rec.ClaimID == j.entry.ClaimID && rec.State != sageclaim.Claimed:
+		case err == nil && rec.ClaimID == j.entry.ClaimID && rec.State != sageclaim.StateClaimed:
 			return s.listLate(ctx, &rec)
 		case err == nil && fresh:
 			return true // the claim is another's by now
@@ -171,7 +171,7 @@
 func (s *Service) listLate(ctx context.Context, rec *sageclaim.Record) bool {
 	now := time.Now()
 	key, err := sageclaim.ParseKey(rec.Key)
-	if err != nil || rec.State != sageclaim.Finished || !rec.Unsettled(now) || now.Before(key.CreatedAt.Add(s.SettleAfter)) {
+	if err != nil || rec.State != sageclaim.StateFinished || !rec.Unresolved(now) || now.Before(key.CreatedAt.Add(s.SettleAfter)) {
 		return true
 	}
 	return s.addUnknown(ctx, now, []sageclaim.Record{*rec}) == nil
--- a/internal/sageclaims/commit.go
+++ b/internal/sageclaims/commit.go
@@ -22,8 +22,8 @@
 
 // errorNames carry the errors of a commit between nodes.
 var errorNames = map[string]error{
-	"store": sageclaim.ErrStore, "unsettled": sageclaim.ErrUnsettled, "full": sageclaim.ErrFull,
-	"late": sageclaim.ErrLate, "no_claim": sageclaim.ErrNoClaim,
+	"store": sageclaim.ErrStoreUnavailable, "unsettled": sageclaim.ErrOutcomeUnknown, "full": sageclaim.ErrClaimNotTaken,
+	"late": sageclaim.ErrDeadlinePassed, "no_claim": sageclaim.ErrNoClaim,
 }
 
 func errorName(err error) string {
@@ -89,7 +89,7 @@
 	addr := s.owner(object)
 	if addr != s.Self && !s.failed.has(addr, time.Now()) {
 		rec, ans, err := s.ask(ctx, addr, object, e, answer, fresh)
-		if err == nil || errors.Is(err, sageclaim.ErrFull) || errors.Is(err, sageclaim.ErrLate) || errors.Is(err, sageclaim.ErrNoClaim) {
+		if err == nil || errors.Is(err, sageclaim.ErrClaimNotTaken) || errors.Is(err, sageclaim.ErrDeadlinePassed) || errors.Is(err, sageclaim.ErrNoClaim) {
 			return rec, ans, err
 		}
 		s.failed.note(addr, time.Now())
@@ -101,13 +101,13 @@
 
 func (s *Service) commitHere(ctx context.Context, object string, e sageclaim.Entry, answer []byte, fresh bool) (sageclaim.Record, []byte, error) {
 	if fresh {
-		s.Committer.Refresh(object)
+		s.Committer.Invalidate(object)
 	}
-	rec, err := s.Committer.Do(ctx, object, e)
+	rec, err := s.Committer.Commit(ctx, object, e)
 	if err != nil {
 		return sageclaim.Record{}, nil, fmt.Errorf("%s: %w", e.Op, err)
 	}
-	if rec.State != sageclaim.Finished {
+	if rec.State != sageclaim.StateFinished {
 		return rec, nil, nil
 	}
 	if answer != nil && rec.ClaimID == e.ClaimID {
@@ -125,21 +125,21 @@
 	}
 	res, err := s.Dial(addr).Commit(ctx, &claim.CommitRequest{Object: object, Entry: b, Answer: answer, Fresh: fresh})
 	if err != nil {
-		return sageclaim.Record{}, nil, fmt.Errorf("ask %s: %v: %w", addr, err, sageclaim.ErrUnsettled)
+		return sageclaim.Record{}, nil, fmt.Errorf("ask %s: %v: %w", addr, err, sageclaim.ErrOutcomeUnknown)
 	}
 	if res.GetError() != "" {
 		known, ok := errorNames[res.GetError()]
 		if !ok {
-			known = sageclaim.ErrUnsettled
+			known = sageclaim.ErrOutcomeUnknown
 		}
 		return sageclaim.Record{}, nil, fmt.Errorf("owner %s: %w", addr, known)
 	}
 	rec, err := sageclaim.DecodeRecord(res.GetRecord())
 	if err != nil {
-		return sageclaim.Record{}, nil, fmt.Errorf("owner %s: %v: %w", addr, err, sageclaim.ErrUnsettled)
+		return sageclaim.Record{}, nil, fmt.Errorf("owner %s: %v: %w", addr, err, sageclaim.ErrOutcomeUnknown)
 	}
 	if rec.Account != e.Account || rec.Key != e.Key {
-		return sageclaim.Record{}, nil, fmt.Errorf("owner %s answered for key %q: %w", addr, rec.Key, sageclaim.ErrUnsettled)
+		return sageclaim.Record{}, nil, fmt.Errorf("owner %s answered for key %q: %w", addr, rec.Key, sageclaim.ErrOutcomeUnknown)
 	}
 	return rec, res.GetAnswer(), nil
 }
@@ -156,8 +156,8 @@
 		return nil, fmt.Errorf("commit: %w", err)
 	}
 	// Nodes with other rules would claim one key in two objects.
-	if s.Rules.Object(e.Account, key) != r.GetObject() {
-		return nil, fmt.Errorf("commit to %q: %w", r.GetObject(), sageclaim.ErrBadEntry)
+	if s.Rules.ObjectKey(e.Account, key) != r.GetObject() {
+		return nil, fmt.Errorf("commit to %q: %w", r.GetObject(), sageclaim.ErrInvalidEntry)
 	}
 	rec, ans, err := s.commitHere(ctx, r.GetObject(), e, r.GetAnswer(), r.GetFresh())
 	if err != nil {
--- a/internal/sageclaims/count.go
+++ b/internal/sageclaims/count.go
@@ -19,7 +19,7 @@
 	gauge("sagestand_claims_backlog", func() float64 { return float64(s.backlog.len()) })
 	gauge("sagestand_claims_store_puts_total", func() float64 { return float64(s.Committer.Stats().Puts) })
 	gauge("sagestand_claims_store_gets_total", func() float64 { return float64(s.Committer.Stats().Gets) })
-	gauge("sagestand_claims_lost_answers_total", func() float64 { return float64(s.Committer.Stats().Lost) })
+	gauge("sagestand_claims_lost_answers_total", func() float64 { return float64(s.Committer.Stats().LostResponses) })
 }
 
 func (s *Service) count(ref *sagewire.Refusal) *sagewire.Refusal {
--- a/internal/sageclaims/decode_test.go
+++ b/internal/sageclaims/decode_test.go
@@ -21,7 +21,7 @@
 		s := &Service{Rules: rules, Committer: &sageclaim.Committer{Store: st}, Store: st, Self: "n0", Peers: func() []string { return nil }}
 		if e, err := sageclaim.DecodeEntry(entry); err == nil {
 			if key, err := sageclaim.ParseKey(e.Key); err == nil {
-				object = rules.Object(e.Account, key)
+				object = rules.ObjectKey(e.Account, key)
 			}
 		}
 		res, err := s.Commit(t.Context(), &claim.CommitRequest{Object: object, Entry: entry})
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := sageclaim.DecodeBook(o.Value); err != nil {
+		if _, err := sageclaim.DecodeClaimLog(o.Value); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -81,7 +81,7 @@
 	if ref := s.checkAge(key, now); ref != nil {
 		return nil, nil, ref
 	}
-	h := &handle{object: s.Rules.Object(r.Account, key), entry: sageclaim.Entry{
+	h := &handle{object: s.Rules.ObjectKey(r.Account, key), entry: sageclaim.Entry{
 		Op: sageclaim.OpClaim, Account: r.Account, Key: key.Text, ClaimID: r.ID,
 		Fingerprint: sageclaim.Fingerprint(r.Method, r.Path, r.Body), Deadline: r.Deadline.UTC(),
 	}}
@@ -129,7 +129,7 @@
 // It guards against a router that was paused between the claim and here: its caller has left or
 // been told something else, so the request must not go out any more.
 func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
-	if rec.State != sageclaim.Claimed || now.After(h.entry.Deadline) {
+	if rec.State != sageclaim.StateClaimed || now.After(h.entry.Deadline) {
 		s.release(h)
 		return nil, nil, s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
 	}
@@ -142,9 +142,9 @@
 	switch {
 	case rec.Fingerprint != h.entry.Fingerprint:
 		return s.count(sagewire.Refuse(sagewire.ReasonBadRequest, "the key was used for another request; this one was not run", time.Time{}))
-	case rec.State == sageclaim.Finished && rec.Outcome == sagewire.Complete:
+	case rec.State == sageclaim.StateFinished && rec.Outcome == sagewire.Complete:
 		return s.count(already(sagewire.ReasonKeyInUse, fmt.Sprintf("it ran and was answered with status %d", rec.Status), rec, time.Time{}))
-	case rec.Unsettled(now):
+	case rec.Unresolved(now):
 		return s.count(already(sagewire.ReasonAnswerLost, "it may have run; its outcome is unknown and listed for the operators", rec, time.Time{}))
 	}
 	return nil
@@ -157,20 +157,20 @@
 // refuse maps an error of a commit. Nothing was sent for the claim, so "not run" is true of this
 // sending; what this node knows of an earlier one goes first.
 func (s *Service) refuse(h *handle, err error) *sagewire.Refusal {
-	if errors.Is(err, sageclaim.ErrUnsettled) {
+	if errors.Is(err, sageclaim.ErrOutcomeUnknown) {
 		s.release(h)
 	}
 	now := time.Now()
-	if rec, ok := s.Committer.Cached(h.object, h.entry.Account, h.entry.Key); ok && rec.State != sageclaim.Released && rec.ClaimID != h.entry.ClaimID {
+	if rec, ok := s.Committer.CachedRecord(h.object, h.entry.Account, h.entry.Key); ok && rec.State != sageclaim.StateReleased && rec.ClaimID != h.entry.ClaimID {
 		if ref := s.judge(h, &rec, now); ref != nil {
 			return ref
 		}
 		return s.count(already(sagewire.ReasonKeyInUse, "a request with this key was in flight when the store was last seen", &rec, now.Add(retryLater)))
 	}
-	if errors.Is(err, sageclaim.ErrFull) {
+	if errors.Is(err, sageclaim.ErrClaimNotTaken) {
 		return s.count(sagewire.Refuse(sagewire.ReasonOverloaded, "too many keys of that instant", now.Add(retryLater)))
 	}
-	if errors.Is(err, sageclaim.ErrLate) {
+	if errors.Is(err, sageclaim.ErrDeadlinePassed) {
 		return s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
 	}
 	s.Log.Warn("Can't claim.", "err", err)
--- a/internal/sageclaims/service_test.go
+++ b/internal/sageclaims/service_test.go
@@ -83,7 +83,7 @@
 		self := fmt.Sprint("n", i)
 		s := &Service{
 			Rules:     sageclaim.Rules{Bucket: 2 * time.Second, Shards: 4, Retention: time.Hour, MaxAhead: time.Minute},
-			Committer: &sageclaim.Committer{Store: f.store, Window: 10 * time.Millisecond}, Store: f.store,
+			Committer: &sageclaim.Committer{Store: f.store, BatchWindow: 10 * time.Millisecond}, Store: f.store,
 			Self: self, HeldBytes: 1 << 20, SettleAfter: time.Minute,
 			Dial: func(addr string) claim.Claims { return &directCall{f: f, addr: addr} },
 			Peers: func() []string {
@@ -319,7 +319,7 @@
 		assert.Equal(t, r.Key, list[0].Key)
 		rec, err := f.nodes[1].Settle(t.Context(), &Settlement{Account: "haller", Key: r.Key, ClaimID: r.ID, Outcome: sagewire.NotRun})
 		require.NoError(t, err)
-		assert.Equal(t, sageclaim.Released, rec.State)
+		assert.Equal(t, sageclaim.StateReleased, rec.State)
 		list, err = f.nodes[0].Unknown(t.Context())
 		require.NoError(t, err)
 		assert.Empty(t, list)
@@ -420,13 +420,13 @@
 		require.Nil(t, ref)
 		key, err := sageclaim.ParseKey(r.Key)
 		require.NoError(t, err)
-		object := n.Rules.Object(r.Account, key)
+		object := n.Rules.ObjectKey(r.Account, key)
 		entry := func(op sageclaim.Op, id string) sageclaim.Entry {
 			return sageclaim.Entry{Op: op, Account: r.Account, Key: r.Key, ClaimID: id, Fingerprint: "f", Deadline: time.Now().Add(time.Minute)}
 		}
 		finish := entry(sageclaim.OpFinish, r.ID)
 		finish.Outcome, finish.Status = sagewire.Complete, 201
-		_, err = other.Do(t.Context(), object, finish)
+		_, err = other.Commit(t.Context(), object, finish)
 		require.NoError(t, err)
 		time.Sleep(time.Until(r.Deadline) + time.Second)
 		_, _, ref = n.Claim(t.Context(), request(r.Key, "b"))
@@ -438,18 +438,18 @@
 		require.Nil(t, ref)
 		key, err = sageclaim.ParseKey(second.Key)
 		require.NoError(t, err)
-		object = n.Rules.Object(r.Account, key)
+		object = n.Rules.ObjectKey(r.Account, key)
 		r.Key = second.Key
 		for _, e := range []sageclaim.Entry{entry(sageclaim.OpRelease, second.ID), entry(sageclaim.OpClaim, "x")} {
-			_, err = other.Do(t.Context(), object, e)
+			_, err = other.Commit(t.Context(), object, e)
 			require.NoError(t, err)
 		}
 		require.True(t, n.try(t.Context(), job{object: object, entry: entry(sageclaim.OpRelease, "x")}))
 		o, err := f.store.Get(t.Context(), object)
 		require.NoError(t, err)
-		book, err := sageclaim.DecodeBook(o.Value)
+		book, err := sageclaim.DecodeClaimLog(o.Value)
 		require.NoError(t, err)
 		rec, _ := book.Record(r.Account, r.Key)
-		assert.Equal(t, sageclaim.Released, rec.State)
+		assert.Equal(t, sageclaim.StateReleased, rec.State)
 	})
 }
--- a/internal/sageclaims/sweep.go
+++ b/internal/sageclaims/sweep.go
@@ -57,7 +57,7 @@
 // It guards against losing track of a request whose router died: nobody else knows of it but its
 // claim. The list is written before the cursor moves, so a crash between the two only repeats work.
 func (s *Service) Sweep(ctx context.Context, now time.Time) error {
-	until := s.Rules.BucketOf(now.Add(-s.SettleAfter))
+	until := s.Rules.BucketStart(now.Add(-s.SettleAfter))
 	cur, version, err := s.cursor(ctx, now)
 	if err != nil || !cur.SweptUntil.Before(until) {
 		return err
@@ -81,7 +81,7 @@
 			return fmt.Errorf("list claims: %w", ctx.Err())
 		}
 		for _, m := range metas {
-			at, err := s.Rules.BucketOfObject(m.Key)
+			at, err := s.Rules.ParseBucketStart(m.Key)
 			if err != nil || at.Before(from) || !at.Before(until) {
 				continue
 			}
@@ -107,7 +107,7 @@
 func (s *Service) cursor(ctx context.Context, now time.Time) (cursor, int64, error) {
 	o, err := s.Store.Get(ctx, cursorKey)
 	if errors.Is(err, sageobject.ErrNotFound) {
-		first := s.Rules.BucketOf(now.Add(-s.Rules.Retention - sageclaim.DeleteMargin))
+		first := s.Rules.BucketStart(now.Add(-s.Rules.Retention - sageclaim.DeleteMargin))
 		return cursor{SweptUntil: first, DeletedUntil: first}, sageobject.NoVersion, nil
 	}
 	if err != nil {
@@ -129,13 +129,13 @@
 	if err != nil {
 		return fmt.Errorf("read claims: %w", err)
 	}
-	book, err := sageclaim.DecodeBook(o.Value)
+	book, err := sageclaim.DecodeClaimLog(o.Value)
 	if err != nil {
 		return fmt.Errorf("%s: %w", object, err)
 	}
 	var found []sageclaim.Record
 	for _, r := range book.Records() {
-		if r.Unsettled(now) {
+		if r.Unresolved(now) {
 			found = append(found, r)
 		}
 	}
@@ -199,7 +199,7 @@
 // DeleteOld deletes claim objects beyond retention, after a last search for unsettled requests: a
 // key may have been used long after its creation, when its bucket had been searched already.
 func (s *Service) DeleteOld(ctx context.Context, now time.Time) error {
-	until := s.Rules.BucketOf(now.Add(-s.Rules.Bucket - s.Rules.Retention - sageclaim.DeleteMargin))
+	until := s.Rules.BucketStart(now.Add(-s.Rules.Bucket - s.Rules.Retention - sageclaim.DeleteMargin))
 	cur, version, err := s.cursor(ctx, now)
 	if err != nil || !cur.DeletedUntil.Before(until) {
 		return err
--- a/internal/sageclaims/unknown.go
+++ b/internal/sageclaims/unknown.go
@@ -59,19 +59,19 @@
 	if err != nil {
 		return true, nil
 	}
-	o, err := s.Store.Get(ctx, s.Rules.Object(r.Account, key))
+	o, err := s.Store.Get(ctx, s.Rules.ObjectKey(r.Account, key))
 	if errors.Is(err, sageobject.ErrNotFound) {
 		return true, nil
 	}
 	if err != nil {
 		return false, fmt.Errorf("read claims: %w", err)
 	}
-	book, err := sageclaim.DecodeBook(o.Value)
+	book, err := sageclaim.DecodeClaimLog(o.Value)
 	if err != nil {
 		return false, fmt.Errorf("read claims: %w", err)
 	}
 	now, ok := book.Record(r.Account, r.Key)
-	return !ok || (now.ClaimID == r.ClaimID && now.Unsettled(time.Now())), nil
+	return !ok || (now.ClaimID == r.ClaimID && now.Unresolved(time.Now())), nil
 }
 
 // Settlement is an operator's word on a request whose outcome was unknown.
@@ -90,11 +90,11 @@
 	if err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
-	e := sageclaim.Entry{Op: sageclaim.OpSettle, Account: set.Account, Key: key.Text, ClaimID: set.ClaimID, Outcome: set.Outcome}
+	e := sageclaim.Entry{Op: sageclaim.OpResolve, Account: set.Account, Key: key.Text, ClaimID: set.ClaimID, Outcome: set.Outcome}
 	if err := e.Check(); err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
-	rec, _, err := s.commit(ctx, s.Rules.Object(set.Account, key), e, nil, true)
+	rec, _, err := s.commit(ctx, s.Rules.ObjectKey(set.Account, key), e, nil, true)
 	if err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
@@ -122,7 +122,7 @@
 
 func reply(w http.ResponseWriter, v any, err error) {
 	switch {
-	case errors.Is(err, sageclaim.ErrBadKey), errors.Is(err, sageclaim.ErrBadEntry), errors.Is(err, sageclaim.ErrNoClaim):
+	case errors.Is(err, sageclaim.ErrInvalidKey), errors.Is(err, sageclaim.ErrInvalidEntry), errors.Is(err, sageclaim.ErrNoClaim):
 		sageoperator.WriteJSON(w, http.StatusBadRequest, sageoperator.Problem{Problem: err.Error()})
 	case err != nil:
 		sageoperator.WriteJSON(w, http.StatusServiceUnavailable, sageoperator.Problem{Problem: err.Error()})
--- a/internal/sageconfigd/fake_test.go
+++ b/internal/sageconfigd/fake_test.go
@@ -79,7 +79,7 @@
 
 func dcTicket(number uint64, in bool) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: number, Changes: []sageconfig.Change{{
-		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "derby"},
+		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "derby"},
 		DataCentre: &sageconfig.DataCentre{InService: in},
 	}}}
 }
@@ -87,12 +87,12 @@
 // accept accepts tickets through some other node.
 func accept(t *testing.T, p *platform, from, to uint64) {
 	t.Helper()
-	a := &sageticket.Acceptor{Store: &p.Memory, Keep: 1}
+	a := &sageticket.Acceptor{Store: &p.Memory, KeepRecords: 1}
 	for n := from; n <= to; n++ {
 		_, err := a.Submit(t.Context(), dcTicket(n, n%2 == 0))
 		require.NoError(t, err)
 	}
-	require.NoError(t, a.Fold(t.Context()))
+	require.NoError(t, a.Compact(t.Context()))
 }
 
 // start runs a service until the test's end.
--- a/internal/sageconfigd/follow.go
+++ b/internal/sageconfigd/follow.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return false, err
 	}
-	return h.FoldDue(), s.take(ctx, h, version, asked)
+	return h.CompactionDue(), s.take(ctx, h, version, asked)
 }
 
 // take brings a head in. If its tail no longer reaches back to the own revision, as after a gap in
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -90,7 +90,7 @@
 func (s *Service) init() {
 	s.once.Do(func() {
 		s.replica.Now, s.replica.Roster, s.replica.Self = time.Now, s.Roster, s.Address
-		s.acceptor = sageticket.Acceptor{Store: s.Store, Base: func() (uint64, *sageconfig.State) {
+		s.acceptor = sageticket.Acceptor{Store: s.Store, BaseState: func() (uint64, *sageconfig.State) {
 			c := s.replica.Current()
 			return c.Revision, c.State
 		}}
@@ -217,7 +217,7 @@
 			return
 		case <-s.foldDue:
 		}
-		if err := s.acceptor.Fold(ctx); err != nil {
+		if err := s.acceptor.Compact(ctx); err != nil {
 			s.Log.Warn("Fold failed; the next ticket tries again.", "err", err)
 		}
 	}
--- a/internal/sageconfigd/service_test.go
+++ b/internal/sageconfigd/service_test.go
@@ -196,7 +196,7 @@
 		later(time.Second)
 		h, _, err := sageticket.ReadHead(t.Context(), p)
 		require.NoError(t, err)
-		assert.GreaterOrEqual(t, h.Folded, uint64(64))
+		assert.GreaterOrEqual(t, h.CompactedRevision, uint64(64))
 		assert.Less(t, len(h.Tail), 64)
 	})
 }
@@ -233,7 +233,7 @@
 
 		p.out.Store(false)
 		_, err = s.Status(t.Context(), 9)
-		assert.ErrorIs(t, err, sageticket.ErrNoTicket)
+		assert.ErrorIs(t, err, sageticket.ErrTicketNotFound)
 		h, err := s.History(t.Context(), 10)
 		require.NoError(t, err)
 		assert.Equal(t, []uint64{2, 1}, []uint64{h[0].Number, h[1].Number})
--- a/internal/sageconfigd/status.go
+++ b/internal/sageconfigd/status.go
@@ -13,7 +13,7 @@
 
 // TicketStatus tells where an accepted ticket is in force, as far as this node has heard.
 type TicketStatus struct {
-	sageticket.Past
+	sageticket.Summary
 	// InForce lists the nodes that hold it; Since is when this node first heard so.
 	InForce []NodeRevision `json:"in_force"`
 	// Lacking lists the nodes that, by their newest heartbeat, do not hold it; Since is zero for one
@@ -22,7 +22,7 @@
 }
 
 // History returns the newest accepted tickets, newest first.
-func (s *Service) History(ctx context.Context, n int) ([]sageticket.Past, error) {
+func (s *Service) History(ctx context.Context, n int) ([]sageticket.Summary, error) {
 	return sageticket.History(ctx, s.Store, n)
 }
 
@@ -31,13 +31,13 @@
 	s.init()
 	var st TicketStatus
 	if r, ok := s.replica.Find(number); ok {
-		st.Past = sageticket.PastOf(r)
+		st.Summary = sageticket.SummaryOf(r)
 	} else {
 		p, err := sageticket.Find(ctx, s.Store, number)
 		if err != nil {
 			return TicketStatus{}, fmt.Errorf("status: %w", err)
 		}
-		st.Past = p
+		st.Summary = p
 	}
 	s.track(time.Now())
 	for _, n := range s.nodes(time.Now()) {
--- a/internal/sageentry/handler_test.go
+++ b/internal/sageentry/handler_test.go
@@ -88,8 +88,8 @@
 	sum := sha256.Sum256([]byte(testKey))
 	f.state = sageconfig.NewState()
 	add := func(kind sageconfig.Kind, name string, c sageconfig.Change) {
-		c.Thing = sageconfig.Thing{Kind: kind, Name: name}
-		f.state.Apply(sageconfig.Entry{Number: 1, Change: c})
+		c.Key = sageconfig.EntryKey{Kind: kind, Name: name}
+		f.state.Apply(sageconfig.Entry{TicketNumber: 1, Change: c})
 	}
 	add(sageconfig.KindClientAccount, "haller", sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hex.EncodeToString(sum[:]), Weight: 1}})
 	add(sageconfig.KindRoute, "orders", sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteService, UpstreamSet: "apps"}})
--- a/internal/sagefleet/layout.go
+++ b/internal/sagefleet/layout.go
@@ -135,7 +135,7 @@
 func (l *Layout) FirstTicket(number uint64) *sageconfig.Ticket {
 	t := &sageconfig.Ticket{Number: number, Author: "sagebench", Reason: "first configuration"}
 	add := func(kind sageconfig.Kind, name string, c sageconfig.Change) {
-		c.Thing = sageconfig.Thing{Kind: kind, Name: name}
+		c.Key = sageconfig.EntryKey{Kind: kind, Name: name}
 		t.Changes = append(t.Changes, c)
 	}
 	sets := map[sageconfig.UpstreamKind][]string{}
@@ -170,7 +170,7 @@
 // ServiceTicket returns the ticket that takes a data centre out of service or back.
 func ServiceTicket(number uint64, dataCentre string, inService bool) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: number, Author: "sagebench", Changes: []sageconfig.Change{{
-		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: dataCentre},
+		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
 		DataCentre: &sageconfig.DataCentre{InService: inService, Region: "region1"},
 	}}}
 }
--- a/internal/sageloadd/bytes_test.go
+++ b/internal/sageloadd/bytes_test.go
@@ -44,8 +44,8 @@
 	defer engine.Close()
 	f := &fleet{state: sageconfig.NewState()}
 	for i := range engines {
-		f.state.Apply(sageconfig.Entry{Number: 2, Change: sageconfig.Change{
-			Thing: sageconfig.Thing{Kind: sageconfig.KindUpstream, Name: fmt.Sprintf("derby-engine-%03d", i)},
+		f.state.Apply(sageconfig.Entry{TicketNumber: 2, Change: sageconfig.Change{
+			Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: fmt.Sprintf("derby-engine-%03d", i)},
 			Upstream: &sageconfig.Upstream{Kind: sageconfig.Engine, DataCentre: "derby", MaxInFlight: 16,
 				Address: strings.TrimPrefix(engine.URL, "http://")},
 		}})
--- a/internal/sageloadd/service_test.go
+++ b/internal/sageloadd/service_test.go
@@ -57,8 +57,8 @@
 func newFleet(t testing.TB) *fleet {
 	f := &fleet{state: sageconfig.NewState(), stop: map[string]func(){}, engine: httptest.NewServer(http.HandlerFunc(report))}
 	t.Cleanup(f.engine.Close)
-	f.state.Apply(sageconfig.Entry{Number: 1, Change: sageconfig.Change{
-		Thing: sageconfig.Thing{Kind: sageconfig.KindUpstream, Name: "engine1"},
+	f.state.Apply(sageconfig.Entry{TicketNumber: 1, Change: sageconfig.Change{
+		Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: "engine1"},
 		Upstream: &sageconfig.Upstream{Kind: sageconfig.Engine, DataCentre: "derby", MaxInFlight: slots,
 			Address: strings.TrimPrefix(f.engine.URL, "http://")},
 	}})
--- a/internal/sageloadd/want_test.go
+++ b/internal/sageloadd/want_test.go
@@ -21,8 +21,8 @@
 	for i := range n {
 		name := fmt.Sprintf("engine%d", i)
 		names = append(names, name)
-		c.state.Apply(sageconfig.Entry{Number: 1, Change: sageconfig.Change{
-			Thing:    sageconfig.Thing{Kind: sageconfig.KindUpstream, Name: name},
+		c.state.Apply(sageconfig.Entry{TicketNumber: 1, Change: sageconfig.Change{
+			Key:      sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: name},
 			Upstream: &sageconfig.Upstream{Kind: sageconfig.Engine, DataCentre: "derby", MaxInFlight: 4, Address: fmt.Sprintf("127.0.0.1:%d", 1000+i)},
 		}})
 	}
--- a/internal/sagelocator/service_test.go
+++ b/internal/sagelocator/service_test.go
@@ -34,7 +34,7 @@
 func TestLocateNamesOnlyWhoStays(t *testing.T) {
 	state := sageconfig.NewState()
 	state.ApplyTicket(&sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{
-		Thing: sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "out"}, DataCentre: &sageconfig.DataCentre{},
+		Key: sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "out"}, DataCentre: &sageconfig.DataCentre{},
 	}}})
 	v := &view{state: state, nodes: []sagemember.Node{
 		node("a:1", "in", sagemember.Serving), node("b:1", "in", sagemember.Leaving), node("c:1", "in", sagemember.Starting),
--- a/internal/sagematrix/router_test.go
+++ b/internal/sagematrix/router_test.go
@@ -190,8 +190,8 @@
 	sum := sha256.Sum256([]byte(accountKey))
 	state := sageconfig.NewState()
 	add := func(kind sageconfig.Kind, name string, c sageconfig.Change) {
-		c.Thing = sageconfig.Thing{Kind: kind, Name: name}
-		state.Apply(sageconfig.Entry{Number: 1, Change: c})
+		c.Key = sageconfig.EntryKey{Kind: kind, Name: name}
+		state.Apply(sageconfig.Entry{TicketNumber: 1, Change: c})
 	}
 	add(sageconfig.KindClientAccount, "haller", sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hex.EncodeToString(sum[:]), Weight: 1}})
 	add(sageconfig.KindRoute, "orders", sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteService, UpstreamSet: "apps"}})
@@ -209,7 +209,7 @@
 	}
 	r.claims = &sageclaims.Service{
 		Rules:     sageclaim.Rules{Bucket: 2 * time.Second, Shards: 4, Retention: time.Hour, MaxAhead: time.Minute},
-		Committer: &sageclaim.Committer{Store: store, Window: 5 * time.Millisecond, CommitTimeout: time.Second},
+		Committer: &sageclaim.Committer{Store: store, BatchWindow: 5 * time.Millisecond, CommitTimeout: time.Second},
 		Store:     store, Self: r.name, HeldBytes: 1 << 20, SettleAfter: 30 * time.Second,
 		Peers: func() []string { return []string{w.other(r).name} },
 		Dial:  func(string) claim.Claims { return r.call(w.other(r)) },
--- a/internal/sagemeasure/claims.go
+++ b/internal/sagemeasure/claims.go
@@ -128,8 +128,8 @@
 	rng := rand.New(rand.NewSource(int64(seed)))
 	mem := &sageobject.Memory{}
 	c := &sageclaim.Committer{
-		Store:  &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), loss: w.loss},
-		Window: w.window, NoReadBack: w.noReadBack, MaxCached: 1 << 16,
+		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), loss: w.loss},
+		BatchWindow: w.window, NoReadBack: w.noReadBack, MaxCachedObjects: 1 << 16,
 	}
 	var t claimTally
 	var wg sync.WaitGroup
@@ -169,7 +169,7 @@
 	if err != nil {
 		return
 	}
-	object := w.rules.Object(b.account, key)
+	object := w.rules.ObjectKey(b.account, key)
 	if w.alone {
 		object += "/" + b.key
 	}
@@ -179,7 +179,7 @@
 			Op: sageclaim.OpClaim, Account: b.account, Key: key.Text, ClaimID: id,
 			Fingerprint: b.fingerprint, Deadline: time.Now().Add(10 * time.Second).UTC(),
 		}
-		rec, err := c.Do(context.Background(), object, e)
+		rec, err := c.Commit(context.Background(), object, e)
 		if err != nil {
 			time.Sleep(repeatAfter)
 			continue
@@ -194,7 +194,7 @@
 		time.Sleep(bookingTakes)
 		e.Op, e.Outcome, e.Status, e.Fingerprint, e.Deadline = sageclaim.OpFinish, sagewire.Complete, 201, "", time.Time{}
 		for range 5 {
-			if _, err := c.Do(context.Background(), object, e); err == nil {
+			if _, err := c.Commit(context.Background(), object, e); err == nil {
 				return
 			}
 		}
@@ -232,7 +232,7 @@
 		{Metric: "added latency, 99 in 100", Unit: "ms", Value: quantile(0.99)},
 		{Metric: "store writes", Unit: "/s", Value: float64(s.Puts) / seconds},
 		{Metric: "store reads", Unit: "/s", Value: float64(s.Gets) / seconds},
-		{Metric: "written", Unit: "KB/s", Value: float64(s.Bytes) / seconds / 1000},
+		{Metric: "written", Unit: "KB/s", Value: float64(s.BytesWritten) / seconds / 1000},
 		{Metric: "kept a booking", Unit: "B", Value: float64(total) / float64(n)},
 		{Metric: "largest object", Unit: "KB", Value: float64(largest) / 1000},
 	}
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -110,7 +110,7 @@
 func (f *configFleet) accept(n *configNode, dataCentre string, in bool) error {
 	f.number++
 	t := &sageconfig.Ticket{Number: f.number, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
-		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: dataCentre},
+		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
 		DataCentre: &sageconfig.DataCentre{InService: in},
 	}}}
 	if _, err := f.a.Submit(context.Background(), t); err != nil {
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -37,7 +37,7 @@
 		Rules: sageclaim.Rules{
 			Bucket: claimBucket, Shards: claimShards, Retention: millis(cfg.Claims.RetentionMillis), MaxAhead: claimAhead,
 		},
-		Committer: &sageclaim.Committer{Store: store, Window: millis(cfg.Claims.CollectMillis), CommitTimeout: claimTimeout},
+		Committer: &sageclaim.Committer{Store: store, BatchWindow: millis(cfg.Claims.CollectMillis), CommitTimeout: claimTimeout},
 		Store:     store,
 		Self:      cfg.Listen.Peer,
 		Peers:     n.livePeers,
--- a/internal/sageoperator/server.go
+++ b/internal/sageoperator/server.go
@@ -89,7 +89,7 @@
 }
 
 func (s *Server) thing(w http.ResponseWriter, r *http.Request) {
-	t := sageconfig.Thing{Kind: sageconfig.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
+	t := sageconfig.EntryKey{Kind: sageconfig.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
 	if err := t.Check(); err != nil {
 		WriteJSON(w, http.StatusBadRequest, Problem{Problem: err.Error()})
 		return
--- a/internal/sageoperator/ticket.go
+++ b/internal/sageoperator/ticket.go
@@ -35,7 +35,7 @@
 // Tickets accepts change tickets and tells where they are in force.
 type Tickets interface {
 	Submit(ctx context.Context, t *sageconfig.Ticket) (sageticket.Accepted, error)
-	History(ctx context.Context, n int) ([]sageticket.Past, error)
+	History(ctx context.Context, n int) ([]sageticket.Summary, error)
 	Status(ctx context.Context, number uint64) (sageconfigd.TicketStatus, error)
 }
 
@@ -66,11 +66,11 @@
 	switch {
 	case errors.Is(err, sageticket.ErrNotAccepted):
 		return http.StatusServiceUnavailable, OutcomeNotAccepted
-	case errors.Is(err, sageconfig.ErrBadTicket), errors.Is(err, sageconfig.ErrBadThing), errors.Is(err, sageconfig.ErrBadState):
+	case errors.Is(err, sageconfig.ErrInvalidTicket), errors.Is(err, sageconfig.ErrInvalidEntryKey), errors.Is(err, sageconfig.ErrInvalidState):
 		return http.StatusBadRequest, OutcomeRefused
 	}
 	for _, refused := range []error{
-		sageticket.ErrOtherContent, sageticket.ErrSuperseded, sageticket.ErrTooOld, sageconfig.ErrReference, sageconfig.ErrNoUpstream,
+		sageticket.ErrContentMismatch, sageticket.ErrSuperseded, sageticket.ErrTooOld, sageconfig.ErrUnknownReference, sageconfig.ErrNoUpstream,
 	} {
 		if errors.Is(err, refused) {
 			return http.StatusConflict, OutcomeRefused
@@ -104,7 +104,7 @@
 	}
 	st, err := s.Tickets.Status(r.Context(), number)
 	switch {
-	case errors.Is(err, sageticket.ErrNoTicket):
+	case errors.Is(err, sageticket.ErrTicketNotFound):
 		WriteJSON(w, http.StatusNotFound, Problem{Problem: err.Error()})
 	case errors.Is(err, sageobject.ErrUnavailable):
 		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: err.Error()})
--- a/internal/sageoperator/ticket_test.go
+++ b/internal/sageoperator/ticket_test.go
@@ -23,7 +23,7 @@
 	return sageticket.Accepted{Number: t.Number, Revision: 3}, s.err
 }
 
-func (s *scripted) History(context.Context, int) ([]sageticket.Past, error) { return nil, s.err }
+func (s *scripted) History(context.Context, int) ([]sageticket.Summary, error) { return nil, s.err }
 
 func (s *scripted) Status(context.Context, uint64) (sageconfigd.TicketStatus, error) {
 	return sageconfigd.TicketStatus{}, s.err
@@ -53,11 +53,11 @@
 		outcome Outcome
 		client  error
 	}{
-		{sageconfig.ErrBadTicket, http.StatusBadRequest, OutcomeRefused, ErrRefused},
-		{sageticket.ErrOtherContent, http.StatusConflict, OutcomeRefused, ErrRefused},
+		{sageconfig.ErrInvalidTicket, http.StatusBadRequest, OutcomeRefused, ErrRefused},
+		{sageticket.ErrContentMismatch, http.StatusConflict, OutcomeRefused, ErrRefused},
 		{sageticket.ErrSuperseded, http.StatusConflict, OutcomeRefused, ErrRefused},
 		{sageticket.ErrTooOld, http.StatusConflict, OutcomeRefused, ErrRefused},
-		{sageconfig.ErrReference, http.StatusConflict, OutcomeRefused, ErrRefused},
+		{sageconfig.ErrUnknownReference, http.StatusConflict, OutcomeRefused, ErrRefused},
 		{sageconfig.ErrNoUpstream, http.StatusConflict, OutcomeRefused, ErrRefused},
 		{sageticket.ErrNotAccepted, http.StatusServiceUnavailable, OutcomeNotAccepted, ErrRefused},
 		{sageticket.ErrOutcomeUnknown, http.StatusBadGateway, OutcomeUnknown, ErrUnknown},
@@ -68,7 +68,7 @@
 		assert.Equal(t, c.code, code, c.err)
 		assert.Equal(t, c.outcome, outcome, c.err)
 		client := serveTickets(t, &scripted{err: err})
-		tk := &sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{Thing: sageconfig.Thing{Kind: sageconfig.KindOrder, Name: "a"}, Deleted: true}}}
+		tk := &sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{Key: sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: "a"}, Deleted: true}}}
 		assert.ErrorIs(t, client.Submit(t.Context(), tk), c.client, c.err)
 	}
 }
@@ -86,6 +86,6 @@
 		err := client.Do(t.Context(), http.MethodGet, path, nil, nil)
 		assert.Equal(t, ok, err == nil, "%s: %v", path, err)
 	}
-	missing := serveTickets(t, &scripted{err: sageticket.ErrNoTicket})
+	missing := serveTickets(t, &scripted{err: sageticket.ErrTicketNotFound})
 	assert.ErrorIs(t, missing.Do(t.Context(), http.MethodGet, "/v1/tickets/7", nil, nil), ErrRefused)
 }
--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -147,7 +147,7 @@
 		if !ok || u.Kind != sageconfig.Engine {
 			continue
 		}
-		number := state.Number(sageconfig.Thing{Kind: sageconfig.KindOrder, Name: name})
+		number := state.TicketNumber(sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: name})
 		old, had := newest[o.Upstream]
 		if !had {
 			names = append(names, o.Upstream)
--- a/internal/sageorders/service_test.go
+++ b/internal/sageorders/service_test.go
@@ -40,11 +40,11 @@
 
 func testState(checks bool) *sageconfig.State {
 	s := sageconfig.NewState()
-	add := func(n uint64, c sageconfig.Change) { s.Apply(sageconfig.Entry{Number: n, Change: c}) }
-	add(1, sageconfig.Change{Thing: sageconfig.Thing{Kind: sageconfig.KindUpstream, Name: "e1"}, Upstream: &sageconfig.Upstream{Kind: sageconfig.Engine, Address: "e1:1", DataCentre: "derby", MaxInFlight: 1, ChecksFencing: checks}})
-	add(2, sageconfig.Change{Thing: sageconfig.Thing{Kind: sageconfig.KindOrder, Name: "old"}, Order: &sageconfig.Order{Upstream: "e1", Role: "old"}})
-	add(3, sageconfig.Change{Thing: sageconfig.Thing{Kind: sageconfig.KindOrder, Name: "new"}, Order: &sageconfig.Order{Upstream: "e1", Role: "decode", Drain: true}})
-	add(4, sageconfig.Change{Thing: sageconfig.Thing{Kind: sageconfig.KindOrder, Name: "gone"}, Order: &sageconfig.Order{Upstream: "nobody"}})
+	add := func(n uint64, c sageconfig.Change) { s.Apply(sageconfig.Entry{TicketNumber: n, Change: c}) }
+	add(1, sageconfig.Change{Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: "e1"}, Upstream: &sageconfig.Upstream{Kind: sageconfig.Engine, Address: "e1:1", DataCentre: "derby", MaxInFlight: 1, ChecksFencing: checks}})
+	add(2, sageconfig.Change{Key: sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: "old"}, Order: &sageconfig.Order{Upstream: "e1", Role: "old"}})
+	add(3, sageconfig.Change{Key: sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: "new"}, Order: &sageconfig.Order{Upstream: "e1", Role: "decode", Drain: true}})
+	add(4, sageconfig.Change{Key: sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: "gone"}, Order: &sageconfig.Order{Upstream: "nobody"}})
 	return s
 }
 
--- a/internal/sageplacement/service_test.go
+++ b/internal/sageplacement/service_test.go
@@ -34,7 +34,7 @@
 }
 
 func thing(kind sageconfig.Kind, name string, c sageconfig.Change) sageconfig.Change {
-	c.Thing = sageconfig.Thing{Kind: kind, Name: name}
+	c.Key = sageconfig.EntryKey{Kind: kind, Name: name}
 	return c
 }
 
@@ -106,7 +106,7 @@
 		{"model set, member missing", "a", nil, names("d1", "d2", "l1")},
 		{"account's own set", "special", nil, names("l1")},
 		{"data centre out", "a", []sageconfig.Change{dataCentre("derby", false)}, names("l1")},
-		{"data centre deleted", "a", []sageconfig.Change{{Thing: sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "derby"}, Deleted: true}}, names("l1")},
+		{"data centre deleted", "a", []sageconfig.Change{{Key: sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "derby"}, Deleted: true}}, names("l1")},
 		{"leaving", "a", []sageconfig.Change{thing(sageconfig.KindUpstream, "d1", sageconfig.Change{Upstream: &sageconfig.Upstream{
 			Kind: sageconfig.Engine, DataCentre: "derby", Models: []string{"m@1"}, MaxInFlight: 4, Leaving: true}})}, names("d2", "l1")},
 		{"drained by order", "a", []sageconfig.Change{thing(sageconfig.KindOrder, "o", sageconfig.Change{Order: &sageconfig.Order{Upstream: "d2", Drain: true}})}, names("d1", "l1")},
--- a/pkg/sageclaim/book.go
+++ b/pkg/sageclaim/book.go
@@ -18,11 +18,11 @@
 // The states.
 const (
 	// Claimed: a router may be running it, or died while it did.
-	Claimed State = "claimed"
+	StateClaimed State = "claimed"
 	// Finished: it ended with Outcome.
-	Finished State = "finished"
+	StateFinished State = "finished"
 	// Released: it didn't run; the key is free for the next claim.
-	Released State = "released"
+	StateReleased State = "released"
 )
 
 // Record is the present state of a key.
@@ -39,17 +39,17 @@
 
 // Unsettled reports whether at now only a person can say if the request ran: its outcome is unknown,
 // or its deadline passed without an outcome.
-func (r *Record) Unsettled(now time.Time) bool {
-	if r.State == Finished {
+func (r *Record) Unresolved(now time.Time) bool {
+	if r.State == StateFinished {
 		return r.Outcome == sagewire.Unknown
 	}
-	return r.State == Claimed && now.After(r.Deadline)
+	return r.State == StateClaimed && now.After(r.Deadline)
 }
 
 type bookKey struct{ account, key string }
 
-// Book is one claim object, decoded. The zero value is empty.
-type Book struct {
+// ClaimLog is one claim object, decoded. The zero value is empty.
+type ClaimLog struct {
 	records map[bookKey]*Record
 	order   []bookKey
 	encoded []byte
@@ -58,21 +58,21 @@
 // maxLines bounds a decompressed object, so that a small malformed one can't fill the memory.
 const maxLines = 4 * sageobject.MaxValueBytes
 
-// DecodeBook decodes and checks a claim object.
-func DecodeBook(value []byte) (*Book, error) {
+// DecodeClaimLog decodes and checks a claim object.
+func DecodeClaimLog(value []byte) (*ClaimLog, error) {
 	z, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
-		return nil, fmt.Errorf("decompress claims: %v: %w", err, ErrBadEntry)
+		return nil, fmt.Errorf("decompress claims: %v: %w", err, ErrInvalidEntry)
 	}
 	b, err := io.ReadAll(io.LimitReader(z, maxLines+1))
 	if err != nil || len(b) > maxLines {
-		return nil, fmt.Errorf("decompress claims, %d bytes: %v: %w", len(b), err, ErrBadEntry)
+		return nil, fmt.Errorf("decompress claims, %d bytes: %v: %w", len(b), err, ErrInvalidEntry)
 	}
 	entries, err := decodeEntries(b)
 	if err != nil {
 		return nil, fmt.Errorf("decode claims: %w", err)
 	}
-	book := new(Book)
+	book := new(ClaimLog)
 	for i := range entries {
 		book.Apply(&entries[i])
 	}
@@ -99,7 +99,7 @@
 }
 
 // Encode returns the object: its lines, compressed.
-func (b *Book) Encode() []byte {
+func (b *ClaimLog) Encode() []byte {
 	var buf bytes.Buffer
 	z := compressor()
 	defer func() {
@@ -119,7 +119,7 @@
 }
 
 // Records returns the state of each key, in the order of their first claims.
-func (b *Book) Records() []Record {
+func (b *ClaimLog) Records() []Record {
 	out := make([]Record, 0, len(b.order))
 	for _, k := range b.order {
 		out = append(out, *b.records[k])
@@ -128,7 +128,7 @@
 }
 
 // Record returns the state of a key.
-func (b *Book) Record(account, key string) (Record, bool) {
+func (b *ClaimLog) Record(account, key string) (Record, bool) {
 	r, ok := b.records[bookKey{account, key}]
 	if !ok {
 		return Record{}, false
@@ -138,7 +138,7 @@
 
 // Apply judges an entry. If it has an effect it is appended and Apply reports true. The same entry a
 // second time has none, so an entry may be sent again while it isn't known to have arrived.
-func (b *Book) Apply(e *Entry) bool {
+func (b *ClaimLog) Apply(e *Entry) bool {
 	k := bookKey{e.Account, e.Key}
 	r := b.records[k]
 	if !changes(r, e) {
@@ -165,18 +165,18 @@
 func changes(r *Record, e *Entry) bool {
 	if e.Op == OpClaim {
 		// A released claim stays as a mark, so that its own late copy doesn't claim again.
-		return r == nil || (r.State == Released && r.ClaimID != e.ClaimID)
+		return r == nil || (r.State == StateReleased && r.ClaimID != e.ClaimID)
 	}
 	if r == nil || r.ClaimID != e.ClaimID {
 		return false
 	}
 	switch e.Op {
 	case OpFinish:
-		return r.State == Claimed
+		return r.State == StateClaimed
 	case OpRelease:
-		return r.State == Claimed
-	case OpSettle:
-		return r.State == Claimed || (r.State == Finished && r.Outcome == sagewire.Unknown)
+		return r.State == StateClaimed
+	case OpResolve:
+		return r.State == StateClaimed || (r.State == StateFinished && r.Outcome == sagewire.Unknown)
 	}
 	return false
 }
@@ -185,40 +185,40 @@
 	switch e.Op {
 	case OpClaim:
 		r.ClaimID, r.Fingerprint, r.Deadline = e.ClaimID, e.Fingerprint, e.Deadline
-		r.State, r.Outcome, r.Status = Claimed, "", 0
+		r.State, r.Outcome, r.Status = StateClaimed, "", 0
 	case OpFinish:
-		r.State, r.Outcome, r.Status = Finished, e.Outcome, e.Status
+		r.State, r.Outcome, r.Status = StateFinished, e.Outcome, e.Status
 	case OpRelease:
-		r.State = Released
-	case OpSettle:
-		r.State, r.Outcome, r.Status = Finished, e.Outcome, e.Status
+		r.State = StateReleased
+	case OpResolve:
+		r.State, r.Outcome, r.Status = StateFinished, e.Outcome, e.Status
 		if e.Outcome == sagewire.NotRun {
-			r.State = Released
+			r.State = StateReleased
 		}
 	}
 }
 
-// Check reports a record that contradicts itself, wrapped around [ErrBadEntry].
+// Check reports a record that contradicts itself, wrapped around [ErrInvalidEntry].
 func (r *Record) Check() error {
 	if r.Account == "" || r.Key == "" || r.ClaimID == "" {
-		return fmt.Errorf("record without account, key or claim_id: %w", ErrBadEntry)
+		return fmt.Errorf("record without account, key or claim_id: %w", ErrInvalidEntry)
 	}
 	switch r.State {
-	case Claimed, Released:
+	case StateClaimed, StateReleased:
 		return nil
-	case Finished:
+	case StateFinished:
 		if r.Outcome == sagewire.Complete || r.Outcome == sagewire.Unknown {
 			return nil
 		}
 	}
-	return fmt.Errorf("record in state %q with outcome %q: %w", r.State, r.Outcome, ErrBadEntry)
+	return fmt.Errorf("record in state %q with outcome %q: %w", r.State, r.Outcome, ErrInvalidEntry)
 }
 
 // DecodeRecord decodes and checks a record.
 func DecodeRecord(b []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
-		return Record{}, fmt.Errorf("decode record: %v: %w", err, ErrBadEntry)
+		return Record{}, fmt.Errorf("decode record: %v: %w", err, ErrInvalidEntry)
 	}
 	if err := r.Check(); err != nil {
 		return Record{}, fmt.Errorf("decode record: %w", err)
--- a/pkg/sageclaim/book_test.go
+++ b/pkg/sageclaim/book_test.go
@@ -25,8 +25,8 @@
 func TestBook(t *testing.T) {
 	a, b := claim("k", "a"), claim("k", "b")
 	finish, lost := ended(OpFinish, "k", "a", sagewire.Complete), ended(OpFinish, "k", "a", sagewire.Unknown)
-	release, settleRan := ended(OpRelease, "k", "a", ""), ended(OpSettle, "k", "a", sagewire.Complete)
-	settleNot := ended(OpSettle, "k", "a", sagewire.NotRun)
+	release, settleRan := ended(OpRelease, "k", "a", ""), ended(OpResolve, "k", "a", sagewire.Complete)
+	settleNot := ended(OpResolve, "k", "a", sagewire.NotRun)
 	for _, tt := range []struct {
 		name    string
 		entries []Entry
@@ -34,21 +34,21 @@
 		id      string
 		state   State
 	}{
-		{"first claim wins", []Entry{a, b}, "yn", "a", Claimed},
-		{"same claim again", []Entry{a, a}, "yn", "a", Claimed},
-		{"finished stays", []Entry{a, finish, b, release}, "yynn", "a", Finished},
-		{"unknown stays", []Entry{a, lost, b, release}, "yynn", "a", Finished},
-		{"released is free", []Entry{a, release, b}, "yyy", "b", Claimed},
-		{"late copy of a released claim", []Entry{a, release, a}, "yyn", "a", Released},
-		{"finish of another's claim", []Entry{a, ended(OpFinish, "k", "b", sagewire.Complete)}, "yn", "a", Claimed},
-		{"release of another's claim", []Entry{a, ended(OpRelease, "k", "b", "")}, "yn", "a", Claimed},
-		{"release after another claim", []Entry{a, release, b, release}, "yyyn", "b", Claimed},
-		{"settled as run", []Entry{a, lost, settleRan, b}, "yyyn", "a", Finished},
-		{"settled as not run", []Entry{a, lost, settleNot, b}, "yyyy", "b", Claimed},
-		{"complete isn't settled", []Entry{a, finish, settleNot}, "yyn", "a", Finished},
+		{"first claim wins", []Entry{a, b}, "yn", "a", StateClaimed},
+		{"same claim again", []Entry{a, a}, "yn", "a", StateClaimed},
+		{"finished stays", []Entry{a, finish, b, release}, "yynn", "a", StateFinished},
+		{"unknown stays", []Entry{a, lost, b, release}, "yynn", "a", StateFinished},
+		{"released is free", []Entry{a, release, b}, "yyy", "b", StateClaimed},
+		{"late copy of a released claim", []Entry{a, release, a}, "yyn", "a", StateReleased},
+		{"finish of another's claim", []Entry{a, ended(OpFinish, "k", "b", sagewire.Complete)}, "yn", "a", StateClaimed},
+		{"release of another's claim", []Entry{a, ended(OpRelease, "k", "b", "")}, "yn", "a", StateClaimed},
+		{"release after another claim", []Entry{a, release, b, release}, "yyyn", "b", StateClaimed},
+		{"settled as run", []Entry{a, lost, settleRan, b}, "yyyn", "a", StateFinished},
+		{"settled as not run", []Entry{a, lost, settleNot, b}, "yyyy", "b", StateClaimed},
+		{"complete isn't settled", []Entry{a, finish, settleNot}, "yyn", "a", StateFinished},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var book Book
+			var book ClaimLog
 			effect := ""
 			for i := range tt.entries {
 				if book.Apply(&tt.entries[i]) {
@@ -62,7 +62,7 @@
 			require.True(t, ok)
 			assert.Equal(t, tt.id, r.ClaimID)
 			assert.Equal(t, tt.state, r.State)
-			again, err := DecodeBook(book.Encode())
+			again, err := DecodeClaimLog(book.Encode())
 			require.NoError(t, err)
 			assert.Equal(t, book.Records(), again.Records())
 		})
@@ -70,19 +70,19 @@
 }
 
 func TestUnsettled(t *testing.T) {
-	r := Record{State: Claimed, Deadline: testDeadline}
-	assert.False(t, r.Unsettled(testDeadline))
-	assert.True(t, r.Unsettled(testDeadline.Add(1)))
-	assert.True(t, (&Record{State: Finished, Outcome: sagewire.Unknown}).Unsettled(testDeadline))
-	assert.False(t, (&Record{State: Finished, Outcome: sagewire.Complete}).Unsettled(testDeadline.Add(1)))
-	assert.False(t, (&Record{State: Released}).Unsettled(testDeadline.Add(1)))
+	r := Record{State: StateClaimed, Deadline: testDeadline}
+	assert.False(t, r.Unresolved(testDeadline))
+	assert.True(t, r.Unresolved(testDeadline.Add(1)))
+	assert.True(t, (&Record{State: StateFinished, Outcome: sagewire.Unknown}).Unresolved(testDeadline))
+	assert.False(t, (&Record{State: StateFinished, Outcome: sagewire.Complete}).Unresolved(testDeadline.Add(1)))
+	assert.False(t, (&Record{State: StateReleased}).Unresolved(testDeadline.Add(1)))
 }
 
 // Whatever entries arrive in whatever order, a key passes from one claim to another only after the
 // first was released or settled as not run, and decoding gives the same state.
 func TestBookProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var book Book
+		var book ClaimLog
 		last := make(map[string]Record)
 		for range rapid.IntRange(1, 30).Draw(t, "n") {
 			key, id := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
@@ -93,17 +93,17 @@
 			case 2:
 				e = ended(OpRelease, key, id, "")
 			case 3:
-				e = ended(OpSettle, key, id, rapid.SampledFrom([]sagewire.Outcome{sagewire.Complete, sagewire.NotRun}).Draw(t, "o"))
+				e = ended(OpResolve, key, id, rapid.SampledFrom([]sagewire.Outcome{sagewire.Complete, sagewire.NotRun}).Draw(t, "o"))
 			}
 			book.Apply(&e)
 			if r, ok := book.Record("haller", key); ok {
-				if old, had := last[key]; had && old.ClaimID != r.ClaimID && old.State != Released {
+				if old, had := last[key]; had && old.ClaimID != r.ClaimID && old.State != StateReleased {
 					t.Fatalf("%s passed from %+v to %+v", key, old, r)
 				}
 				last[key] = r
 			}
 		}
-		again, err := DecodeBook(book.Encode())
+		again, err := DecodeClaimLog(book.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,21 +114,21 @@
 }
 
 func FuzzDecodeBook(f *testing.F) {
-	var book Book
-	for _, e := range []Entry{claim("k", "a"), ended(OpFinish, "k", "a", sagewire.Unknown), ended(OpSettle, "k", "a", sagewire.NotRun), claim("k", "b")} {
+	var book ClaimLog
+	for _, e := range []Entry{claim("k", "a"), ended(OpFinish, "k", "a", sagewire.Unknown), ended(OpResolve, "k", "a", sagewire.NotRun), claim("k", "b")} {
 		book.Apply(&e)
 	}
 	f.Add(book.Encode())
 	f.Add([]byte("{}\n"))
-	f.Add((&Book{encoded: []byte("{}\n")}).Encode())
+	f.Add((&ClaimLog{encoded: []byte("{}\n")}).Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		book, err := DecodeBook(b)
+		book, err := DecodeClaimLog(b)
 		if err != nil {
 			return
 		}
 		e := claim("fresh", "z")
 		book.Apply(&e)
-		again, err := DecodeBook(book.Encode())
+		again, err := DecodeClaimLog(book.Encode())
 		if err != nil {
 			t.Fatalf("own encoding: %v", err)
 		}
@@ -140,16 +140,16 @@
 
 // A node runs out of memory: an object of a few KB decompresses to more than any object may hold.
 func TestDecodeBookIsBounded(t *testing.T) {
-	bomb := (&Book{encoded: make([]byte, 4*maxLines)}).Encode()
+	bomb := (&ClaimLog{encoded: make([]byte, 4*maxLines)}).Encode()
 	require.Less(t, len(bomb), maxLines/8)
-	_, err := DecodeBook(bomb)
-	require.ErrorIs(t, err, ErrBadEntry)
-	_, err = DecodeBook([]byte("no gzip"))
-	require.ErrorIs(t, err, ErrBadEntry)
+	_, err := DecodeClaimLog(bomb)
+	require.ErrorIs(t, err, ErrInvalidEntry)
+	_, err = DecodeClaimLog([]byte("no gzip"))
+	require.ErrorIs(t, err, ErrInvalidEntry)
 }
 
 func BenchmarkEncode(b *testing.B) {
-	var book Book
+	var book ClaimLog
 	for i := range 400 {
 		e := claim(fmt.Sprintf("1764700000%03d-%016x", i, i*7919), fmt.Sprintf("%032x", i*104729))
 		book.Apply(&e)
@@ -160,7 +160,7 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	var book Book
+	var book ClaimLog
 	i := 0
 	for b.Loop() {
 		e := claim(fmt.Sprint(i), "a")
--- a/pkg/sageclaim/committer.go
+++ b/pkg/sageclaim/committer.go
@@ -14,14 +14,14 @@
 // Errors of a commit. After both, the caller may say "not run", since only a granted claim is run.
 var (
 	// ErrStore: the store is down; the entry wasn't written.
-	ErrStore = errors.New("claim store unavailable")
+	ErrStoreUnavailable = errors.New("claim store unavailable")
 	// ErrUnsettled: the entry may or may not be written, or be written later. A claim must be
-	// released, see [Committer.Do].
-	ErrUnsettled = errors.New("claim not settled")
+	// released, see [Committer.Commit].
+	ErrOutcomeUnknown = errors.New("claim not settled")
 	// ErrFull: the object can't take the claim, or the claim was released before.
-	ErrFull = errors.New("claim not taken")
+	ErrClaimNotTaken = errors.New("claim not taken")
 	// ErrLate: the claim's deadline passed before it was written.
-	ErrLate = errors.New("claim came after its deadline")
+	ErrDeadlinePassed = errors.New("claim came after its deadline")
 	// ErrNoClaim: the key of a finish, release or settlement has no claim.
 	ErrNoClaim = errors.New("no claim of that key")
 )
@@ -43,9 +43,9 @@
 	Conflicts int64
 	// Lost counts lost answers to updates, and ReadBack how many of them were found to have taken
 	// effect by reading back.
-	Lost     int64
-	ReadBack int64
-	Bytes    int64
+	LostResponses       int64
+	ConfirmedByReadBack int64
+	BytesWritten        int64
 }
 
 // Committer appends entries to claim objects by group commit. Exported fields are set before first
@@ -53,12 +53,12 @@
 type Committer struct {
 	Store sageobject.Store
 	// Window is how long entries are collected for one update.
-	Window time.Duration
+	BatchWindow time.Duration
 	// CommitTimeout bounds one commit: an update whose answer stays lost for longer is given up as
 	// unsettled.
 	CommitTimeout time.Duration
 	// MaxCached bounds the decoded objects kept in memory; 0 means 64.
-	MaxCached int
+	MaxCachedObjects int
 	// NoReadBack gives up at once when an answer is lost. It exists for the comparison in
 	// docs/design/at_most_once.md.
 	NoReadBack bool
@@ -86,7 +86,7 @@
 
 // cached is an object as it was last seen.
 type cached struct {
-	book    *Book
+	book    *ClaimLog
 	version int64
 	used    int64
 	// stale says that the store may have a newer version.
@@ -106,9 +106,9 @@
 // Do appends an entry to an object and returns the key's record after it. A claim is granted exactly
 // if the record's ClaimID is the entry's and its State is Claimed.
 //
-// If ctx ends first, or the error wraps [ErrUnsettled], the entry may still be written later. A
+// If ctx ends first, or the error wraps [ErrOutcomeUnknown], the entry may still be written later. A
 // claim given up so must not be run, and must be released by an [OpRelease].
-func (c *Committer) Do(ctx context.Context, object string, e Entry) (Record, error) {
+func (c *Committer) Commit(ctx context.Context, object string, e Entry) (Record, error) {
 	if err := e.Check(); err != nil {
 		return Record{}, err
 	}
@@ -118,7 +118,7 @@
 	case <-p.done:
 		return p.rec, p.err
 	case <-ctx.Done():
-		return Record{}, fmt.Errorf("%v: %w", ctx.Err(), ErrUnsettled)
+		return Record{}, fmt.Errorf("%v: %w", ctx.Err(), ErrOutcomeUnknown)
 	}
 }
 
@@ -152,7 +152,7 @@
 			return
 		}
 		c.mu.Unlock()
-		next := time.Now().Add(c.Window)
+		next := time.Now().Add(c.BatchWindow)
 		c.commit(object, batch)
 		time.Sleep(time.Until(next))
 	}
@@ -188,7 +188,7 @@
 	kept := batch[:0]
 	for _, p := range batch {
 		if p.entry.Op == OpClaim && now.After(p.entry.Deadline) {
-			p.err = ErrLate
+			p.err = ErrDeadlinePassed
 			close(p.done)
 			continue
 		}
@@ -197,11 +197,11 @@
 	return kept
 }
 
-func (p *pending) settle(book *Book) {
+func (p *pending) settle(book *ClaimLog) {
 	rec, ok := book.Record(p.entry.Account, p.entry.Key)
 	switch {
-	case p.entry.Op == OpClaim && (!ok || rec.State == Released):
-		p.err = fmt.Errorf("claim: %w", ErrFull)
+	case p.entry.Op == OpClaim && (!ok || rec.State == StateReleased):
+		p.err = fmt.Errorf("claim: %w", ErrClaimNotTaken)
 	case !ok:
 		p.err = fmt.Errorf("%s of a key without a claim: %w", p.entry.Op, ErrNoClaim)
 	}
@@ -215,7 +215,7 @@
 // that another router won. So the object is read back, and entries found there by their own ids
 // count as written. Entries not found may still be on their way, therefore the update is repeated
 // with the same expected version until one of the two has taken effect.
-func (c *Committer) append(ctx context.Context, object string, batch []*pending) (*Book, error) {
+func (c *Committer) append(ctx context.Context, object string, batch []*pending) (*ClaimLog, error) {
 	lost := false
 	for range maxConflicts {
 		cur, err := c.load(ctx, object)
@@ -225,12 +225,12 @@
 		next, changed := extend(cur.book, batch)
 		if !changed {
 			if lost {
-				c.count(func(s *Stats) { s.ReadBack++ })
+				c.count(func(s *Stats) { s.ConfirmedByReadBack++ })
 			}
 			return cur.book, nil
 		}
 		value := next.Encode()
-		c.count(func(s *Stats) { s.Puts++; s.Bytes += int64(len(value)) })
+		c.count(func(s *Stats) { s.Puts++; s.BytesWritten += int64(len(value)) })
 		v, err := c.Store.Put(ctx, object, value, cur.version)
 		switch {
 		case err == nil:
@@ -242,7 +242,7 @@
 		case errors.Is(err, sageobject.ErrUnavailable), errors.Is(err, sageobject.ErrTooLarge):
 			return nil, unsettledIf(lost, err)
 		default:
-			c.count(func(s *Stats) { s.Lost++ })
+			c.count(func(s *Stats) { s.LostResponses++ })
 			c.forget(object)
 			lost = true
 			if c.NoReadBack {
@@ -259,9 +259,9 @@
 // unsettledIf names an error by whether an update may have taken effect before it.
 func unsettledIf(lost bool, err error) error {
 	if lost {
-		return fmt.Errorf("commit claims: %v: %w", err, ErrUnsettled)
+		return fmt.Errorf("commit claims: %v: %w", err, ErrOutcomeUnknown)
 	}
-	return fmt.Errorf("commit claims: %v: %w", err, ErrStore)
+	return fmt.Errorf("commit claims: %v: %w", err, ErrStoreUnavailable)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
@@ -276,7 +276,7 @@
 }
 
 // extend returns the book with the batch applied, and whether anything changed.
-func extend(book *Book, batch []*pending) (*Book, bool) {
+func extend(book *ClaimLog, batch []*pending) (*ClaimLog, bool) {
 	next := book.clone()
 	changed := false
 	for _, p := range batch {
@@ -290,8 +290,8 @@
 	return next, changed
 }
 
-func (b *Book) clone() *Book {
-	n := &Book{records: make(map[bookKey]*Record, len(b.records)+1)}
+func (b *ClaimLog) clone() *ClaimLog {
+	n := &ClaimLog{records: make(map[bookKey]*Record, len(b.records)+1)}
 	for k, r := range b.records {
 		c := *r
 		n.records[k] = &c
@@ -314,12 +314,12 @@
 	c.mu.Unlock()
 	o, err := c.Store.Get(ctx, object)
 	if errors.Is(err, sageobject.ErrNotFound) {
-		return &cached{book: new(Book), version: sageobject.NoVersion}, nil
+		return &cached{book: new(ClaimLog), version: sageobject.NoVersion}, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("read claims: %w", err)
 	}
-	book, err := DecodeBook(o.Value)
+	book, err := DecodeClaimLog(o.Value)
 	if err != nil {
 		return nil, fmt.Errorf("read claims: %w", err)
 	}
@@ -329,7 +329,7 @@
 }
 
 // Cached returns the record of a key as this node saw it last, without a call to the store.
-func (c *Committer) Cached(object, account, key string) (Record, bool) {
+func (c *Committer) CachedRecord(object, account, key string) (Record, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e, ok := c.cache[object]
@@ -340,11 +340,11 @@
 }
 
 // Refresh makes the next commit of an object read it from the store.
-func (c *Committer) Refresh(object string) { c.forget(object) }
+func (c *Committer) Invalidate(object string) { c.forget(object) }
 
 // keep remembers an object and drops the one unused for longest beyond the bound.
 func (c *Committer) keep(object string, e *cached) {
-	limit := c.MaxCached
+	limit := c.MaxCachedObjects
 	if limit <= 0 {
 		limit = 64
 	}
@@ -368,7 +368,7 @@
 	delete(c.cache, oldest)
 }
 
-// forget makes the next load read the object from the store; [Committer.Cached] still knows it.
+// forget makes the next load read the object from the store; [Committer.CachedRecord] still knows it.
 func (c *Committer) forget(object string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/sageclaim/committer_test.go
+++ b/pkg/sageclaim/committer_test.go
@@ -24,13 +24,13 @@
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
-		c := &Committer{Store: st, Window: 20 * time.Millisecond}
+		c := &Committer{Store: st, BatchWindow: 20 * time.Millisecond}
 		defer c.Wait()
 		var wg sync.WaitGroup
 		var granted atomic.Int64
 		for i := range 100 {
 			wg.Go(func() {
-				r, err := c.Do(t.Context(), testObject, claim(fmt.Sprint(i%50), fmt.Sprint(i)))
+				r, err := c.Commit(t.Context(), testObject, claim(fmt.Sprint(i%50), fmt.Sprint(i)))
 				assert.NoError(t, err)
 				if r.ClaimID == fmt.Sprint(i) {
 					granted.Add(1)
@@ -89,13 +89,13 @@
 		puts    int64
 	}{
 		{"l", nil, 1}, {"d", nil, 2}, {"dl", nil, 2}, {"ddl", nil, 3},
-		{"u", ErrStore, 1}, {"du", ErrUnsettled, 2}, {strings.Repeat("d", 1000), ErrUnsettled, 0},
+		{"u", ErrStoreUnavailable, 1}, {"du", ErrOutcomeUnknown, 2}, {strings.Repeat("d", 1000), ErrOutcomeUnknown, 0},
 	} {
 		t.Run(tt.pattern[:min(3, len(tt.pattern))], func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &Committer{Store: lossy(tt.pattern), Window: time.Millisecond, CommitTimeout: 200 * time.Millisecond}
+				c := &Committer{Store: lossy(tt.pattern), BatchWindow: time.Millisecond, CommitTimeout: 200 * time.Millisecond}
 				defer c.Wait()
-				r, err := c.Do(t.Context(), testObject, claim("k", "a"))
+				r, err := c.Commit(t.Context(), testObject, claim("k", "a"))
 				if tt.err != nil {
 					require.ErrorIs(t, err, tt.err)
 					return
@@ -143,12 +143,12 @@
 		first, second := &Committer{Store: d}, &Committer{Store: mem}
 		defer first.Wait()
 		defer second.Wait()
-		r, err := first.Do(t.Context(), testObject, claim("k", "a"))
+		r, err := first.Commit(t.Context(), testObject, claim("k", "a"))
 		require.NoError(t, err)
 		assert.Equal(t, "a", r.ClaimID)
-		_, err = first.Do(t.Context(), testObject, ended(OpRelease, "k", "a", ""))
+		_, err = first.Commit(t.Context(), testObject, ended(OpRelease, "k", "a", ""))
 		require.NoError(t, err)
-		r, err = second.Do(t.Context(), testObject, claim("k", "b"))
+		r, err = second.Commit(t.Context(), testObject, claim("k", "b"))
 		require.NoError(t, err)
 		require.Equal(t, "b", r.ClaimID)
 		close(d.release)
@@ -160,16 +160,16 @@
 func TestTwoCommitters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
-		cs := []*Committer{{Store: st, Window: time.Millisecond}, {Store: st, Window: time.Millisecond}}
+		cs := []*Committer{{Store: st, BatchWindow: time.Millisecond}, {Store: st, BatchWindow: time.Millisecond}}
 		var wg sync.WaitGroup
 		granted := make([]atomic.Int64, 20)
 		for i := range 200 {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i/10) * time.Millisecond)
 				id := fmt.Sprint("c", i)
-				r, err := cs[i%2].Do(t.Context(), testObject, claim(fmt.Sprint(i%20), id))
+				r, err := cs[i%2].Commit(t.Context(), testObject, claim(fmt.Sprint(i%20), id))
 				assert.NoError(t, err)
-				if r.ClaimID == id && r.State == Claimed {
+				if r.ClaimID == id && r.State == StateClaimed {
 					granted[i%20].Add(1)
 				}
 			})
@@ -192,8 +192,8 @@
 		defer c.Wait()
 		e := claim("k", "a")
 		e.Deadline = time.Now().Add(-1)
-		_, err := c.Do(t.Context(), testObject, e)
-		require.ErrorIs(t, err, ErrLate)
+		_, err := c.Commit(t.Context(), testObject, e)
+		require.ErrorIs(t, err, ErrDeadlinePassed)
 		_, err = st.Get(t.Context(), testObject)
 		require.ErrorIs(t, err, sageobject.ErrNotFound)
 	})
@@ -203,18 +203,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &Committer{Store: &sageobject.Memory{}}
 		defer c.Wait()
-		_, err := c.Do(t.Context(), testObject, claim("k", "a"))
+		_, err := c.Commit(t.Context(), testObject, claim("k", "a"))
 		require.NoError(t, err)
 		big := claim("big", "b")
 		big.Fingerprint = strings.Repeat("f", maxObject)
-		_, err = c.Do(t.Context(), testObject, big)
+		_, err = c.Commit(t.Context(), testObject, big)
 		require.NoError(t, err)
-		_, err = c.Do(t.Context(), testObject, claim("more", "c"))
-		require.ErrorIs(t, err, ErrFull)
-		r, err := c.Do(t.Context(), testObject, ended(OpFinish, "k", "a", "complete"))
+		_, err = c.Commit(t.Context(), testObject, claim("more", "c"))
+		require.ErrorIs(t, err, ErrClaimNotTaken)
+		r, err := c.Commit(t.Context(), testObject, ended(OpFinish, "k", "a", "complete"))
 		require.NoError(t, err)
-		assert.Equal(t, Finished, r.State, "outcomes still fit")
-		_, err = c.Do(t.Context(), testObject, ended(OpRelease, "none", "a", ""))
+		assert.Equal(t, StateFinished, r.State, "outcomes still fit")
+		_, err = c.Commit(t.Context(), testObject, ended(OpRelease, "none", "a", ""))
 		require.ErrorIs(t, err, ErrNoClaim)
 	})
 }
@@ -279,7 +279,7 @@
 			}
 			cs := make([]*Committer, 3)
 			for i := range cs {
-				cs[i] = &Committer{Store: st, Window: time.Millisecond}
+				cs[i] = &Committer{Store: st, BatchWindow: time.Millisecond}
 			}
 			var wg sync.WaitGroup
 			for client := range 12 {
@@ -290,8 +290,8 @@
 						c := cs[(client+n)%3]
 						granted := false
 						record(client, claimOp{OpClaim, key, id}, func() string {
-							c.Refresh(testObject)
-							r, err := c.Do(t.Context(), testObject, claim(key, id))
+							c.Invalidate(testObject)
+							r, err := c.Commit(t.Context(), testObject, claim(key, id))
 							if err != nil {
 								return "?"
 							}
@@ -301,7 +301,7 @@
 						if granted {
 							record(client, claimOp{OpRelease, key, id}, func() string {
 								for {
-									if _, err := c.Do(t.Context(), testObject, ended(OpRelease, key, id, "")); err == nil {
+									if _, err := c.Commit(t.Context(), testObject, ended(OpRelease, key, id, "")); err == nil {
 										return ""
 									}
 								}
@@ -326,7 +326,7 @@
 			object := fmt.Sprintf("claims/%p/%d", pb, i/1000)
 			e := claim(fmt.Sprint(i), "a")
 			e.Deadline = time.Now().Add(time.Minute)
-			if _, err := c.Do(b.Context(), object, e); err != nil {
+			if _, err := c.Commit(b.Context(), object, e); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/pkg/sageclaim/doc.go
+++ b/pkg/sageclaim/doc.go
@@ -12,7 +12,7 @@
 //
 // The claims of a bucket and shard stand in one object, a log of entries, one JSON value a line:
 // claim, finish, release, settle, compressed as a whole. A later line about a key overrides an earlier
-// one. See [Book].
+// one. See [ClaimLog].
 //
 // # Group commit
 //
--- a/pkg/sageclaim/entry.go
+++ b/pkg/sageclaim/entry.go
@@ -11,8 +11,8 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrBadEntry reports a malformed line of a claim object.
-var ErrBadEntry = errors.New("malformed entry")
+// ErrInvalidEntry reports a malformed line of a claim object.
+var ErrInvalidEntry = errors.New("malformed entry")
 
 // Op is what an entry says about a key.
 type Op string
@@ -25,8 +25,8 @@
 	OpFinish Op = "finish"
 	// OpRelease frees the key: the claimed request is known not to have run.
 	OpRelease Op = "release"
-	// OpSettle is a person's word on a request whose outcome was unknown: complete or not_run.
-	OpSettle Op = "settle"
+	// OpResolve is a person's word on a request whose outcome was unknown: complete or not_run.
+	OpResolve Op = "settle"
 )
 
 // Entry is one line of a claim object.
@@ -44,27 +44,27 @@
 	Status  int              `json:"status,omitempty"`
 }
 
-// Check reports a missing or misplaced field, wrapped around [ErrBadEntry].
+// Check reports a missing or misplaced field, wrapped around [ErrInvalidEntry].
 func (e *Entry) Check() error {
 	if e.Account == "" || e.Key == "" || e.ClaimID == "" {
-		return fmt.Errorf("%s without account, key or claim_id: %w", e.Op, ErrBadEntry)
+		return fmt.Errorf("%s without account, key or claim_id: %w", e.Op, ErrInvalidEntry)
 	}
 	switch e.Op {
 	case OpClaim:
 		if e.Fingerprint == "" || e.Deadline.IsZero() {
-			return fmt.Errorf("claim without fingerprint or deadline: %w", ErrBadEntry)
+			return fmt.Errorf("claim without fingerprint or deadline: %w", ErrInvalidEntry)
 		}
 	case OpFinish:
 		if e.Outcome != sagewire.Complete && e.Outcome != sagewire.Unknown {
-			return fmt.Errorf("finish with outcome %q: %w", e.Outcome, ErrBadEntry)
+			return fmt.Errorf("finish with outcome %q: %w", e.Outcome, ErrInvalidEntry)
 		}
-	case OpSettle:
+	case OpResolve:
 		if e.Outcome != sagewire.Complete && e.Outcome != sagewire.NotRun {
-			return fmt.Errorf("settle with outcome %q: %w", e.Outcome, ErrBadEntry)
+			return fmt.Errorf("settle with outcome %q: %w", e.Outcome, ErrInvalidEntry)
 		}
 	case OpRelease:
 	default:
-		return fmt.Errorf("op %q: %w", e.Op, ErrBadEntry)
+		return fmt.Errorf("op %q: %w", e.Op, ErrInvalidEntry)
 	}
 	return nil
 }
@@ -84,11 +84,11 @@
 	for n := 1; len(b) > 0; n++ {
 		line, rest, ok := bytes.Cut(b, []byte("\n"))
 		if !ok {
-			return nil, fmt.Errorf("line %d is cut: %w", n, ErrBadEntry)
+			return nil, fmt.Errorf("line %d is cut: %w", n, ErrInvalidEntry)
 		}
 		var e Entry
 		if err := json.Unmarshal(line, &e); err != nil {
-			return nil, fmt.Errorf("line %d: %v: %w", n, err, ErrBadEntry)
+			return nil, fmt.Errorf("line %d: %v: %w", n, err, ErrInvalidEntry)
 		}
 		if err := e.Check(); err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
@@ -103,7 +103,7 @@
 func DecodeEntry(b []byte) (Entry, error) {
 	var e Entry
 	if err := json.Unmarshal(b, &e); err != nil {
-		return Entry{}, fmt.Errorf("decode entry: %v: %w", err, ErrBadEntry)
+		return Entry{}, fmt.Errorf("decode entry: %v: %w", err, ErrInvalidEntry)
 	}
 	if err := e.Check(); err != nil {
 		return Entry{}, fmt.Errorf("decode entry: %w", err)
--- a/pkg/sageclaim/example_test.go
+++ b/pkg/sageclaim/example_test.go
@@ -16,9 +16,9 @@
 		fmt.Println(err)
 		return
 	}
-	c := &sageclaim.Committer{Store: &sageobject.Memory{}, Window: 20 * time.Millisecond}
+	c := &sageclaim.Committer{Store: &sageobject.Memory{}, BatchWindow: 20 * time.Millisecond}
 	for _, id := range []string{"first", "second"} {
-		rec, err := c.Do(context.Background(), rules.Object("haller", key), sageclaim.Entry{
+		rec, err := c.Commit(context.Background(), rules.ObjectKey("haller", key), sageclaim.Entry{
 			Op: sageclaim.OpClaim, Account: "haller", Key: key.Text, ClaimID: id,
 			Fingerprint: sageclaim.Fingerprint("POST", "/bookings", []byte("{}")), Deadline: time.Now().Add(time.Minute),
 		})
--- a/pkg/sageclaim/key.go
+++ b/pkg/sageclaim/key.go
@@ -12,13 +12,13 @@
 
 // Errors of keys; every error about a key wraps one of them.
 var (
-	ErrBadKey     = errors.New("key is neither a UUID of version 7 nor <unix_millis>-<token>")
-	ErrKeyExpired = errors.New("key is older than claims are kept")
-	ErrKeyAhead   = errors.New("key was created in the future")
+	ErrInvalidKey  = errors.New("key is neither a UUID of version 7 nor <unix_millis>-<token>")
+	ErrKeyExpired  = errors.New("key is older than claims are kept")
+	ErrKeyInFuture = errors.New("key was created in the future")
 )
 
-// MaxKey is the greatest length of a key in bytes.
-const MaxKey = 128
+// MaxKeyBytes is the greatest length of a key in bytes.
+const MaxKeyBytes = 128
 
 // Key is an idempotency key with the instant of its creation.
 type Key struct {
@@ -28,17 +28,17 @@
 
 // ParseKey reads a key and the instant that it carries.
 func ParseKey(s string) (Key, error) {
-	if s == "" || len(s) > MaxKey {
-		return Key{}, fmt.Errorf("key of %d bytes: %w", len(s), ErrBadKey)
+	if s == "" || len(s) > MaxKeyBytes {
+		return Key{}, fmt.Errorf("key of %d bytes: %w", len(s), ErrInvalidKey)
 	}
 	for _, c := range []byte(s) {
 		if c <= ' ' || c > '~' {
-			return Key{}, fmt.Errorf("key %q: %w", s, ErrBadKey)
+			return Key{}, fmt.Errorf("key %q: %w", s, ErrInvalidKey)
 		}
 	}
 	if u, err := uuid.Parse(s); err == nil {
 		if u.Version() != 7 || len(s) != 36 {
-			return Key{}, fmt.Errorf("key %q is a UUID of version %d: %w", s, u.Version(), ErrBadKey)
+			return Key{}, fmt.Errorf("key %q is a UUID of version %d: %w", s, u.Version(), ErrInvalidKey)
 		}
 		millis := int64(u[0])<<40 | int64(u[1])<<32 | int64(u[2])<<24 | int64(u[3])<<16 | int64(u[4])<<8 | int64(u[5])
 		// Upper and lower case name the same UUID, so they must name the same claim.
@@ -48,7 +48,7 @@
 	millis, err := strconv.ParseUint(head, 10, 48)
 	// The number is taken in its shortest form only, so that equal keys are equal texts.
 	if !ok || token == "" || err != nil || strconv.FormatUint(millis, 10) != head {
-		return Key{}, fmt.Errorf("key %q: %w", s, ErrBadKey)
+		return Key{}, fmt.Errorf("key %q: %w", s, ErrInvalidKey)
 	}
 	return Key{Text: s, CreatedAt: time.UnixMilli(int64(millis))}, nil
 }
--- a/pkg/sageclaim/key_test.go
+++ b/pkg/sageclaim/key_test.go
@@ -27,12 +27,12 @@
 		{"f47ac10b-58cc-4372-a567-0e02b2c3d479", "", false},
 		{"{019adfac-e47b-7000-8000-000000000001}", "", false},
 		{"", "", false},
-		{"1-" + strings.Repeat("x", MaxKey), "", false},
+		{"1-" + strings.Repeat("x", MaxKeyBytes), "", false},
 	} {
 		t.Run(tt.in, func(t *testing.T) {
 			k, err := ParseKey(tt.in)
 			if !tt.ok {
-				require.ErrorIs(t, err, ErrBadKey)
+				require.ErrorIs(t, err, ErrInvalidKey)
 				return
 			}
 			require.NoError(t, err)
@@ -74,13 +74,13 @@
 	require.NoError(t, r.Check(k, created.Add(r.Retention)))
 	require.ErrorIs(t, r.Check(k, created.Add(r.Retention+1)), ErrKeyExpired)
 	require.NoError(t, r.Check(k, created.Add(-r.MaxAhead)))
-	require.ErrorIs(t, r.Check(k, created.Add(-r.MaxAhead-1)), ErrKeyAhead)
+	require.ErrorIs(t, r.Check(k, created.Add(-r.MaxAhead-1)), ErrKeyInFuture)
 }
 
 func TestObjectIsStable(t *testing.T) {
 	r := testRules()
 	k := Key{Text: "k", CreatedAt: time.UnixMilli(1_764_700_000_123)}
-	assert.Equal(t, "claims/202512021826/1764700000000-00", r.Object("haller", k))
+	assert.Equal(t, "claims/202512021826/1764700000000-00", r.ObjectKey("haller", k))
 	assert.NotEqual(t, Fingerprint("POST", "/a", []byte("b")), Fingerprint("POST", "/ab", nil))
 }
 
--- a/pkg/sageclaim/rules.go
+++ b/pkg/sageclaim/rules.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("created %s, accepted until %s: %w", k.CreatedAt.UTC().Format(time.RFC3339), r.RetainUntil(k).UTC().Format(time.RFC3339), ErrKeyExpired)
 	}
 	if k.CreatedAt.After(now.Add(r.MaxAhead)) {
-		return fmt.Errorf("created %s: %w", k.CreatedAt.UTC().Format(time.RFC3339), ErrKeyAhead)
+		return fmt.Errorf("created %s: %w", k.CreatedAt.UTC().Format(time.RFC3339), ErrKeyInFuture)
 	}
 	return nil
 }
@@ -49,18 +49,18 @@
 func (r *Rules) RetainUntil(k Key) time.Time { return k.CreatedAt.Add(r.Retention) }
 
 // BucketOf returns the start of the bucket that holds t.
-func (r *Rules) BucketOf(t time.Time) time.Time { return t.Truncate(r.Bucket) }
+func (r *Rules) BucketStart(t time.Time) time.Time { return t.Truncate(r.Bucket) }
 
 // ObjectAt returns the key of a bucket's object.
-func (r *Rules) ObjectAt(bucket time.Time, shard int) string {
+func (r *Rules) BucketObjectKey(bucket time.Time, shard int) string {
 	b := bucket.UTC()
 	return fmt.Sprintf("%s%s/%013d-%02d", Prefix, b.Format(minuteLayout), b.UnixMilli(), shard)
 }
 
 // Object returns the key of the object that holds a claim.
-func (r *Rules) Object(account string, k Key) string {
+func (r *Rules) ObjectKey(account string, k Key) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + k.Text))
-	return r.ObjectAt(r.BucketOf(k.CreatedAt), int(binary.BigEndian.Uint32(sum[:])%uint32(r.Shards)))
+	return r.BucketObjectKey(r.BucketStart(k.CreatedAt), int(binary.BigEndian.Uint32(sum[:])%uint32(r.Shards)))
 }
 
 // Fingerprint tells requests apart that bear the same key.
@@ -76,11 +76,11 @@
 func (r *Rules) MinutePrefix(t time.Time) string { return Prefix + t.UTC().Format(minuteLayout) + "/" }
 
 // BucketOfObject reads the start of the bucket from an object's key.
-func (r *Rules) BucketOfObject(object string) (time.Time, error) {
+func (r *Rules) ParseBucketStart(object string) (time.Time, error) {
 	var minute, shard int
 	var millis int64
 	if n, err := fmt.Sscanf(object, Prefix+"%d/%d-%d", &minute, &millis, &shard); err != nil || n != 3 {
-		return time.Time{}, fmt.Errorf("claim object %q: %w", object, ErrBadKey)
+		return time.Time{}, fmt.Errorf("claim object %q: %w", object, ErrInvalidKey)
 	}
 	return time.UnixMilli(millis), nil
 }
--- a/pkg/sageconfig/doc.go
+++ b/pkg/sageconfig/doc.go
@@ -1,6 +1,6 @@
 // Package sageconfig defines the configuration of the system as things, and how states of it merge.
 //
-// A [Thing] is what a change ticket can touch: a route, a data centre, an upstream, an upstream
+// A [EntryKey] is what a change ticket can touch: a route, a data centre, an upstream, an upstream
 // set, a client account, a model set or an order. A [Ticket] has a number and carries the whole
 // new state of each thing that it touches. A [State] maps each thing to the newest change it has
 // seen. Merging takes the higher ticket number for each thing; this merge is commutative,
--- a/pkg/sageconfig/domain.go
+++ b/pkg/sageconfig/domain.go
@@ -26,13 +26,13 @@
 	Idempotent bool `json:"idempotent,omitempty"`
 }
 
-// Check reports a route that can't serve, wrapped around [ErrBadState].
+// Check reports a route that can't serve, wrapped around [ErrInvalidState].
 func (r *Route) Check() error {
 	if r.Kind != RouteChat && r.Kind != RouteService {
-		return fmt.Errorf("route kind %q (want chat or service): %w", r.Kind, ErrBadState)
+		return fmt.Errorf("route kind %q (want chat or service): %w", r.Kind, ErrInvalidState)
 	}
 	if r.UpstreamSet == "" {
-		return fmt.Errorf("route without upstream_set: %w", ErrBadState)
+		return fmt.Errorf("route without upstream_set: %w", ErrInvalidState)
 	}
 	return nil
 }
@@ -70,19 +70,19 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Check reports a missing or malformed field, wrapped around [ErrBadState].
+// Check reports a missing or malformed field, wrapped around [ErrInvalidState].
 func (u *Upstream) Check() error {
 	if u.Kind != Engine && u.Kind != Application {
-		return fmt.Errorf("upstream kind %q (want engine or application): %w", u.Kind, ErrBadState)
+		return fmt.Errorf("upstream kind %q (want engine or application): %w", u.Kind, ErrInvalidState)
 	}
 	if _, _, err := net.SplitHostPort(u.Address); err != nil {
-		return fmt.Errorf("address %q (want host:port): %w", u.Address, ErrBadState)
+		return fmt.Errorf("address %q (want host:port): %w", u.Address, ErrInvalidState)
 	}
 	if u.DataCentre == "" {
-		return fmt.Errorf("upstream without data_centre: %w", ErrBadState)
+		return fmt.Errorf("upstream without data_centre: %w", ErrInvalidState)
 	}
 	if u.MaxInFlight < 1 {
-		return fmt.Errorf("max_in_flight %d (want at least 1): %w", u.MaxInFlight, ErrBadState)
+		return fmt.Errorf("max_in_flight %d (want at least 1): %w", u.MaxInFlight, ErrInvalidState)
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 	Upstreams []string `json:"upstreams"`
 }
 
-// Check reports an empty or repeated entry, wrapped around [ErrBadState].
+// Check reports an empty or repeated entry, wrapped around [ErrInvalidState].
 func (s *UpstreamSet) Check() error {
 	seen := make(map[string]bool, len(s.Upstreams))
 	for _, n := range s.Upstreams {
@@ -100,7 +100,7 @@
 			return fmt.Errorf("upstream_set: %w", err)
 		}
 		if seen[n] {
-			return fmt.Errorf("upstream %q stands twice: %w", n, ErrBadState)
+			return fmt.Errorf("upstream %q stands twice: %w", n, ErrInvalidState)
 		}
 		seen[n] = true
 	}
@@ -117,13 +117,13 @@
 	UpstreamSet string `json:"upstream_set,omitempty"`
 }
 
-// Check reports a malformed key hash or weight, wrapped around [ErrBadState].
+// Check reports a malformed key hash or weight, wrapped around [ErrInvalidState].
 func (a *ClientAccount) Check() error {
 	if len(a.KeySHA256) != 64 {
-		return fmt.Errorf("key_sha256 has %d characters (want 64): %w", len(a.KeySHA256), ErrBadState)
+		return fmt.Errorf("key_sha256 has %d characters (want 64): %w", len(a.KeySHA256), ErrInvalidState)
 	}
 	if !(a.Weight > 0) {
-		return fmt.Errorf("weight %v (want above 0): %w", a.Weight, ErrBadState)
+		return fmt.Errorf("weight %v (want above 0): %w", a.Weight, ErrInvalidState)
 	}
 	return nil
 }
@@ -133,10 +133,10 @@
 	Versions []string `json:"versions"`
 }
 
-// Check reports an empty set, wrapped around [ErrBadState].
+// Check reports an empty set, wrapped around [ErrInvalidState].
 func (m *ModelSet) Check() error {
 	if len(m.Versions) == 0 {
-		return fmt.Errorf("model_set without versions: %w", ErrBadState)
+		return fmt.Errorf("model_set without versions: %w", ErrInvalidState)
 	}
 	return nil
 }
@@ -149,10 +149,10 @@
 	Drain    bool     `json:"drain,omitempty"`
 }
 
-// Check reports an order without an upstream, wrapped around [ErrBadState].
+// Check reports an order without an upstream, wrapped around [ErrInvalidState].
 func (o *Order) Check() error {
 	if o.Upstream == "" {
-		return fmt.Errorf("order without upstream: %w", ErrBadState)
+		return fmt.Errorf("order without upstream: %w", ErrInvalidState)
 	}
 	return nil
 }
--- a/pkg/sageconfig/example_test.go
+++ b/pkg/sageconfig/example_test.go
@@ -7,9 +7,9 @@
 )
 
 func ExampleState_Apply() {
-	derby := sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "derby"}
-	out := sageconfig.Entry{Number: 8, Change: sageconfig.Change{Thing: derby, DataCentre: &sageconfig.DataCentre{}}}
-	in := sageconfig.Entry{Number: 7, Change: sageconfig.Change{Thing: derby, DataCentre: &sageconfig.DataCentre{InService: true}}}
+	derby := sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "derby"}
+	out := sageconfig.Entry{TicketNumber: 8, Change: sageconfig.Change{Key: derby, DataCentre: &sageconfig.DataCentre{}}}
+	in := sageconfig.Entry{TicketNumber: 7, Change: sageconfig.Change{Key: derby, DataCentre: &sageconfig.DataCentre{InService: true}}}
 
 	s := sageconfig.NewState()
 	fmt.Println(s.Apply(out), s.Apply(in), s.Apply(out))
--- a/pkg/sageconfig/state.go
+++ b/pkg/sageconfig/state.go
@@ -11,8 +11,8 @@
 
 // Entry is the newest change of a thing and the number of the ticket that carried it.
 type Entry struct {
-	Number uint64 `json:"number"`
-	Change Change `json:"change"`
+	TicketNumber uint64 `json:"number"`
+	Change       Change `json:"change"`
 }
 
 // stateParts is the number of maps that a state spreads its things over. A ticket copies those that
@@ -27,7 +27,7 @@
 // of them changes it.
 type statePart struct {
 	owner   *owner
-	entries map[Thing]Entry
+	entries map[EntryKey]Entry
 }
 
 // State maps each thing to its newest entry. Reading and cloning are safe for concurrent use as long
@@ -43,7 +43,7 @@
 // NewState returns an empty state.
 func NewState() *State { return new(State) }
 
-func partOf(t Thing) int {
+func partOf(t EntryKey) int {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(t.Kind))
@@ -53,7 +53,7 @@
 }
 
 // Get returns the newest entry of a thing, that of a deleted one included.
-func (s *State) Get(t Thing) (Entry, bool) {
+func (s *State) Get(t EntryKey) (Entry, bool) {
 	p := s.parts[partOf(t)]
 	if p == nil {
 		return Entry{}, false
@@ -63,17 +63,17 @@
 }
 
 // Number returns the ticket number of a thing's newest entry, 0 if it has none.
-func (s *State) Number(t Thing) uint64 {
+func (s *State) TicketNumber(t EntryKey) uint64 {
 	e, _ := s.Get(t)
-	return e.Number
+	return e.TicketNumber
 }
 
 // Len returns the number of things, deleted ones included.
 func (s *State) Len() int { return s.n }
 
 // All yields every thing with its entry, deleted ones included, in no order.
-func (s *State) All() iter.Seq2[Thing, Entry] {
-	return func(yield func(Thing, Entry) bool) {
+func (s *State) All() iter.Seq2[EntryKey, Entry] {
+	return func(yield func(EntryKey, Entry) bool) {
 		for _, p := range s.parts {
 			if p == nil {
 				continue
@@ -89,7 +89,7 @@
 
 // Apply merges one entry and reports whether it was newer than what s held.
 func (s *State) Apply(e Entry) bool {
-	t := e.Change.Thing
+	t := e.Change.Key
 	i := partOf(t)
 	p := s.parts[i]
 	var have Entry
@@ -97,7 +97,7 @@
 	if p != nil {
 		have, ok = p.entries[t]
 	}
-	if e.Number <= have.Number {
+	if e.TicketNumber <= have.TicketNumber {
 		return false
 	}
 	if !ok {
@@ -117,7 +117,7 @@
 	p := s.parts[i]
 	switch {
 	case p == nil:
-		p = &statePart{owner: s.owner, entries: make(map[Thing]Entry)}
+		p = &statePart{owner: s.owner, entries: make(map[EntryKey]Entry)}
 	case p.owner != s.owner:
 		p = &statePart{owner: s.owner, entries: maps.Clone(p.entries)}
 	}
@@ -129,7 +129,7 @@
 func (s *State) ApplyTicket(t *Ticket) int {
 	n := 0
 	for _, c := range t.Changes {
-		if s.Apply(Entry{Number: t.Number, Change: c}) {
+		if s.Apply(Entry{TicketNumber: t.Number, Change: c}) {
 			n++
 		}
 	}
@@ -168,7 +168,7 @@
 
 // live returns the change of a thing unless it is absent or deleted.
 func (s *State) live(kind Kind, name string) (Change, bool) {
-	e, ok := s.Get(Thing{Kind: kind, Name: name})
+	e, ok := s.Get(EntryKey{Kind: kind, Name: name})
 	return e.Change, ok && !e.Change.Deleted
 }
 
--- a/pkg/sageconfig/state_test.go
+++ b/pkg/sageconfig/state_test.go
@@ -27,13 +27,13 @@
 	for _, n := range rapid.SliceOfN(rapid.Uint64Range(1, 6), 0, 8).Draw(t, label) {
 		for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2).Draw(t, label) {
 			dc := &DataCentre{InService: n%2 == 0, Region: name}
-			s.Apply(Entry{Number: n, Change: Change{Thing: Thing{Kind: KindDataCentre, Name: name}, DataCentre: dc}})
+			s.Apply(Entry{TicketNumber: n, Change: Change{Key: EntryKey{Kind: KindDataCentre, Name: name}, DataCentre: dc}})
 		}
 	}
 	return s
 }
 
-func entries(s *State) map[Thing]Entry { return maps.Collect(s.All()) }
+func entries(s *State) map[EntryKey]Entry { return maps.Collect(s.All()) }
 
 func joined(ss ...*State) *State {
 	s := NewState()
@@ -52,7 +52,7 @@
 		assert.Equal(t, entries(a), entries(joined(a, a)), "idempotent")
 		ab := joined(a, b)
 		for th, e := range a.All() {
-			assert.GreaterOrEqual(t, ab.Number(th), e.Number, "never reverts")
+			assert.GreaterOrEqual(t, ab.TicketNumber(th), e.TicketNumber, "never reverts")
 		}
 	})
 }
@@ -63,9 +63,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type pair struct {
 			s    *State
-			want map[Thing]Entry
+			want map[EntryKey]Entry
 		}
-		all := []pair{{NewState(), map[Thing]Entry{}}}
+		all := []pair{{NewState(), map[EntryKey]Entry{}}}
 		n := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(all)-1).Draw(t, "state")
@@ -74,9 +74,9 @@
 				continue
 			}
 			n++
-			e := Entry{Number: n, Change: Change{Thing: Thing{Kind: KindUpstream, Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}, Deleted: true}}
+			e := Entry{TicketNumber: n, Change: Change{Key: EntryKey{Kind: KindUpstream, Name: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")}, Deleted: true}}
 			all[i].s.Apply(e)
-			all[i].want[e.Change.Thing] = e
+			all[i].want[e.Change.Key] = e
 		}
 		for _, p := range all {
 			require.Equal(t, p.want, entries(p.s))
@@ -87,17 +87,17 @@
 
 func TestNames(t *testing.T) {
 	s := NewState()
-	s.Apply(Entry{Number: 1, Change: Change{Thing: Thing{Kind: KindDataCentre, Name: "b"}, DataCentre: new(DataCentre)}})
-	s.Apply(Entry{Number: 1, Change: Change{Thing: Thing{Kind: KindDataCentre, Name: "a"}, DataCentre: new(DataCentre)}})
+	s.Apply(Entry{TicketNumber: 1, Change: Change{Key: EntryKey{Kind: KindDataCentre, Name: "b"}, DataCentre: new(DataCentre)}})
+	s.Apply(Entry{TicketNumber: 1, Change: Change{Key: EntryKey{Kind: KindDataCentre, Name: "a"}, DataCentre: new(DataCentre)}})
 	assert.Equal(t, []string{"a", "b"}, s.Names(KindDataCentre))
-	s.Apply(Entry{Number: 2, Change: Change{Thing: Thing{Kind: KindDataCentre, Name: "a"}, Deleted: true}})
+	s.Apply(Entry{TicketNumber: 2, Change: Change{Key: EntryKey{Kind: KindDataCentre, Name: "a"}, Deleted: true}})
 	assert.Equal(t, []string{"b"}, s.Names(KindDataCentre))
 	_, ok := s.DataCentre("a")
 	assert.False(t, ok)
 }
 
 func TestUnserved(t *testing.T) {
-	th := func(k Kind, n string) Thing { return Thing{Kind: k, Name: n} }
+	th := func(k Kind, n string) EntryKey { return EntryKey{Kind: k, Name: n} }
 	build := func(change func(*Upstream, *DataCentre, *UpstreamSet)) *State {
 		u := &Upstream{Kind: Engine, Address: "127.0.0.1:1", DataCentre: "derby", MaxInFlight: 1, Models: []string{"m@1"}}
 		d := &DataCentre{InService: true}
@@ -105,40 +105,40 @@
 		change(u, d, us)
 		s := NewState()
 		s.ApplyTicket(&Ticket{Number: 1, Changes: []Change{
-			{Thing: th(KindUpstream, "e1"), Upstream: u},
-			{Thing: th(KindDataCentre, "derby"), DataCentre: d},
-			{Thing: th(KindUpstreamSet, "s"), UpstreamSet: us},
-			{Thing: th(KindModelSet, "ms"), ModelSet: &ModelSet{Versions: []string{"m@1"}}},
-			{Thing: th(KindRoute, "chat"), Route: &Route{Kind: RouteChat, UpstreamSet: "s", ModelSet: "ms"}},
-			{Thing: th(KindClientAccount, "haller"), ClientAccount: &ClientAccount{UpstreamSet: "s"}},
-			{Thing: th(KindClientAccount, "other"), ClientAccount: &ClientAccount{}},
+			{Key: th(KindUpstream, "e1"), Upstream: u},
+			{Key: th(KindDataCentre, "derby"), DataCentre: d},
+			{Key: th(KindUpstreamSet, "s"), UpstreamSet: us},
+			{Key: th(KindModelSet, "ms"), ModelSet: &ModelSet{Versions: []string{"m@1"}}},
+			{Key: th(KindRoute, "chat"), Route: &Route{Kind: RouteChat, UpstreamSet: "s", ModelSet: "ms"}},
+			{Key: th(KindClientAccount, "haller"), ClientAccount: &ClientAccount{UpstreamSet: "s"}},
+			{Key: th(KindClientAccount, "other"), ClientAccount: &ClientAccount{}},
 		}})
 		return s
 	}
-	both := map[Thing]bool{th(KindRoute, "chat"): true, th(KindClientAccount, "haller"): true}
+	both := map[EntryKey]bool{th(KindRoute, "chat"): true, th(KindClientAccount, "haller"): true}
 	for _, c := range []struct {
 		name   string
 		change func(*Upstream, *DataCentre, *UpstreamSet)
-		want   map[Thing]bool
+		want   map[EntryKey]bool
 	}{
-		{"served", func(*Upstream, *DataCentre, *UpstreamSet) {}, map[Thing]bool{}},
+		{"served", func(*Upstream, *DataCentre, *UpstreamSet) {}, map[EntryKey]bool{}},
 		{"leaving", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Leaving = true }, both},
 		{"data centre out", func(_ *Upstream, d *DataCentre, _ *UpstreamSet) { d.InService = false }, both},
 		{"empty set", func(_ *Upstream, _ *DataCentre, s *UpstreamSet) { s.Upstreams = nil }, both},
 		{"application", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Kind = Application }, both},
-		{"other version", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Models = []string{"m@2"} }, map[Thing]bool{th(KindRoute, "chat"): true}},
+		{"other version", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Models = []string{"m@2"} }, map[EntryKey]bool{th(KindRoute, "chat"): true}},
 	} {
-		assert.Equal(t, c.want, build(c.change).Unserved(), c.name)
+		assert.Equal(t, c.want, build(c.change).WithoutUpstream(), c.name)
 	}
 }
 
 func TestParseThing(t *testing.T) {
-	th, err := ParseThing("data_centre/derby")
+	th, err := ParseEntryKey("data_centre/derby")
 	require.NoError(t, err)
 	assert.Equal(t, "data_centre/derby", th.String())
 	for _, bad := range []string{"", "derby", "zone/derby", "data_centre/", "data_centre/a b"} {
-		_, err := ParseThing(bad)
-		assert.ErrorIs(t, err, ErrBadThing, bad)
+		_, err := ParseEntryKey(bad)
+		assert.ErrorIs(t, err, ErrInvalidEntryKey, bad)
 	}
 }
 
@@ -146,7 +146,7 @@
 	s := NewState()
 	for i := range 34_500 {
 		name := "a" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676%26)) + string(rune('a'+i/17576))
-		s.Apply(Entry{Number: 1, Change: Change{Thing: Thing{Kind: KindClientAccount, Name: name}, ClientAccount: new(ClientAccount)}})
+		s.Apply(Entry{TicketNumber: 1, Change: Change{Key: EntryKey{Kind: KindClientAccount, Name: name}, ClientAccount: new(ClientAccount)}})
 	}
 	b.ReportMetric(float64(s.Len()), "entries")
 	b.ReportAllocs()
--- a/pkg/sageconfig/thing.go
+++ b/pkg/sageconfig/thing.go
@@ -9,9 +9,9 @@
 
 // Errors of this package; every returned error wraps one of them.
 var (
-	ErrBadThing  = errors.New("malformed thing")
-	ErrBadTicket = errors.New("malformed ticket")
-	ErrBadState  = errors.New("malformed state of a thing")
+	ErrInvalidEntryKey = errors.New("malformed thing")
+	ErrInvalidTicket   = errors.New("malformed ticket")
+	ErrInvalidState    = errors.New("malformed state of a thing")
 )
 
 // Kind is the kind of a thing that a ticket can touch.
@@ -28,24 +28,24 @@
 	KindOrder         Kind = "order"
 )
 
-// MaxName is the greatest length of a thing's name in bytes.
-const MaxName = 128
+// MaxNameBytes is the greatest length of a thing's name in bytes.
+const MaxNameBytes = 128
 
-// Thing names one unit of configuration.
-type Thing struct {
+// EntryKey names one unit of configuration.
+type EntryKey struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
 // String returns the thing as "kind/name".
-func (t Thing) String() string { return string(t.Kind) + "/" + t.Name }
+func (t EntryKey) String() string { return string(t.Kind) + "/" + t.Name }
 
-// Check reports an unknown kind or a name outside [A-Za-z0-9._-], wrapped around [ErrBadThing].
-func (t Thing) Check() error {
+// Check reports an unknown kind or a name outside [A-Za-z0-9._-], wrapped around [ErrInvalidEntryKey].
+func (t EntryKey) Check() error {
 	switch t.Kind {
 	case KindRoute, KindDataCentre, KindUpstream, KindUpstreamSet, KindClientAccount, KindModelSet, KindOrder:
 	default:
-		return fmt.Errorf("kind %q: %w", t.Kind, ErrBadThing)
+		return fmt.Errorf("kind %q: %w", t.Kind, ErrInvalidEntryKey)
 	}
 	if err := checkName(t.Name); err != nil {
 		return fmt.Errorf("%s: %w", t.Kind, err)
@@ -53,28 +53,28 @@
 	return nil
 }
 
-// ParseThing reads "kind/name".
-func ParseThing(s string) (Thing, error) {
+// ParseEntryKey reads "kind/name".
+func ParseEntryKey(s string) (EntryKey, error) {
 	kind, name, ok := strings.Cut(s, "/")
 	if !ok {
-		return Thing{}, fmt.Errorf("%q (want kind/name): %w", s, ErrBadThing)
+		return EntryKey{}, fmt.Errorf("%q (want kind/name): %w", s, ErrInvalidEntryKey)
 	}
-	t := Thing{Kind: Kind(kind), Name: name}
+	t := EntryKey{Kind: Kind(kind), Name: name}
 	if err := t.Check(); err != nil {
-		return Thing{}, fmt.Errorf("parse thing: %w", err)
+		return EntryKey{}, fmt.Errorf("parse thing: %w", err)
 	}
 	return t, nil
 }
 
 func checkName(s string) error {
-	if s == "" || len(s) > MaxName {
-		return fmt.Errorf("name of %d bytes (want 1 to %d): %w", len(s), MaxName, ErrBadThing)
+	if s == "" || len(s) > MaxNameBytes {
+		return fmt.Errorf("name of %d bytes (want 1 to %d): %w", len(s), MaxNameBytes, ErrInvalidEntryKey)
 	}
 	for _, c := range []byte(s) {
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '.', c == '_', c == '-':
 		default:
-			return fmt.Errorf("name %q holds %q (want letters, digits, '.', '_' or '-'): %w", s, c, ErrBadThing)
+			return fmt.Errorf("name %q holds %q (want letters, digits, '.', '_' or '-'): %w", s, c, ErrInvalidEntryKey)
 		}
 	}
 	return nil
--- a/pkg/sageconfig/ticket.go
+++ b/pkg/sageconfig/ticket.go
@@ -14,7 +14,7 @@
 // Change is the whole new state of one thing. Exactly the field that matches Thing.Kind is set,
 // or Deleted.
 type Change struct {
-	Thing         Thing          `json:"thing"`
+	Key           EntryKey       `json:"thing"`
 	Deleted       bool           `json:"deleted,omitempty"`
 	Route         *Route         `json:"route,omitempty"`
 	DataCentre    *DataCentre    `json:"data_centre,omitempty"`
@@ -57,22 +57,22 @@
 
 // Check reports a change whose state is missing, doubled, of another kind or malformed.
 func (c *Change) Check() error {
-	if err := c.Thing.Check(); err != nil {
+	if err := c.Key.Check(); err != nil {
 		return err
 	}
 	m := c.states()
 	if c.Deleted {
 		if len(m) != 0 {
-			return fmt.Errorf("%s is deleted and has a state: %w", c.Thing, ErrBadTicket)
+			return fmt.Errorf("%s is deleted and has a state: %w", c.Key, ErrInvalidTicket)
 		}
 		return nil
 	}
-	s, ok := m[c.Thing.Kind]
+	s, ok := m[c.Key.Kind]
 	if !ok || len(m) != 1 {
-		return fmt.Errorf("%s needs exactly the field %q: %w", c.Thing, c.Thing.Kind, ErrBadTicket)
+		return fmt.Errorf("%s needs exactly the field %q: %w", c.Key, c.Key.Kind, ErrInvalidTicket)
 	}
 	if err := s.Check(); err != nil {
-		return fmt.Errorf("%s: %w", c.Thing, err)
+		return fmt.Errorf("%s: %w", c.Key, err)
 	}
 	return nil
 }
@@ -91,21 +91,21 @@
 // malformed change.
 func (t *Ticket) Check() error {
 	if t.Number == 0 {
-		return fmt.Errorf("ticket without a number: %w", ErrBadTicket)
+		return fmt.Errorf("ticket without a number: %w", ErrInvalidTicket)
 	}
 	if len(t.Changes) == 0 {
-		return fmt.Errorf("ticket %d changes nothing: %w", t.Number, ErrBadTicket)
+		return fmt.Errorf("ticket %d changes nothing: %w", t.Number, ErrInvalidTicket)
 	}
-	seen := make(map[Thing]bool, len(t.Changes))
+	seen := make(map[EntryKey]bool, len(t.Changes))
 	for i := range t.Changes {
 		c := &t.Changes[i]
 		if err := c.Check(); err != nil {
 			return fmt.Errorf("ticket %d, changes[%d]: %w", t.Number, i, err)
 		}
-		if seen[c.Thing] {
-			return fmt.Errorf("ticket %d touches %s twice: %w", t.Number, c.Thing, ErrBadTicket)
+		if seen[c.Key] {
+			return fmt.Errorf("ticket %d touches %s twice: %w", t.Number, c.Key, ErrInvalidTicket)
 		}
-		seen[c.Thing] = true
+		seen[c.Key] = true
 	}
 	return nil
 }
@@ -125,16 +125,16 @@
 // tickets above [MaxTicketBytes] are errors.
 func DecodeTicket(b []byte) (*Ticket, error) {
 	if len(b) > MaxTicketBytes {
-		return nil, fmt.Errorf("ticket of %d bytes (at most %d): %w", len(b), MaxTicketBytes, ErrBadTicket)
+		return nil, fmt.Errorf("ticket of %d bytes (at most %d): %w", len(b), MaxTicketBytes, ErrInvalidTicket)
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	t := new(Ticket)
 	if err := d.Decode(t); err != nil {
-		return nil, fmt.Errorf("decode ticket: %v: %w", err, ErrBadTicket)
+		return nil, fmt.Errorf("decode ticket: %v: %w", err, ErrInvalidTicket)
 	}
 	if d.More() {
-		return nil, fmt.Errorf("data after the ticket: %w", ErrBadTicket)
+		return nil, fmt.Errorf("data after the ticket: %w", ErrInvalidTicket)
 	}
 	if err := t.Check(); err != nil {
 		return nil, err
--- a/pkg/sageconfig/ticket_test.go
+++ b/pkg/sageconfig/ticket_test.go
@@ -33,7 +33,7 @@
 		"huge":          `{"number":1,"reason":"` + strings.Repeat("x", MaxTicketBytes) + `"}`,
 	} {
 		_, err := DecodeTicket([]byte(bad))
-		assert.ErrorIs(t, err, ErrBadTicket, name)
+		assert.ErrorIs(t, err, ErrInvalidTicket, name)
 	}
 	for name, bad := range map[string]string{
 		"upstream":       `"kind":"upstream","name":"a"},"upstream":{"kind":"engine","address":"here","data_centre":"d","max_in_flight":1}`,
@@ -44,7 +44,7 @@
 		"route":          `"kind":"route","name":"a"},"route":{"kind":"chat"}`,
 	} {
 		_, err := DecodeTicket([]byte(`{"number":1,"changes":[{"thing":{` + bad + `}]}`))
-		assert.ErrorIs(t, err, ErrBadState, name)
+		assert.ErrorIs(t, err, ErrInvalidState, name)
 	}
 }
 
--- a/pkg/sageconfig/usable.go
+++ b/pkg/sageconfig/usable.go
@@ -10,14 +10,14 @@
 // Errors of the checks of a whole state.
 var (
 	// ErrReference: a thing names another that does not exist.
-	ErrReference = errors.New("reference to an unknown thing")
+	ErrUnknownReference = errors.New("reference to an unknown thing")
 	// ErrNoUpstream: a route or client account has no upstream that may receive work.
 	ErrNoUpstream = errors.New("left without an upstream")
 )
 
 // MayReceive reports whether the upstream of that name exists, is not leaving, and stands in a data
 // centre that is in service.
-func (s *State) MayReceive(upstream string) bool {
+func (s *State) CanReceiveWork(upstream string) bool {
 	u, ok := s.Upstream(upstream)
 	if !ok || u.Leaving {
 		return false
@@ -45,7 +45,7 @@
 		return false
 	}
 	for _, name := range us.Upstreams {
-		if !s.MayReceive(name) {
+		if !s.CanReceiveWork(name) {
 			continue
 		}
 		if u, _ := s.Upstream(name); fit(u) {
@@ -69,8 +69,8 @@
 
 // Unserved returns the routes, and the client accounts with an upstream set of their own, that have
 // no upstream that may receive work.
-func (s *State) Unserved() map[Thing]bool {
-	out := make(map[Thing]bool)
+func (s *State) WithoutUpstream() map[EntryKey]bool {
+	out := make(map[EntryKey]bool)
 	sets := make(map[string]bool)
 	for t, e := range s.All() {
 		if e.Change.Deleted {
@@ -100,11 +100,11 @@
 }
 
 // references lists the things that the state of c names.
-func (c *Change) references() []Thing {
-	var refs []Thing
+func (c *Change) references() []EntryKey {
+	var refs []EntryKey
 	add := func(k Kind, name string) {
 		if name != "" {
-			refs = append(refs, Thing{Kind: k, Name: name})
+			refs = append(refs, EntryKey{Kind: k, Name: name})
 		}
 	}
 	switch {
@@ -132,7 +132,7 @@
 		c := &t.Changes[i]
 		for _, r := range c.references() {
 			if _, ok := s.live(r.Kind, r.Name); !ok {
-				return fmt.Errorf("%s names %s: %w", c.Thing, r, ErrReference)
+				return fmt.Errorf("%s names %s: %w", c.Key, r, ErrUnknownReference)
 			}
 		}
 	}
--- a/pkg/sagesync/bench_test.go
+++ b/pkg/sagesync/bench_test.go
@@ -18,27 +18,27 @@
 func large(c *clock) *Replica {
 	s := sageconfig.NewState()
 	for i := range things {
-		s.Apply(sageconfig.Entry{Number: 1, Change: sageconfig.Change{
-			Thing:         sageconfig.Thing{Kind: sageconfig.KindClientAccount, Name: fmt.Sprintf("account-%d", i)},
+		s.Apply(sageconfig.Entry{TicketNumber: 1, Change: sageconfig.Change{
+			Key:           sageconfig.EntryKey{Kind: sageconfig.KindClientAccount, Name: fmt.Sprintf("account-%d", i)},
 			ClientAccount: &sageconfig.ClientAccount{KeySHA256: fmt.Sprintf("%x", sha256.Sum256([]byte{byte(i), byte(i >> 8)})), Weight: 1},
 		}})
 	}
 	r := &Replica{Now: c.Now}
-	r.ApplyLoaded(&sageticket.Loaded{Head: &sageticket.Head{Revision: 1, Folded: 1}, State: s}, c.now)
+	r.ApplyLoaded(&sageticket.Loaded{Head: &sageticket.Head{Revision: 1, CompactedRevision: 1}, State: s}, c.now)
 	return r
 }
 
 // benchTicket takes a data centre out or in.
 func benchTicket(i int) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: uint64(i + 2), Changes: []sageconfig.Change{{
-		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: "derby"},
+		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "derby"},
 		DataCentre: &sageconfig.DataCentre{InService: i%2 == 0},
 	}}}
 }
 
 func benchHead(revision uint64) *sageticket.Head {
 	t := benchTicket(int(revision))
-	return &sageticket.Head{Revision: revision, Folded: revision - 1, Tail: []sageticket.Record{{
+	return &sageticket.Head{Revision: revision, CompactedRevision: revision - 1, Tail: []sageticket.Record{{
 		Revision: revision, Digest: t.Digest(), AcceptedAt: start, Ticket: t,
 	}}}
 }
@@ -96,7 +96,7 @@
 // while a ticket is taken into force.
 func BenchmarkHeld(b *testing.B) {
 	c := &clock{start}
-	one, _ := large(c).Current().State.Get(sageconfig.Thing{Kind: sageconfig.KindClientAccount, Name: "account-1"})
+	one, _ := large(c).Current().State.Get(sageconfig.EntryKey{Kind: sageconfig.KindClientAccount, Name: "account-1"})
 	raw := encode(one)
 	heap := func() uint64 {
 		runtime.GC()
@@ -113,7 +113,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			e.Change.Thing.Name = fmt.Sprintf("account-%d", i)
+			e.Change.Key.Name = fmt.Sprintf("account-%d", i)
 			s.Apply(e)
 		}
 		held = float64(heap() - before)
--- a/pkg/sagesync/copy.go
+++ b/pkg/sagesync/copy.go
@@ -104,7 +104,7 @@
 // thingKey is a thing with its place in the order of a transfer.
 type thingKey struct {
 	key   string
-	thing sageconfig.Thing
+	thing sageconfig.EntryKey
 }
 
 // thingIndex holds the things of one revision in order.
@@ -142,7 +142,7 @@
 		raw := encode(e)
 		if size += len(raw) + 1; size > budget {
 			if len(ch.Entries) == 0 {
-				of := fmt.Sprintf("entry/%s/%d", keys[i].key, e.Number)
+				of := fmt.Sprintf("entry/%s/%d", keys[i].key, e.TicketNumber)
 				ch.Fragment = cutFragment(of, raw, p, budget*3/4)
 				ch.Last = keys[i].key
 				i++
--- a/pkg/sagesync/fake_test.go
+++ b/pkg/sagesync/fake_test.go
@@ -47,8 +47,8 @@
 
 func newSource() *source {
 	s := &source{log: []*sageconfig.Ticket{nil}, was: []*sageconfig.State{sageconfig.NewState()}}
-	s.a = sageticket.Acceptor{Store: &s.mem, Now: func() time.Time { return start }, Keep: 2}
-	s.a.Base = func() (uint64, *sageconfig.State) { return uint64(len(s.log) - 1), s.was[len(s.log)-1] }
+	s.a = sageticket.Acceptor{Store: &s.mem, Now: func() time.Time { return start }, KeepRecords: 2}
+	s.a.BaseState = func() (uint64, *sageconfig.State) { return uint64(len(s.log) - 1), s.was[len(s.log)-1] }
 	return s
 }
 
@@ -69,7 +69,7 @@
 	tk := &sageconfig.Ticket{Number: uint64(len(s.log)), Reason: noise(pad, uint64(len(s.log)))}
 	for i, n := range names {
 		tk.Changes = append(tk.Changes, sageconfig.Change{
-			Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: n},
+			Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: n},
 			DataCentre: &sageconfig.DataCentre{InService: true, Region: noise(pad, uint64(len(s.log)+i))},
 		})
 	}
@@ -84,7 +84,9 @@
 // at returns the state of a revision.
 func (s *source) at(revision uint64) *sageconfig.State { return s.was[revision] }
 
-func entries(s *sageconfig.State) map[sageconfig.Thing]sageconfig.Entry { return maps.Collect(s.All()) }
+func entries(s *sageconfig.State) map[sageconfig.EntryKey]sageconfig.Entry {
+	return maps.Collect(s.All())
+}
 
 // feed brings r up to date from the store, as a watcher does.
 func (s *source) feed(t require.TestingT, r *Replica, now time.Time) {
--- a/pkg/sagesync/property_test.go
+++ b/pkg/sagesync/property_test.go
@@ -62,7 +62,7 @@
 		s := n.Current()
 		require.Equal(t, entries(f.src.at(s.Revision)), entries(s.State), "node %d at revision %d", i, s.Revision)
 		for th, e := range f.seen[i].All() {
-			require.GreaterOrEqual(t, s.State.Number(th), e.Number, "%s fell at node %d", th, i)
+			require.GreaterOrEqual(t, s.State.TicketNumber(th), e.TicketNumber, "%s fell at node %d", th, i)
 		}
 		f.seen[i] = s.State
 		for k, rec := range n.tail {
@@ -112,7 +112,7 @@
 				f.now = f.now.Add(time.Second)
 				f.src.accept(t, rapid.SampledFrom([]int{0, 150, 1500}).Draw(t, "pad"), names...)
 			},
-			"fold":      func(t *rapid.T) { require.NoError(t, f.src.a.Fold(ctx)) },
+			"fold":      func(t *rapid.T) { require.NoError(t, f.src.a.Compact(ctx)) },
 			"watch":     func(t *rapid.T) { f.src.feed(t, f.nodes[f.node(t)], f.now) },
 			"digest":    digest,
 			"digest 2":  digest,
--- a/pkg/sagesync/replica.go
+++ b/pkg/sagesync/replica.go
@@ -149,7 +149,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hear(h.Revision)
-	rs, ok := h.Since(r.Current().Revision)
+	rs, ok := h.RecordsSince(r.Current().Revision)
 	if !ok {
 		return false
 	}
--- a/pkg/sagesync/wire.go
+++ b/pkg/sagesync/wire.go
@@ -107,8 +107,8 @@
 	if err := json.Unmarshal(b, &e); err != nil {
 		return e, fmt.Errorf("entry: %v: %w", err, ErrBadDelta)
 	}
-	if err := e.Change.Check(); err != nil || e.Number == 0 {
-		return e, fmt.Errorf("entry %d: %v: %w", e.Number, err, ErrBadDelta)
+	if err := e.Change.Check(); err != nil || e.TicketNumber == 0 {
+		return e, fmt.Errorf("entry %d: %v: %w", e.TicketNumber, err, ErrBadDelta)
 	}
 	return e, nil
 }
--- a/pkg/sageticket/accept.go
+++ b/pkg/sageticket/accept.go
@@ -24,11 +24,11 @@
 	Now func() time.Time
 	// Base, if set, gives a complete configuration and its revision, which must not be changed. A
 	// base that the head's tail reaches back to saves reading the shards.
-	Base func() (revision uint64, s *sageconfig.State)
+	BaseState func() (revision uint64, s *sageconfig.State)
 	// Remember bounds the past numbers that a shard remembers; 0 means DefaultRemember.
-	Remember int
+	MaxSummariesPerShard int
 	// Keep bounds the records that a fold leaves in the tail; 0 means DefaultKeep.
-	Keep int
+	KeepRecords int
 }
 
 // Accepted tells about an accepted ticket.
@@ -46,7 +46,7 @@
 	head    *Head
 	version int64
 	state   *sageconfig.State
-	past    Past
+	past    Summary
 	known   bool
 }
 
@@ -103,7 +103,7 @@
 // also settles an earlier lost update: it differs from the verdict before that update, so the head
 // has moved on without the ticket.
 func verdict(err error) bool {
-	for _, e := range []error{ErrOtherContent, ErrSuperseded, ErrTooOld, sageconfig.ErrReference, sageconfig.ErrNoUpstream} {
+	for _, e := range []error{ErrContentMismatch, ErrSuperseded, ErrTooOld, sageconfig.ErrUnknownReference, sageconfig.ErrNoUpstream} {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -117,10 +117,10 @@
 	}
 	b, err := json.Marshal(t)
 	if err != nil {
-		return fmt.Errorf("ticket %d: %v: %w", t.Number, err, sageconfig.ErrBadTicket)
+		return fmt.Errorf("ticket %d: %v: %w", t.Number, err, sageconfig.ErrInvalidTicket)
 	}
 	if len(b) > sageconfig.MaxTicketBytes {
-		return fmt.Errorf("ticket %d of %d bytes (at most %d): %w", t.Number, len(b), sageconfig.MaxTicketBytes, sageconfig.ErrBadTicket)
+		return fmt.Errorf("ticket %d of %d bytes (at most %d): %w", t.Number, len(b), sageconfig.MaxTicketBytes, sageconfig.ErrInvalidTicket)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 	}
 	if v.known {
 		if v.past.Digest != digest {
-			return Accepted{}, false, fmt.Errorf("accepted at revision %d: %w", v.past.Revision, ErrOtherContent)
+			return Accepted{}, false, fmt.Errorf("accepted at revision %d: %w", v.past.Revision, ErrContentMismatch)
 		}
 		return Accepted{
 			Number: t.Number, Digest: digest, Revision: v.past.Revision, AcceptedAt: v.past.AcceptedAt, Repeated: true,
@@ -149,7 +149,7 @@
 		return Accepted{}, false, err
 	}
 	if len(value) > maxHeadBytes {
-		if err := a.Fold(ctx); err != nil {
+		if err := a.Compact(ctx); err != nil {
 			return Accepted{}, false, fmt.Errorf("make room: %w", err)
 		}
 		return Accepted{}, false, sageobject.ErrConflict
@@ -187,7 +187,7 @@
 	}
 	v := &view{head: h, version: version, state: s}
 	if r, ok := h.Find(number); ok {
-		v.past, v.known = PastOf(r), true
+		v.past, v.known = SummaryOf(r), true
 		return v, nil
 	}
 	// Read after the head: a record that has left the tail was in its shard before.
@@ -206,14 +206,14 @@
 // that head. If it stays above, the store was put back to an old copy. A ticket accepted there would
 // get a revision that the nodes passed long ago, and would come into force nowhere.
 func (a *Acceptor) fromBase(h *Head) (s *sageconfig.State, ok bool, err error) {
-	if a.Base == nil {
+	if a.BaseState == nil {
 		return sageconfig.NewState(), h.Revision == 0, nil
 	}
-	rev, s := a.Base()
+	rev, s := a.BaseState()
 	if rev > h.Revision {
 		return nil, false, fmt.Errorf("head at revision %d, this node at %d: %w", h.Revision, rev, sageobject.ErrConflict)
 	}
-	rs, ok := h.Since(rev)
+	rs, ok := h.RecordsSince(rev)
 	if !ok {
 		return nil, false, nil
 	}
@@ -227,8 +227,8 @@
 // judge reports why a ticket whose number is not known can't be accepted.
 func judge(v *view, t *sageconfig.Ticket) error {
 	for i := range t.Changes {
-		th := t.Changes[i].Thing
-		if have := v.state.Number(th); have >= t.Number {
+		th := t.Changes[i].Key
+		if have := v.state.TicketNumber(th); have >= t.Number {
 			return fmt.Errorf("%s holds number %d: %w", th, have, ErrSuperseded)
 		}
 	}
@@ -243,8 +243,8 @@
 	if t.Force {
 		return nil
 	}
-	before := v.state.Unserved()
-	for th := range after.Unserved() {
+	before := v.state.WithoutUpstream()
+	for th := range after.WithoutUpstream() {
 		if !before[th] {
 			return fmt.Errorf("%s (send it with force to accept this): %w", th, sageconfig.ErrNoUpstream)
 		}
--- a/pkg/sageticket/accept_test.go
+++ b/pkg/sageticket/accept_test.go
@@ -29,16 +29,16 @@
 	}{
 		{"newer", ticket(9, dc("leeds", true)), nil},
 		{"same again", served(), nil},
-		{"same number, other content", other, ErrOtherContent},
-		{"same number, content of other things", ticket(1, dc("york", true)), ErrOtherContent},
+		{"same number, other content", other, ErrContentMismatch},
+		{"same number, content of other things", ticket(1, dc("york", true)), ErrContentMismatch},
 		{"one of two things is older", ticket(4, dc("leeds", true), dc("hull", true)), ErrSuperseded},
-		{"no number", ticket(0, dc("derby", true)), sageconfig.ErrBadTicket},
-		{"nothing", ticket(9), sageconfig.ErrBadTicket},
-		{"thing twice", ticket(9, dc("york", true), dc("york", false)), sageconfig.ErrBadTicket},
-		{"oversized", long, sageconfig.ErrBadTicket},
-		{"unknown data centre", ticket(9, upstream("e2", "nowhere")), sageconfig.ErrReference},
-		{"unknown upstream", ticket(9, set("s2", "e9")), sageconfig.ErrReference},
-		{"unknown set", ticket(9, route("r2", "s9")), sageconfig.ErrReference},
+		{"no number", ticket(0, dc("derby", true)), sageconfig.ErrInvalidTicket},
+		{"nothing", ticket(9), sageconfig.ErrInvalidTicket},
+		{"thing twice", ticket(9, dc("york", true), dc("york", false)), sageconfig.ErrInvalidTicket},
+		{"oversized", long, sageconfig.ErrInvalidTicket},
+		{"unknown data centre", ticket(9, upstream("e2", "nowhere")), sageconfig.ErrUnknownReference},
+		{"unknown upstream", ticket(9, set("s2", "e9")), sageconfig.ErrUnknownReference},
+		{"unknown set", ticket(9, route("r2", "s9")), sageconfig.ErrUnknownReference},
 		{"last data centre out", ticket(9, dc("derby", false)), sageconfig.ErrNoUpstream},
 		{"last data centre out, forced", forced, nil},
 	} {
@@ -47,14 +47,14 @@
 			a := &Acceptor{Store: f}
 			mustSubmit(t, a, served(), ticket(5, dc("hull", true)))
 			if folded {
-				require.NoError(t, a.Fold(ctx))
-				for n := uint64(100); n < 100+DefaultKeep+1; n++ {
+				require.NoError(t, a.Compact(ctx))
+				for n := uint64(100); n < 100+DefaultKeepRecords+1; n++ {
 					mustSubmit(t, a, ticket(n, dc("filler", true)))
 				}
-				require.NoError(t, a.Fold(ctx))
+				require.NoError(t, a.Compact(ctx))
 				h, _, err := ReadHead(ctx, f)
 				require.NoError(t, err)
-				require.Greater(t, h.First(), uint64(2), "the first tickets have left the tail")
+				require.Greater(t, h.FirstTailRevision(), uint64(2), "the first tickets have left the tail")
 			}
 			before, err := Load(ctx, f)
 			require.NoError(t, err)
@@ -123,7 +123,7 @@
 		calls := f.Calls()
 		_, err := a.Submit(ctx, ticket(2, dc("leeds", true)))
 		assert.ErrorIs(t, err, ErrNotAccepted)
-		assert.LessOrEqual(t, f.Calls()["get"]-calls["get"], int64(2*Shards), "no retries against a store that is out")
+		assert.LessOrEqual(t, f.Calls()["get"]-calls["get"], int64(2*NumShards), "no retries against a store that is out")
 		f.mend()
 		l, err := Load(ctx, f)
 		require.NoError(t, err)
@@ -152,7 +152,7 @@
 			won++
 			continue
 		}
-		assert.ErrorIs(t, err, ErrOtherContent)
+		assert.ErrorIs(t, err, ErrContentMismatch)
 	}
 	assert.Equal(t, operators/2, won)
 	l, err := Load(ctx, f)
@@ -168,7 +168,7 @@
 	mustSubmit(t, &Acceptor{Store: f}, served())
 	l, err := Load(ctx, f)
 	require.NoError(t, err)
-	a := &Acceptor{Store: f, Base: func() (uint64, *sageconfig.State) { return 7, l.State }}
+	a := &Acceptor{Store: f, BaseState: func() (uint64, *sageconfig.State) { return 7, l.State }}
 	puts := f.puts
 	_, err = a.Submit(ctx, ticket(9, dc("leeds", true)))
 	require.ErrorIs(t, err, ErrNotAccepted)
--- a/pkg/sageticket/doc.go
+++ b/pkg/sageticket/doc.go
@@ -6,7 +6,7 @@
 // meanwhile. A ticket that touches many things is therefore accepted whole or not at all, and
 // operators who race each other are put into one order.
 //
-// A fold ([Acceptor.Fold]) moves the tail into [Shards] shard objects, keyed by a hash of the thing,
+// A fold ([Acceptor.Compact]) moves the tail into [NumShards] shard objects, keyed by a hash of the thing,
 // and then shortens the tail. Shards are merged by the join of package sageconfig, so that repeated,
 // concurrent and interrupted folds converge.
 //
--- a/pkg/sageticket/errors.go
+++ b/pkg/sageticket/errors.go
@@ -6,7 +6,7 @@
 // ticket was applied and that nothing of this submission will be.
 var (
 	// ErrOtherContent: the number was accepted before with other content.
-	ErrOtherContent = errors.New("number already used with other content")
+	ErrContentMismatch = errors.New("number already used with other content")
 	// ErrSuperseded: a thing that the ticket touches holds a higher number.
 	ErrSuperseded = errors.New("superseded by a higher number")
 	// ErrTooOld: the number is below those whose content is still remembered.
@@ -18,8 +18,8 @@
 	ErrOutcomeUnknown = errors.New("outcome of the submission unknown")
 )
 
-// ErrBadObject reports a stored head or shard that contradicts itself.
-var ErrBadObject = errors.New("malformed configuration object")
+// ErrInvalidObject reports a stored head or shard that contradicts itself.
+var ErrInvalidObject = errors.New("malformed configuration object")
 
-// ErrNoTicket reports that no ticket of that number is remembered.
-var ErrNoTicket = errors.New("no such ticket")
+// ErrTicketNotFound reports that no ticket of that number is remembered.
+var ErrTicketNotFound = errors.New("no such ticket")
--- a/pkg/sageticket/fold.go
+++ b/pkg/sageticket/fold.go
@@ -15,18 +15,18 @@
 // part is what a fold brings to one shard.
 type part struct {
 	entries []sageconfig.Entry
-	past    []Past
+	past    []Summary
 }
 
 // Fold writes the tail to the shards and then shortens it in the head. A crash at any step is
 // harmless: until the head says that a record is folded, readers take it from the tail, and the
 // shards merge it again without effect. Two folds at once do the same work twice.
-func (a *Acceptor) Fold(ctx context.Context) error {
+func (a *Acceptor) Compact(ctx context.Context) error {
 	h, version, err := ReadHead(ctx, a.Store)
 	if err != nil {
 		return fmt.Errorf("fold: %w", err)
 	}
-	if h.Folded == h.Revision {
+	if h.CompactedRevision == h.Revision {
 		return nil
 	}
 	folded, floor := h.Revision, uint64(0)
@@ -52,7 +52,7 @@
 		if h, version, err = ReadHead(ctx, a.Store); err != nil {
 			return fmt.Errorf("fold: shorten tail: %w", err)
 		}
-		if h.Folded >= folded {
+		if h.CompactedRevision >= folded {
 			return nil
 		}
 	}
@@ -68,14 +68,14 @@
 		}
 		return parts[i]
 	}
-	rs, _ := h.Since(h.Folded)
+	rs, _ := h.RecordsSince(h.CompactedRevision)
 	for i := range rs {
 		r := &rs[i]
 		p := at(shardOfNumber(r.Ticket.Number))
-		p.past = append(p.past, PastOf(r))
+		p.past = append(p.past, SummaryOf(r))
 		for _, c := range r.Ticket.Changes {
-			p := at(shardOfThing(c.Thing))
-			p.entries = append(p.entries, sageconfig.Entry{Number: r.Ticket.Number, Change: c})
+			p := at(shardOfThing(c.Key))
+			p.entries = append(p.entries, sageconfig.Entry{TicketNumber: r.Ticket.Number, Change: c})
 		}
 	}
 	return parts
@@ -90,9 +90,9 @@
 	return is
 }
 
-func (a *Acceptor) remember() int { return cmp.Or(a.Remember, DefaultRemember) }
+func (a *Acceptor) remember() int { return cmp.Or(a.MaxSummariesPerShard, DefaultMaxSummariesPerShard) }
 
-func (a *Acceptor) keep() int { return cmp.Or(a.Keep, DefaultKeep) }
+func (a *Acceptor) keep() int { return cmp.Or(a.KeepRecords, DefaultKeepRecords) }
 
 // joinShard merges p into shard i, and again if another writer came between or the answer was lost.
 func (a *Acceptor) joinShard(ctx context.Context, i int, p *part, floor uint64) (next uint64, err error) {
--- a/pkg/sageticket/head.go
+++ b/pkg/sageticket/head.go
@@ -26,8 +26,8 @@
 	maxHeadBytes = 512 << 10
 )
 
-// DefaultKeep bounds the number of records that a fold leaves in the tail.
-const DefaultKeep = 32
+// DefaultKeepRecords bounds the number of records that a fold leaves in the tail.
+const DefaultKeepRecords = 32
 
 // Record is one accepted ticket.
 type Record struct {
@@ -40,13 +40,13 @@
 // Check reports a record whose ticket is missing, malformed or not the one of its digest.
 func (r *Record) Check() error {
 	if r.Revision == 0 || r.Ticket == nil {
-		return fmt.Errorf("record without revision or ticket: %w", ErrBadObject)
+		return fmt.Errorf("record without revision or ticket: %w", ErrInvalidObject)
 	}
 	if err := r.Ticket.Check(); err != nil {
 		return fmt.Errorf("record %d: %w", r.Revision, err)
 	}
 	if r.Ticket.Digest() != r.Digest {
-		return fmt.Errorf("record %d has another digest than its ticket: %w", r.Revision, ErrBadObject)
+		return fmt.Errorf("record %d has another digest than its ticket: %w", r.Revision, ErrInvalidObject)
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	// Revision counts the accepted tickets.
 	Revision uint64 `json:"revision"`
 	// Folded: every ticket up to this revision is wholly in the shards.
-	Folded uint64 `json:"folded"`
+	CompactedRevision uint64 `json:"folded"`
 	// Floor: a number up to it whose record is in neither tail nor shards is refused, because its
 	// content may have been forgotten.
 	Floor uint64 `json:"floor,omitempty"`
@@ -65,7 +65,7 @@
 }
 
 // First returns the revision of the oldest record in the tail, or Revision+1 if it is empty.
-func (h *Head) First() uint64 { return h.Revision + 1 - uint64(len(h.Tail)) }
+func (h *Head) FirstTailRevision() uint64 { return h.Revision + 1 - uint64(len(h.Tail)) }
 
 // Find returns the record of that ticket number in the tail.
 func (h *Head) Find(number uint64) (*Record, bool) {
@@ -78,24 +78,24 @@
 }
 
 // Since returns the records above revision, and false if the tail doesn't reach back to it.
-func (h *Head) Since(revision uint64) ([]Record, bool) {
+func (h *Head) RecordsSince(revision uint64) ([]Record, bool) {
 	if revision >= h.Revision {
 		return nil, true
 	}
-	if revision+1 < h.First() {
+	if revision+1 < h.FirstTailRevision() {
 		return nil, false
 	}
-	return h.Tail[revision+1-h.First():], true
+	return h.Tail[revision+1-h.FirstTailRevision():], true
 }
 
 // Check reports a head whose tail has a gap or doesn't reach back to what was folded.
 func (h *Head) Check() error {
-	if uint64(len(h.Tail)) > h.Revision || h.Folded > h.Revision || h.First() > h.Folded+1 {
-		return fmt.Errorf("head at revision %d, folded %d, tail of %d: %w", h.Revision, h.Folded, len(h.Tail), ErrBadObject)
+	if uint64(len(h.Tail)) > h.Revision || h.CompactedRevision > h.Revision || h.FirstTailRevision() > h.CompactedRevision+1 {
+		return fmt.Errorf("head at revision %d, folded %d, tail of %d: %w", h.Revision, h.CompactedRevision, len(h.Tail), ErrInvalidObject)
 	}
 	for i := range h.Tail {
-		if h.Tail[i].Revision != h.First()+uint64(i) {
-			return fmt.Errorf("head at revision %d has a gap: %w", h.Revision, ErrBadObject)
+		if h.Tail[i].Revision != h.FirstTailRevision()+uint64(i) {
+			return fmt.Errorf("head at revision %d has a gap: %w", h.Revision, ErrInvalidObject)
 		}
 		if err := h.Tail[i].Check(); err != nil {
 			return fmt.Errorf("head: %w", err)
@@ -105,8 +105,8 @@
 }
 
 // FoldDue reports whether the tail has grown enough to be folded.
-func (h *Head) FoldDue() bool {
-	return h.Revision-h.Folded >= foldTickets || tailBytes(h.Tail) > foldBytes
+func (h *Head) CompactionDue() bool {
+	return h.Revision-h.CompactedRevision >= foldTickets || tailBytes(h.Tail) > foldBytes
 }
 
 func tailBytes(tail []Record) int {
@@ -136,12 +136,12 @@
 // cut returns h after everything up to folded went to the shards, with at most tickets records of it.
 func (h *Head) cut(folded, floor uint64, tickets int) *Head {
 	n := *h
-	n.Folded = max(h.Folded, folded)
+	n.CompactedRevision = max(h.CompactedRevision, folded)
 	n.Floor = max(h.Floor, floor)
 	keep, bytes := 0, 0
 	for i := len(h.Tail) - 1; i >= 0; i-- {
 		bytes += recordBytes(&h.Tail[i])
-		if h.Tail[i].Revision <= n.Folded && (keep >= tickets || bytes > keepBytes) {
+		if h.Tail[i].Revision <= n.CompactedRevision && (keep >= tickets || bytes > keepBytes) {
 			break
 		}
 		keep++
@@ -162,7 +162,7 @@
 func DecodeHead(b []byte) (*Head, error) {
 	h := new(Head)
 	if err := json.Unmarshal(b, h); err != nil {
-		return nil, fmt.Errorf("decode head: %v: %w", err, ErrBadObject)
+		return nil, fmt.Errorf("decode head: %v: %w", err, ErrInvalidObject)
 	}
 	if err := h.Check(); err != nil {
 		return nil, fmt.Errorf("decode head: %w", err)
--- a/pkg/sageticket/load.go
+++ b/pkg/sageticket/load.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("load: %w", err)
 		}
-		if v2 == v || after.First() <= h.Revision+1 {
+		if v2 == v || after.FirstTailRevision() <= h.Revision+1 {
 			applyTail(s, h.Tail)
 			applyTail(s, after.Tail)
 			return &Loaded{Head: after, Version: v2, State: s}, nil
@@ -65,10 +65,10 @@
 }
 
 func loadShards(ctx context.Context, st sageobject.Store) (*sageconfig.State, error) {
-	var shards [Shards]*Shard
+	var shards [NumShards]*Shard
 	g, gctx := errgroup.WithContext(ctx)
 	g.SetLimit(loadAtOnce)
-	for i := range Shards {
+	for i := range NumShards {
 		g.Go(func() error {
 			sh, _, err := readShard(gctx, st, i)
 			shards[i] = sh
--- a/pkg/sageticket/property_test.go
+++ b/pkg/sageticket/property_test.go
@@ -33,9 +33,9 @@
 }
 
 func (m *machine) acceptor(t *rapid.T) *Acceptor {
-	a := &Acceptor{Store: m.f, Remember: 1, Keep: rapid.IntRange(1, 3).Draw(t, "keep")}
+	a := &Acceptor{Store: m.f, MaxSummariesPerShard: 1, KeepRecords: rapid.IntRange(1, 3).Draw(t, "keep")}
 	if base := m.base; base != nil && rapid.Bool().Draw(t, "base") {
-		a.Base = func() (uint64, *sageconfig.State) { return base.Head.Revision, base.State }
+		a.BaseState = func() (uint64, *sageconfig.State) { return base.Head.Revision, base.State }
 	}
 	return a
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-func (m *machine) fold(t *rapid.T) { _ = m.acceptor(t).Fold(ctx) }
+func (m *machine) fold(t *rapid.T) { _ = m.acceptor(t).Compact(ctx) }
 
 // between lets another operator act right before the next put of the step.
 func (m *machine) between(t *rapid.T, act func(*rapid.T)) {
@@ -119,7 +119,7 @@
 		require.Equal(t, d, contents[tk.Number], "ticket %d was called accepted", tk.Number)
 	}
 	for th, e := range m.last.All() {
-		require.GreaterOrEqual(t, l.State.Number(th), e.Number, "%s fell", th)
+		require.GreaterOrEqual(t, l.State.TicketNumber(th), e.TicketNumber, "%s fell", th)
 	}
 	m.last = l.State
 }
@@ -170,12 +170,12 @@
 		"folded meanwhile":              {append([]*sageconfig.Ticket{wide}, filler...), nil},
 	} {
 		mem := new(sageobject.Memory)
-		a := &Acceptor{Store: mem, Keep: 1}
+		a := &Acceptor{Store: mem, KeepRecords: 1}
 		mustSubmit(t, a, ticket(1, dc("a", true), dc("b", true)))
 		mustSubmit(t, a, c.first...)
-		st := &interposed{Memory: mem, at: 1 + Shards/2, act: func() {
+		st := &interposed{Memory: mem, at: 1 + NumShards/2, act: func() {
 			mustSubmit(t, a, c.during...)
-			require.NoError(t, a.Fold(ctx))
+			require.NoError(t, a.Compact(ctx))
 		}}
 		l, err := Load(ctx, st)
 		require.NoError(t, err, name)
@@ -197,16 +197,16 @@
 	forgot := false
 	for crash := range 8 {
 		f := newFaults()
-		a := &Acceptor{Store: f, Keep: 1, Remember: 2}
+		a := &Acceptor{Store: f, KeepRecords: 1, MaxSummariesPerShard: 2}
 		for i, n := range same {
 			mustSubmit(t, a, ticket(n, dc(fmt.Sprintf("dc%d", i), true)))
 			if crash > 0 {
 				f.crash = f.puts + crash
 			}
-			_ = a.Fold(ctx)
+			_ = a.Compact(ctx)
 			f.mend()
 			_, err := a.Submit(ctx, ticket(same[0], dc("other", true)))
-			require.True(t, errors.Is(err, ErrOtherContent) || errors.Is(err, ErrTooOld), "crash at put %d: %v", crash, err)
+			require.True(t, errors.Is(err, ErrContentMismatch) || errors.Is(err, ErrTooOld), "crash at put %d: %v", crash, err)
 			forgot = forgot || errors.Is(err, ErrTooOld)
 		}
 	}
--- a/pkg/sageticket/shard.go
+++ b/pkg/sageticket/shard.go
@@ -15,12 +15,12 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// Shards is the number of shard objects. It is part of the stored format.
-const Shards = 64
+// NumShards is the number of shard objects. It is part of the stored format.
+const NumShards = 64
 
-// DefaultRemember bounds the remembered numbers of a shard: about 16,000 over all shards, a week of
+// DefaultMaxSummariesPerShard bounds the remembered numbers of a shard: about 16,000 over all shards, a week of
 // the 2,100 tickets a day that the design is for.
-const DefaultRemember = 256
+const DefaultMaxSummariesPerShard = 256
 
 // maxPastText bounds the author and the reason of a remembered ticket in bytes.
 const maxPastText = 120
@@ -29,28 +29,28 @@
 func ShardKey(i int) string { return fmt.Sprintf("config/shard/%02x", i) }
 
 // shardOfThing and shardOfNumber say where an entry and a remembered number are kept.
-func shardOfThing(t sageconfig.Thing) int { return int(xxhash.Sum64String(t.String()) % Shards) }
+func shardOfThing(t sageconfig.EntryKey) int { return int(xxhash.Sum64String(t.String()) % NumShards) }
 
 func shardOfNumber(number uint64) int {
-	return int(xxhash.Sum64(binary.BigEndian.AppendUint64(nil, number)) % Shards)
+	return int(xxhash.Sum64(binary.BigEndian.AppendUint64(nil, number)) % NumShards)
 }
 
-// Past is what is remembered of an accepted ticket after its record left the tail.
-type Past struct {
-	Number     uint64    `json:"number"`
-	Digest     string    `json:"digest"`
-	Revision   uint64    `json:"revision"`
-	AcceptedAt time.Time `json:"accepted_at"`
-	Author     string    `json:"author,omitempty"`
-	Reason     string    `json:"reason,omitempty"`
-	Things     int       `json:"things"`
+// Summary is what is remembered of an accepted ticket after its record left the tail.
+type Summary struct {
+	Number      uint64    `json:"number"`
+	Digest      string    `json:"digest"`
+	Revision    uint64    `json:"revision"`
+	AcceptedAt  time.Time `json:"accepted_at"`
+	Author      string    `json:"author,omitempty"`
+	Reason      string    `json:"reason,omitempty"`
+	ChangeCount int       `json:"things"`
 }
 
-// PastOf returns what is remembered of r.
-func PastOf(r *Record) Past {
-	return Past{
+// SummaryOf returns what is remembered of r.
+func SummaryOf(r *Record) Summary {
+	return Summary{
 		Number: r.Ticket.Number, Digest: r.Digest, Revision: r.Revision, AcceptedAt: r.AcceptedAt,
-		Author: clip(r.Ticket.Author), Reason: clip(r.Ticket.Reason), Things: len(r.Ticket.Changes),
+		Author: clip(r.Ticket.Author), Reason: clip(r.Ticket.Reason), ChangeCount: len(r.Ticket.Changes),
 	}
 }
 
@@ -63,8 +63,8 @@
 
 // Shard is the value of one shard object: folded entries and remembered numbers, both ordered.
 type Shard struct {
-	Entries []sageconfig.Entry `json:"entries"`
-	Past    []Past             `json:"past"`
+	Entries   []sageconfig.Entry `json:"entries"`
+	Summaries []Summary          `json:"past"`
 }
 
 // Check reports a malformed entry.
@@ -77,13 +77,13 @@
 	return nil
 }
 
-func (s *Shard) find(number uint64) (Past, bool) {
-	for _, p := range s.Past {
+func (s *Shard) find(number uint64) (Summary, bool) {
+	for _, p := range s.Summaries {
 		if p.Number == number {
 			return p, true
 		}
 	}
-	return Past{}, false
+	return Summary{}, false
 }
 
 // join merges entries and remembered numbers into s, forgets numbers up to floor, and reports
@@ -92,7 +92,7 @@
 // Numbers are forgotten in two steps, first the floor in the head, then the numbers, since the
 // other order lets a crash between the two forget a number that no floor covers: the same number
 // could then be accepted with other content.
-func (s *Shard) join(entries []sageconfig.Entry, past []Past, floor uint64) bool {
+func (s *Shard) join(entries []sageconfig.Entry, past []Summary, floor uint64) bool {
 	changed := false
 	st := sageconfig.NewState()
 	for _, e := range s.Entries {
@@ -103,7 +103,7 @@
 	}
 	for _, p := range past {
 		if _, ok := s.find(p.Number); !ok {
-			s.Past = append(s.Past, p)
+			s.Summaries = append(s.Summaries, p)
 			changed = true
 		}
 	}
@@ -115,26 +115,26 @@
 		s.Entries = append(s.Entries, e)
 	}
 	sort.Slice(s.Entries, func(i, j int) bool {
-		return s.Entries[i].Change.Thing.String() < s.Entries[j].Change.Thing.String()
+		return s.Entries[i].Change.Key.String() < s.Entries[j].Change.Key.String()
 	})
-	kept := s.Past[:0]
-	for _, p := range s.Past {
+	kept := s.Summaries[:0]
+	for _, p := range s.Summaries {
 		if p.Number > floor {
 			kept = append(kept, p)
 		}
 	}
-	s.Past = kept
-	sort.Slice(s.Past, func(i, j int) bool { return s.Past[i].Number < s.Past[j].Number })
+	s.Summaries = kept
+	sort.Slice(s.Summaries, func(i, j int) bool { return s.Summaries[i].Number < s.Summaries[j].Number })
 	return true
 }
 
 // nextFloor returns the floor that the head must have so that the next join forgets what exceeds the
 // bound.
 func (s *Shard) nextFloor(remember int) uint64 {
-	if len(s.Past) <= remember {
+	if len(s.Summaries) <= remember {
 		return 0
 	}
-	return s.Past[len(s.Past)-remember-1].Number
+	return s.Summaries[len(s.Summaries)-remember-1].Number
 }
 
 func readShard(ctx context.Context, st sageobject.Store, i int) (*Shard, int64, error) {
@@ -147,7 +147,7 @@
 	}
 	s := new(Shard)
 	if err := json.Unmarshal(o.Value, s); err != nil {
-		return nil, 0, fmt.Errorf("read shard %02x: %v: %w", i, err, ErrBadObject)
+		return nil, 0, fmt.Errorf("read shard %02x: %v: %w", i, err, ErrInvalidObject)
 	}
 	if err := s.Check(); err != nil {
 		return nil, 0, fmt.Errorf("read shard %02x: %w", i, err)
--- a/pkg/sageticket/store_test.go
+++ b/pkg/sageticket/store_test.go
@@ -74,14 +74,14 @@
 
 func dc(name string, in bool) sageconfig.Change {
 	return sageconfig.Change{
-		Thing:      sageconfig.Thing{Kind: sageconfig.KindDataCentre, Name: name},
+		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: name},
 		DataCentre: &sageconfig.DataCentre{InService: in},
 	}
 }
 
 func upstream(name, dcName string) sageconfig.Change {
 	return sageconfig.Change{
-		Thing: sageconfig.Thing{Kind: sageconfig.KindUpstream, Name: name},
+		Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: name},
 		Upstream: &sageconfig.Upstream{
 			Kind: sageconfig.Engine, Address: "127.0.0.1:1", DataCentre: dcName, MaxInFlight: 1,
 		},
@@ -90,14 +90,14 @@
 
 func set(name string, ups ...string) sageconfig.Change {
 	return sageconfig.Change{
-		Thing:       sageconfig.Thing{Kind: sageconfig.KindUpstreamSet, Name: name},
+		Key:         sageconfig.EntryKey{Kind: sageconfig.KindUpstreamSet, Name: name},
 		UpstreamSet: &sageconfig.UpstreamSet{Upstreams: ups},
 	}
 }
 
 func route(name, setName string) sageconfig.Change {
 	return sageconfig.Change{
-		Thing: sageconfig.Thing{Kind: sageconfig.KindRoute, Name: name},
+		Key:   sageconfig.EntryKey{Kind: sageconfig.KindRoute, Name: name},
 		Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: setName},
 	}
 }
