--- a/internal/sageadmission/service.go
+++ b/internal/sageadmission/service.go
@@ -34,8 +34,8 @@
 	Config sageentry.Config
 	Load   Load
 	// InFlight bounds the requests in flight of each upstream set, Queued those that wait.
-	InFlight int
-	Queued   int
+	MaxInFlight int
+	MaxQueued   int
 
 	mu    sync.Mutex
 	pools map[string]*pool
@@ -82,7 +82,7 @@
 // refresh sets the slots of a pool to the units held now.
 func (s *Service) refresh(now time.Time, p *pool) {
 	p.read = now
-	p.slots = min(s.Load.Slots(p.upstreams, len(p.waiting)), s.InFlight)
+	p.slots = min(s.Load.Slots(p.upstreams, len(p.waiting)), s.MaxInFlight)
 	if p.slots > 0 {
 		p.lacking = time.Time{}
 	} else if p.lacking.IsZero() {
@@ -187,7 +187,7 @@
 	p := s.pools[set]
 	if p == nil {
 		p = &pool{waiting: make(map[*sagefair.Item]chan struct{}), lacking: now}
-		p.MaxQueue = s.Queued
+		p.MaxQueue = s.MaxQueued
 		s.pools[set] = p
 	}
 	p.upstreams, p.used = upstreams, now
@@ -249,7 +249,7 @@
 
 // Export adds the number of waiting requests by class to a set of metrics.
 func (s *Service) Export(set *metrics.Set) {
-	for c := range sagewire.Priority(sagewire.Priorities) {
+	for c := range sagewire.Priority(sagewire.NumPriorities) {
 		set.NewGauge(fmt.Sprintf("sagestand_queued{priority=%q}", c), func() float64 {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/sageadmission/service_test.go
+++ b/internal/sageadmission/service_test.go
@@ -32,7 +32,7 @@
 		{Key: sageconfig.EntryKey{Kind: sageconfig.KindRoute, Name: "assist"}, Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: "engines"}},
 		{Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstreamSet, Name: "engines"}, UpstreamSet: &sageconfig.UpstreamSet{Upstreams: []string{"e1"}}},
 	}})
-	return &Service{Config: f, Load: f, InFlight: 100, Queued: 100}, f
+	return &Service{Config: f, Load: f, MaxInFlight: 100, MaxQueued: 100}, f
 }
 
 func request(account string) *sageentry.Request {
@@ -41,7 +41,7 @@
 
 // Story: callers of a node that has just started are refused although it gets its first units
 // seconds later, and those that wait in the queue are never told that slots came.
-func TestWaitsForFirstUnitsAndForMore(t *testing.T) {
+func TestWaitsForUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newService(0)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestCallerThatLeavesTheQueue(t *testing.T) {
+func TestCallerLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newService(1)
 		release, ref := s.Admit(t.Context(), request("a"))
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestUnknownRouteIsLeftToPlacement(t *testing.T) {
+func TestUnknownRouteIsAdmitted(t *testing.T) {
 	s, _ := newService(0)
 	r := request("a")
 	r.Route = "none"
--- a/internal/sageadmission/units_test.go
+++ b/internal/sageadmission/units_test.go
@@ -13,7 +13,7 @@
 // A set has units; then the router that grants them dies, and until its successor may grant, there
 // are none. A caller was refused "overloaded" at once, though nothing was in flight; seen when a trace
 // was replayed while homes changed. It must wait for the successor, but not without end.
-func TestUnitsThatVanishForAWhile(t *testing.T) {
+func TestTemporaryLossOfUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newService(1)
 		release, ref := s.Admit(t.Context(), request("a"))
--- a/internal/sageburnd/service.go
+++ b/internal/sageburnd/service.go
@@ -32,11 +32,11 @@
 	Client *sagepeer.Client
 
 	once sync.Once
-	book *sageburn.Book
+	book *sageburn.Tracker
 }
 
-func (s *Service) counts() *sageburn.Book {
-	s.once.Do(func() { s.book = &sageburn.Book{Objectives: s.Objectives} })
+func (s *Service) counts() *sageburn.Tracker {
+	s.once.Do(func() { s.book = &sageburn.Tracker{Objectives: s.Objectives} })
 	return s.book
 }
 
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -74,7 +74,7 @@
 func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
 	s.init()
 	now := time.Now()
-	key, err := sageclaim.ParseKey(r.Key)
+	key, err := sageclaim.ParseKey(r.IdempotencyKey)
 	if err != nil {
 		return nil, nil, sagewire.Refuse(sagewire.ReasonBadRequest, err.Error(), time.Time{})
 	}
@@ -134,7 +134,7 @@
 		return nil, nil, s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
 	}
 	s.outcomes["granted"].Inc()
-	return &sageentry.Claim{ID: h.entry.ClaimID, Key: h.entry.Key, Token: h}, nil, nil
+	return &sageentry.Claim{ID: h.entry.ClaimID, IdempotencyKey: h.entry.Key, Token: h}, nil, nil
 }
 
 // judge says why another claim's record refuses this one; nil means that it is in flight.
--- a/internal/sageclaims/service_test.go
+++ b/internal/sageclaims/service_test.go
@@ -122,7 +122,7 @@
 func request(key, body string) *sageentry.Request {
 	nextID++
 	return &sageentry.Request{
-		ID: fmt.Sprint("r", nextID), Account: "haller", Key: key, Method: http.MethodPost, Path: "/bookings",
+		ID: fmt.Sprint("r", nextID), Account: "haller", IdempotencyKey: key, Method: http.MethodPost, Path: "/bookings",
 		Body: []byte(body), Deadline: time.Now().Add(10 * time.Second),
 	}
 }
@@ -293,7 +293,7 @@
 		require.NotNil(t, ref)
 		assert.Equal(t, sagewire.NotRun, ref.Outcome)
 		time.Sleep(5 * time.Second)
-		c, _, ref := f.nodes[0].Claim(t.Context(), request(r.Key, "b"))
+		c, _, ref := f.nodes[0].Claim(t.Context(), request(r.IdempotencyKey, "b"))
 		require.Nil(t, ref)
 		assert.NotNil(t, c)
 	})
@@ -307,7 +307,7 @@
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
 		require.Nil(t, ref)
 		time.Sleep(11 * time.Second)
-		_, _, ref = f.nodes[1].Claim(t.Context(), request(r.Key, "b"))
+		_, _, ref = f.nodes[1].Claim(t.Context(), request(r.IdempotencyKey, "b"))
 		require.NotNil(t, ref)
 		assert.Equal(t, sagewire.AlreadyRun, ref.Outcome)
 		assert.Equal(t, sagewire.ReasonAnswerLost, ref.Reason)
@@ -316,14 +316,14 @@
 		list, err := f.nodes[1].Unknown(t.Context())
 		require.NoError(t, err)
 		require.Len(t, list, 1)
-		assert.Equal(t, r.Key, list[0].Key)
-		rec, err := f.nodes[1].Settle(t.Context(), &Settlement{Account: "haller", Key: r.Key, ClaimID: r.ID, Outcome: sagewire.NotRun})
+		assert.Equal(t, r.IdempotencyKey, list[0].Key)
+		rec, err := f.nodes[1].Settle(t.Context(), &Settlement{Account: "haller", Key: r.IdempotencyKey, ClaimID: r.ID, Outcome: sagewire.NotRun})
 		require.NoError(t, err)
 		assert.Equal(t, sageclaim.StateReleased, rec.State)
 		list, err = f.nodes[0].Unknown(t.Context())
 		require.NoError(t, err)
 		assert.Empty(t, list)
-		c, _, ref := f.nodes[0].Claim(t.Context(), request(r.Key, "b"))
+		c, _, ref := f.nodes[0].Claim(t.Context(), request(r.IdempotencyKey, "b"))
 		require.Nil(t, ref)
 		assert.NotNil(t, c)
 	})
@@ -392,16 +392,16 @@
 		}
 		code, body := call(http.MethodGet, "")
 		assert.Equal(t, http.StatusOK, code)
-		assert.Contains(t, body, r.Key)
-		set := fmt.Sprintf(`{"account":"haller","key":%q,"claim_id":%q,"outcome":"%%s"}`, r.Key, r.ID)
-		for _, bad := range []string{"{", fmt.Sprintf(set, "unknown"), strings.Replace(fmt.Sprintf(set, "not_run"), r.ID, "other", 1), strings.Replace(fmt.Sprintf(set, "not_run"), r.Key, "1-x", 1)} {
+		assert.Contains(t, body, r.IdempotencyKey)
+		set := fmt.Sprintf(`{"account":"haller","key":%q,"claim_id":%q,"outcome":"%%s"}`, r.IdempotencyKey, r.ID)
+		for _, bad := range []string{"{", fmt.Sprintf(set, "unknown"), strings.Replace(fmt.Sprintf(set, "not_run"), r.ID, "other", 1), strings.Replace(fmt.Sprintf(set, "not_run"), r.IdempotencyKey, "1-x", 1)} {
 			code, body = call(http.MethodPost, bad)
 			assert.Equal(t, http.StatusBadRequest, code, "%s: %s", bad, body)
 		}
 		code, body = call(http.MethodPost, fmt.Sprintf(set, "complete"))
 		assert.Equal(t, http.StatusOK, code, body)
 		_, body = call(http.MethodGet, "")
-		assert.NotContains(t, body, r.Key)
+		assert.NotContains(t, body, r.IdempotencyKey)
 		f.setDown(true)
 		code, _ = call(http.MethodGet, "")
 		assert.Equal(t, http.StatusServiceUnavailable, code)
@@ -418,28 +418,28 @@
 		r := request(keyNow("a"), "b")
 		_, _, ref := n.Claim(t.Context(), r)
 		require.Nil(t, ref)
-		key, err := sageclaim.ParseKey(r.Key)
+		key, err := sageclaim.ParseKey(r.IdempotencyKey)
 		require.NoError(t, err)
 		object := n.Rules.ObjectKey(r.Account, key)
 		entry := func(op sageclaim.Op, id string) sageclaim.Entry {
-			return sageclaim.Entry{Op: op, Account: r.Account, Key: r.Key, ClaimID: id, Fingerprint: "f", Deadline: time.Now().Add(time.Minute)}
+			return sageclaim.Entry{Op: op, Account: r.Account, Key: r.IdempotencyKey, ClaimID: id, Fingerprint: "f", Deadline: time.Now().Add(time.Minute)}
 		}
 		finish := entry(sageclaim.OpFinish, r.ID)
 		finish.Outcome, finish.Status = sagewire.Complete, 201
 		_, err = other.Commit(t.Context(), object, finish)
 		require.NoError(t, err)
 		time.Sleep(time.Until(r.Deadline) + time.Second)
-		_, _, ref = n.Claim(t.Context(), request(r.Key, "b"))
+		_, _, ref = n.Claim(t.Context(), request(r.IdempotencyKey, "b"))
 		require.NotNil(t, ref)
 		assert.Equal(t, sagewire.ReasonKeyInUse, ref.Reason, "it ran; its outcome is known")
 
 		second := request(keyNow("b"), "b")
 		_, _, ref = n.Claim(t.Context(), second)
 		require.Nil(t, ref)
-		key, err = sageclaim.ParseKey(second.Key)
+		key, err = sageclaim.ParseKey(second.IdempotencyKey)
 		require.NoError(t, err)
 		object = n.Rules.ObjectKey(r.Account, key)
-		r.Key = second.Key
+		r.IdempotencyKey = second.IdempotencyKey
 		for _, e := range []sageclaim.Entry{entry(sageclaim.OpRelease, second.ID), entry(sageclaim.OpClaim, "x")} {
 			_, err = other.Commit(t.Context(), object, e)
 			require.NoError(t, err)
@@ -449,7 +449,7 @@
 		require.NoError(t, err)
 		book, err := sageclaim.DecodeClaimLog(o.Value)
 		require.NoError(t, err)
-		rec, _ := book.Record(r.Account, r.Key)
+		rec, _ := book.Record(r.Account, r.IdempotencyKey)
 		assert.Equal(t, sageclaim.StateReleased, rec.State)
 	})
 }
--- a/internal/sageentry/decode.go
+++ b/internal/sageentry/decode.go
@@ -35,9 +35,9 @@
 	req.ID = uuid.NewString()
 	req.ArrivedAt = time.Now()
 	req.Method, req.Path, req.Header = r.Method, r.URL.RequestURI(), passedHeader(h)
-	req.Key, req.ChatID, req.Context = h.Get(sagewire.HeaderIdempotencyKey), h.Get(sagewire.HeaderChat), h.Get(sagewire.HeaderContext)
-	req.Token = h.Get(sagewire.HeaderPlacement)
-	for _, tag := range []string{req.Key, req.ChatID, req.Context} {
+	req.IdempotencyKey, req.ChatID, req.Context = h.Get(sagewire.HeaderIdempotencyKey), h.Get(sagewire.HeaderChat), h.Get(sagewire.HeaderContext)
+	req.PlacementToken = h.Get(sagewire.HeaderPlacement)
+	for _, tag := range []string{req.IdempotencyKey, req.ChatID, req.Context} {
 		if len(tag) > maxTag {
 			return sagewire.Refuse(sagewire.ReasonBadRequest, fmt.Sprintf("a header naming a key, chat or context has %d bytes, at most %d", len(tag), maxTag), time.Time{})
 		}
@@ -106,7 +106,7 @@
 		return sagewire.Refuse(sagewire.ReasonBadRequest, "a chat needs model and messages", time.Time{})
 	}
 	req.Route, req.Kind, req.Stream = c.Model, sageconfig.RouteChat, c.Stream
-	req.Idempotent = req.Key == ""
+	req.Idempotent = req.IdempotencyKey == ""
 	if req.Context == "" {
 		req.Context = tag(c.Messages[:1])
 	}
--- a/internal/sageentry/handler_test.go
+++ b/internal/sageentry/handler_test.go
@@ -38,7 +38,7 @@
 func (f *fakeSteps) State() *sageconfig.State                  { return f.state }
 func (f *fakeSteps) Revision() uint64                          { return 1 }
 func (f *fakeSteps) Serving(time.Time, bool) *sagewire.Refusal { return f.serving }
-func (f *fakeSteps) First(time.Time)                           {}
+func (f *fakeSteps) RecordFirstAttempt(time.Time)              {}
 func (f *fakeSteps) Allow(now time.Time, _ *Request, _ []string, _ bool) (time.Time, bool) {
 	return now, true
 }
@@ -68,7 +68,7 @@
 		return nil, sagewire.Refuse(sagewire.ReasonNoUpstream, "none left", time.Now().Add(time.Second))
 	}
 	name := string(rune('a' + len(tried)))
-	return &Pick{Upstream: name, Address: name, Done: func(*sagedispatch.Result) { f.done++ }}, nil
+	return &Pick{Upstream: name, Address: name, Release: func(*sagedispatch.Result) { f.done++ }}, nil
 }
 
 func (f *fakeSteps) Do(_ context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
@@ -111,7 +111,7 @@
 
 const chatBodyText = `{"model":"assist","messages":[{"role":"user","content":"hi"}]}`
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	tests := []struct {
 		name, method, path, body string
 		header                   []string
@@ -145,7 +145,7 @@
 }
 
 // Staff repeat a booking without a key after an unknown outcome: the refusal says what that may do.
-func TestUnknownWithoutKeySaysSo(t *testing.T) {
+func TestUnknownWithoutKeyWarnsOfRepeat(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		f := &fakeSteps{results: []sagedispatch.Result{{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}}}
 		w := call(testService(f), "POST", "/v1/services/orders/x", "", sagewire.HeaderIdempotencyKey, key)
@@ -214,7 +214,7 @@
 	assert.Empty(t, f.attempts)
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalSetsRetryAfter(t *testing.T) {
 	f := &fakeSteps{serving: sagewire.Refuse(sagewire.ReasonStale, "cut off", time.Now().Add(1500*time.Millisecond))}
 	w := call(testService(f), "POST", "/v1/chat/completions", chatBodyText)
 	assert.Equal(t, 503, w.Code)
--- a/internal/sageentry/serve.go
+++ b/internal/sageentry/serve.go
@@ -95,7 +95,7 @@
 
 // claim claims the key of a request that must not run twice.
 func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
-	if req.Idempotent || req.Key == "" {
+	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil, nil
 	}
 	return s.Claims.Claim(ctx, req)
@@ -115,7 +115,7 @@
 func (s *Service) attempts(ctx context.Context, w http.ResponseWriter, req *Request) (res sagedispatch.Result, pick *Pick, n int) {
 	var tried []string
 	var lost *sagedispatch.Result
-	s.Retries.First(time.Now())
+	s.Retries.RecordFirstAttempt(time.Now())
 	for {
 		p, ref := s.Placement.Pick(ctx, req, tried)
 		if ref != nil {
@@ -123,12 +123,12 @@
 		}
 		n++
 		pick = p
-		if p.Token != "" {
-			w.Header().Set(sagewire.HeaderPlacement, p.Token)
+		if p.PlacementToken != "" {
+			w.Header().Set(sagewire.HeaderPlacement, p.PlacementToken)
 		}
 		w.Header().Set(sagewire.HeaderUpstream, p.Upstream)
 		res = s.Dispatch.Do(ctx, w, attempt(req, p, n))
-		p.Done(&res)
+		p.Release(&res)
 		tried = append(tried, p.Upstream)
 		if !s.again(ctx, req, &res, tried) {
 			return truthful(res, lost), pick, n
@@ -198,7 +198,7 @@
 		Body:      req.Body,
 		Deadline:  req.Deadline,
 		Priority:  req.Priority,
-		Key:       req.Key,
+		Key:       req.IdempotencyKey,
 		Once:      !req.Idempotent,
 		Stream:    req.Stream,
 		Engine:    p.Engine,
@@ -209,7 +209,7 @@
 func (s *Service) end(w http.ResponseWriter, req *Request, res *sagedispatch.Result, pick *Pick, attempts int) {
 	if res.Outcome != sagewire.Complete && !res.Started {
 		ref := res.Refusal(req.ID)
-		if ref.Outcome == sagewire.Unknown && !req.Idempotent && req.Key == "" {
+		if ref.Outcome == sagewire.Unknown && !req.Idempotent && req.IdempotencyKey == "" {
 			ref.Detail += "; it was sent once and has no " + sagewire.HeaderIdempotencyKey + ", so sending it again may run it twice"
 		}
 		if attempts > 0 && ref.RetryAt.IsZero() && ref.Outcome == sagewire.NotRun {
--- a/internal/sageentry/steps.go
+++ b/internal/sageentry/steps.go
@@ -20,19 +20,19 @@
 	// Idempotent says that the request may be sent to an upstream more than once.
 	Idempotent bool
 	// Key is the caller's idempotency key; empty if it gave none.
-	Key string
+	IdempotencyKey string
 	// ChatID and Context name the returning chat and the context it shares with others.
 	ChatID  string
 	Context string
 	// Token is the placement token that the caller brought.
-	Token    string
-	Priority sagewire.Priority
-	Deadline time.Time
-	Method   string
-	Path     string
-	Header   http.Header
-	Body     []byte
-	Stream   bool
+	PlacementToken string
+	Priority       sagewire.Priority
+	Deadline       time.Time
+	Method         string
+	Path           string
+	Header         http.Header
+	Body           []byte
+	Stream         bool
 	// ArrivedAt is when the headers had been read.
 	ArrivedAt time.Time
 }
@@ -54,8 +54,8 @@
 
 // Claim is the right to run the request of an idempotency key.
 type Claim struct {
-	ID  string
-	Key string
+	ID             string
+	IdempotencyKey string
 	// Token is the claim service's own.
 	Token any
 }
@@ -75,9 +75,9 @@
 	Address  string
 	Engine   bool
 	// Token is the placement token for the caller to bring along next time; may be empty.
-	Token string
+	PlacementToken string
 	// Done gives the allotment back.
-	Done func(res *sagedispatch.Result)
+	Release func(res *sagedispatch.Result)
 }
 
 // Placement chooses upstreams.
@@ -89,7 +89,7 @@
 // Retries bounds the attempts beyond the first.
 type Retries interface {
 	// First notes the first attempt of a request.
-	First(now time.Time)
+	RecordFirstAttempt(now time.Time)
 	// Allow reports whether one more attempt may be made after those at the upstreams tried, and
 	// from which instant on, and counts it. NotRun says that the last attempt did not execute.
 	Allow(now time.Time, r *Request, tried []string, notRun bool) (at time.Time, ok bool)
--- a/internal/sagekernel/kernel.go
+++ b/internal/sagekernel/kernel.go
@@ -14,12 +14,12 @@
 
 // Errors of the kernel.
 var (
-	ErrNoService  = errors.New("no service of that name")
-	ErrWrongType  = errors.New("service has another type")
-	ErrDuplicate  = errors.New("service name registered twice")
-	ErrStopped    = errors.New("service stopped by itself")
-	ErrStopLate   = errors.New("service did not stop in time")
-	errKernelDone = errors.New("kernel asked to stop")
+	ErrServiceNotFound = errors.New("no service of that name")
+	ErrWrongType       = errors.New("service has another type")
+	ErrDuplicateName   = errors.New("service name registered twice")
+	ErrServiceExited   = errors.New("service stopped by itself")
+	ErrStopTimeout     = errors.New("service did not stop in time")
+	errKernelDone      = errors.New("kernel asked to stop")
 )
 
 // Service is a part of a process that runs until ctx ends. It returns nil when it stopped because
@@ -37,8 +37,8 @@
 // Kernel holds the services of one process.
 type Kernel struct {
 	// StopWithin bounds the whole ordered stop; the deadline is taken when the stop begins.
-	StopWithin time.Duration
-	Log        sagelog.Logger
+	StopTimeout time.Duration
+	Log         sagelog.Logger
 
 	mu       sync.Mutex
 	services []named
@@ -47,13 +47,13 @@
 }
 
 // Register adds a service. A value that has no Run method only answers lookups. It panics with
-// [ErrDuplicate] when the name is taken, which is a mistake in the program.
+// [ErrDuplicateName] when the name is taken, which is a mistake in the program.
 func (k *Kernel) Register(name string, s any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, n := range k.services {
 		if n.name == name {
-			panic(fmt.Errorf("register %s: %w", name, ErrDuplicate))
+			panic(fmt.Errorf("register %s: %w", name, ErrDuplicateName))
 		}
 	}
 	k.services = append(k.services, named{name: name, value: s})
@@ -74,7 +74,7 @@
 		}
 		return v, nil
 	}
-	return zero, fmt.Errorf("%s: %w", name, ErrNoService)
+	return zero, fmt.Errorf("%s: %w", name, ErrServiceNotFound)
 }
 
 // Names returns the registered names in order.
@@ -107,7 +107,7 @@
 	late := k.late
 	k.mu.Unlock()
 	if len(late) > 0 {
-		return fmt.Errorf("%v: %w", late, ErrStopLate)
+		return fmt.Errorf("%v: %w", late, ErrStopTimeout)
 	}
 	if errors.Is(err, errKernelDone) {
 		return nil
@@ -124,7 +124,7 @@
 	}, func(error) {
 		cancel()
 		k.mu.Lock()
-		k.stopBy = time.Now().Add(k.StopWithin)
+		k.stopBy = time.Now().Add(k.StopTimeout)
 		k.mu.Unlock()
 	})
 }
@@ -144,13 +144,13 @@
 		select {
 		case <-done:
 		case <-released:
-			return fmt.Errorf("%s: %w", name, ErrStopLate)
+			return fmt.Errorf("%s: %w", name, ErrStopTimeout)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		if ctx.Err() == nil {
-			return fmt.Errorf("%s: %w", name, ErrStopped)
+			return fmt.Errorf("%s: %w", name, ErrServiceExited)
 		}
 		return nil
 	}, func(error) {
--- a/internal/sagekernel/kernel_test.go
+++ b/internal/sagekernel/kernel_test.go
@@ -32,7 +32,7 @@
 func TestStopInReverseOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := make(chan string, 3)
-		k := &Kernel{StopWithin: time.Minute}
+		k := &Kernel{StopTimeout: time.Minute}
 		k.Register("store", &recorder{name: "store", log: log})
 		k.Register("config", &recorder{name: "config", log: log, takes: time.Second})
 		k.Register("entry", &recorder{name: "entry", log: log, takes: 10 * time.Second})
@@ -48,24 +48,24 @@
 func TestStopDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := make(chan string, 2)
-		k := &Kernel{StopWithin: 5 * time.Second}
+		k := &Kernel{StopTimeout: 5 * time.Second}
 		k.Register("store", &recorder{name: "store", log: log})
 		k.Register("hung", &recorder{name: "hung", log: log, takes: time.Hour})
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		err := k.Run(ctx)
-		require.ErrorIs(t, err, ErrStopLate)
+		require.ErrorIs(t, err, ErrStopTimeout)
 		assert.Contains(t, err.Error(), "hung")
 		assert.Equal(t, "store", <-log)
 		assert.Equal(t, "hung", <-log)
 	})
 }
 
-func TestFailureStopsTheRest(t *testing.T) {
+func TestFailureStopsOtherServices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		boom := errors.New("port taken")
 		log := make(chan string, 1)
-		k := &Kernel{StopWithin: time.Second}
+		k := &Kernel{StopTimeout: time.Second}
 		k.Register("store", &recorder{name: "store", log: log})
 		k.Register("entry", &recorder{fail: boom})
 		require.ErrorIs(t, k.Run(context.Background()), boom)
@@ -82,6 +82,6 @@
 	_, err = Lookup[string](k, "answer")
 	require.ErrorIs(t, err, ErrWrongType)
 	_, err = Lookup[int](k, "question")
-	require.ErrorIs(t, err, ErrNoService)
+	require.ErrorIs(t, err, ErrServiceNotFound)
 	assert.Panics(t, func() { k.Register("answer", 43) })
 }
--- a/internal/sagelocator/service.go
+++ b/internal/sagelocator/service.go
@@ -30,7 +30,7 @@
 	Config  Config
 	Ranker  sagelocate.Ranker
 	// Valid is how long an answer may be kept.
-	Valid time.Duration
+	AnswerTTL time.Duration
 }
 
 // Locate ranks the live VMs that serve and are not leaving. VMs of a data centre that is out of
@@ -51,7 +51,7 @@
 	}
 	return sagelocate.Answer{
 		Addresses:  s.Ranker.Rank(q, in),
-		ValidUntil: now.Add(s.Valid),
+		ValidUntil: now.Add(s.AnswerTTL),
 		Revision:   s.Config.Revision(),
 	}, nil
 }
--- a/internal/sagelocator/service_test.go
+++ b/internal/sagelocator/service_test.go
@@ -31,7 +31,7 @@
 
 // A VM that leaves, one that has no configuration yet, and one in a data centre taken out are named
 // to callers, who are turned away there.
-func TestLocateNamesOnlyWhoStays(t *testing.T) {
+func TestLocateReturnsOnlyServingVMs(t *testing.T) {
 	state := sageconfig.NewState()
 	state.ApplyTicket(&sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{
 		Key: sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "out"}, DataCentre: &sageconfig.DataCentre{},
@@ -40,7 +40,7 @@
 		node("a:1", "in", sagemember.Serving), node("b:1", "in", sagemember.Leaving), node("c:1", "in", sagemember.Starting),
 		node("d:1", "out", sagemember.Serving), node("a:1", "in", sagemember.Serving),
 	}}
-	s := &sagelocator.Service{Members: v, Config: v, Ranker: sagelocate.DefaultRanker(), Valid: 30 * time.Second}
+	s := &sagelocator.Service{Members: v, Config: v, Ranker: sagelocate.DefaultRanker(), AnswerTTL: 30 * time.Second}
 	now := time.Unix(1000, 0)
 	a, ref := s.Locate(now, sagelocate.Query{Account: "x", Chat: "1"})
 	require.Nil(t, ref)
@@ -67,7 +67,7 @@
 	old.State = sagemember.Suspect
 	fresh, other := node("a:1", "in", sagemember.Serving), node("b:1", "in", sagemember.Serving)
 	v := &view{}
-	s := &sagelocator.Service{Members: v, Config: v, Ranker: sagelocate.DefaultRanker(), Valid: time.Second}
+	s := &sagelocator.Service{Members: v, Config: v, Ranker: sagelocate.DefaultRanker(), AnswerTTL: time.Second}
 	first := func(nodes ...sagemember.Node) map[string]string {
 		v.nodes = nodes
 		got := make(map[string]string)
--- a/internal/sagelog/async.go
+++ b/internal/sagelog/async.go
@@ -8,19 +8,19 @@
 // ringLength is how many lines wait for a slow reader, about 60 KB.
 const ringLength = 256
 
-// Ring is a writer that never blocks: lines wait in a bounded ring that one goroutine drains, and
+// AsyncWriter is a writer that never blocks: lines wait in a bounded ring that one goroutine drains, and
 // what does not fit is dropped and counted.
 //
 // It guards against a reader of the log that stops reading: the pipe fills, and every request that
 // logs would hang.
-type Ring struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewRing returns a ring in front of w and starts its drain, which lives as long as the process.
-func NewRing(w io.Writer) *Ring {
-	r := &Ring{lines: make(chan []byte, ringLength)}
+// NewAsyncWriter returns a ring in front of w and starts its drain, which lives as long as the process.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	r := &AsyncWriter{lines: make(chan []byte, ringLength)}
 	go func() {
 		for b := range r.lines {
 			_, _ = w.Write(b) // nobody is left to tell that the log can't be written
@@ -30,7 +30,7 @@
 }
 
 // Write implements [io.Writer]. It keeps a copy of b.
-func (r *Ring) Write(b []byte) (int, error) {
+func (r *AsyncWriter) Write(b []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), b...):
 	default:
@@ -40,4 +40,4 @@
 }
 
 // Dropped returns how many lines were dropped.
-func (r *Ring) Dropped() int64 { return r.dropped.Load() }
+func (r *AsyncWriter) Dropped() int64 { return r.dropped.Load() }
--- a/internal/sagelog/limit.go
+++ b/internal/sagelog/limit.go
@@ -12,9 +12,9 @@
 const (
 	KindExchange Kind = iota
 	KindRefused
-	KindGivenUp
+	KindAbandoned
 	KindServed
-	KindBelief
+	KindStateChange
 	kinds
 )
 
--- a/internal/sagelog/log_test.go
+++ b/internal/sagelog/log_test.go
@@ -18,10 +18,10 @@
 }
 
 // Whoever reads the log stops reading, the pipe fills, and every request that logs hangs.
-func TestStoppedReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	b := blocked{make(chan struct{})}
 	defer close(b.release)
-	r := NewRing(b)
+	r := NewAsyncWriter(b)
 	l := New(r, "vm1")
 	for range 4 * ringLength {
 		l.Info("line")
@@ -30,9 +30,9 @@
 }
 
 // A storm of failures writes so much that logging costs more than serving.
-func TestLinesAboutRequestsAreBounded(t *testing.T) {
+func TestLimitedBoundsLineRate(t *testing.T) {
 	var out bytes.Buffer
-	l := New(&out, "vm1").Part("relay")
+	l := New(&out, "vm1").Component("relay")
 	for i := range 1000 {
 		l.Limited(KindRefused, "refused", "n", i)
 	}
@@ -49,7 +49,7 @@
 		_, ok := lim.allow(KindRefused, start)
 		require.False(t, ok)
 	}
-	_, ok := lim.allow(KindGivenUp, start)
+	_, ok := lim.allow(KindAbandoned, start)
 	require.True(t, ok, "each kind has its own bound")
 	left, ok := lim.allow(KindRefused, start.Add(time.Second))
 	require.True(t, ok)
--- a/internal/sagelog/sagelog.go
+++ b/internal/sagelog/sagelog.go
@@ -31,7 +31,7 @@
 }
 
 // Part returns a logger whose sentences start with the part's name.
-func (l Logger) Part(name string) Logger {
+func (l Logger) Component(name string) Logger {
 	return Logger{base: l.base, prefix: name + ": ", limits: l.limits}
 }
 
--- a/internal/sagematrix/router_test.go
+++ b/internal/sagematrix/router_test.go
@@ -150,7 +150,7 @@
 func (s *steps) State() *sageconfig.State                  { return s.state }
 func (s *steps) Revision() uint64                          { return 1 }
 func (s *steps) Serving(time.Time, bool) *sagewire.Refusal { return nil }
-func (s *steps) First(time.Time)                           {}
+func (s *steps) RecordFirstAttempt(time.Time)              {}
 func (s *steps) Record(sageentry.Observation)              {}
 func (s *steps) Locate(now time.Time, _ sagelocate.Query) (sagelocate.Answer, *sagewire.Refusal) {
 	return sagelocate.Answer{ValidUntil: now}, nil
@@ -177,7 +177,7 @@
 
 func (s *steps) Pick(_ context.Context, req *sageentry.Request, _ []string) (*sageentry.Pick, *sagewire.Refusal) {
 	req.Header.Set("X-Router", s.r.name)
-	return &sageentry.Pick{Upstream: "app", Address: "app:1", Done: func(*sagedispatch.Result) {}}, nil
+	return &sageentry.Pick{Upstream: "app", Address: "app:1", Release: func(*sagedispatch.Result) {}}, nil
 }
 
 func (s *steps) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
--- a/internal/sagemeasure/exit.go
+++ b/internal/sagemeasure/exit.go
@@ -69,7 +69,7 @@
 
 func (p *replay) exitSamples(v variant) []Sample {
 	var out []Sample
-	for c := range sagewire.Priority(sagewire.Priorities) {
+	for c := range sagewire.Priority(sagewire.NumPriorities) {
 		part, refused := p.inTime(exitAt, exitEnd, c)
 		in := Sample{Metric: c.String() + " within deadline", Unit: "%", Value: 100 * part}
 		no := Sample{Metric: c.String() + " refused", Value: float64(refused)}
--- a/internal/sagemeasure/trace.go
+++ b/internal/sagemeasure/trace.go
@@ -59,7 +59,7 @@
 func (r *request) prompt() int { return r.contextTokens + r.history + r.fresh }
 
 // patience is the time from a request to its deadline by priority.
-var patience = [sagewire.Priorities]time.Duration{10 * time.Second, 15 * time.Second, 60 * time.Second}
+var patience = [sagewire.NumPriorities]time.Duration{10 * time.Second, 15 * time.Second, 60 * time.Second}
 
 // makeTrace returns the requests of a site until end. Chats begin as a Poisson process, take a
 // geometric number of turns and return after log-normal pauses. Accounts and their contexts are
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -160,7 +160,7 @@
 func (s *Service) Leave(now time.Time) time.Time {
 	s.mu.Lock()
 	s.Drain.Leave(now)
-	until := s.Drain.HonourUntil()
+	until := s.Drain.AcceptsUntil()
 	s.mu.Unlock()
 	s.Table.AdvancePhase(sagemember.Leaving)
 	s.Nudge()
--- a/internal/sagemembers/service_test.go
+++ b/internal/sagemembers/service_test.go
@@ -28,7 +28,7 @@
 		s := &sagemembers.Service{
 			Table: tab, Every: time.Second, Seeds: []string{"10.0.0.7:7000"}, VMs: vmList{"10.0.0.9", "10.0.0.8:80", "10.0.0.1", "junk"},
 			Ready: ready.Load, Revision: func() uint64 { return 12 }, Load: func() int64 { return 3 },
-			Nudge: func() { nudges.Add(1) }, Drain: sagedrain.Machine{AnswersLast: 5 * time.Second, SpreadWithin: 10 * time.Second},
+			Nudge: func() { nudges.Add(1) }, Drain: sagedrain.Machine{AnswerTTL: 5 * time.Second, PropagationDelay: 10 * time.Second},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -46,7 +46,7 @@
 		},
 		HeldBytes:   cfg.Limits.HeldAnswersBytes,
 		SettleAfter: millis(cfg.Limits.DeadlineMillis) + settleSlack,
-		Log:         n.Log.Part("claims"),
+		Log:         n.Log.Component("claims"),
 		Metrics:     n.metrics,
 	}
 }
@@ -72,7 +72,7 @@
 		},
 		Candidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
 		HTTP:      &http.Client{Timeout: orderTimeout},
-		Log:       n.Log.Part("orders"),
+		Log:       n.Log.Component("orders"),
 	}
 }
 
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -40,7 +40,7 @@
 		Self:  sagegossip.Peer{Address: n.table.Self.Address, DataCentre: cfg.Node.DataCentre},
 		Peers: peers, Members: n.table, Every: heartbeatEvery,
 		Engine:  sagegossip.Engine{Sections: []sagegossip.Section{n.table, conf.Section()}},
-		Metrics: n.metrics, Log: n.Log.Part("gossip"),
+		Metrics: n.metrics, Log: n.Log.Component("gossip"),
 	}
 	srv.Mount(exchange.NewExchangeServer(n.gossip))
 	n.kernel.Register("gossip", n.gossip)
@@ -49,13 +49,13 @@
 		VMs:      &sagemembers.Platform{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.CountedTransport(&n.control), Timeout: listTimeout}},
 		Ready:    func() bool { return conf.Serving(time.Now(), true) == nil },
 		Revision: conf.Revision, Nudge: n.gossip.Nudge, Drain: n.drain(),
-		Metrics: n.metrics, Log: n.Log.Part("members"),
+		Metrics: n.metrics, Log: n.Log.Component("members"),
 	}
 	n.kernel.Register("members", members)
 	conf.Members = &configMembers{members: members, roster: n.allSeeds()}
 	ranker := sagelocate.DefaultRanker()
 	ranker.Count = cfg.Locate.Addresses
-	locator := &sagelocator.Service{Members: n.table, Config: conf, Ranker: ranker, Valid: millis(cfg.Locate.ValidMillis)}
+	locator := &sagelocator.Service{Members: n.table, Config: conf, Ranker: ranker, AnswerTTL: millis(cfg.Locate.ValidMillis)}
 	n.kernel.Register("locate", locator)
 	return members, locator
 }
@@ -65,7 +65,7 @@
 func (n *Node) drain() sagedrain.Machine {
 	valid, within := millis(n.Settings.Locate.ValidMillis), millis(n.Settings.Stop.WithinMillis)
 	spread := min(leaveSpread, (within-valid)/2)
-	return sagedrain.Machine{AnswersLast: valid, SpreadWithin: spread, DrainWithin: within - valid - spread}
+	return sagedrain.Machine{AnswerTTL: valid, PropagationDelay: spread, DrainTimeout: within - valid - spread}
 }
 
 // livePeers returns the addresses of the other live nodes.
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -129,8 +129,8 @@
 // register adds every service, each before those that depend on it.
 func (n *Node) register() {
 	cfg, k := &n.Settings, &n.kernel
-	k.Log = n.Log.Part("kernel")
-	k.StopWithin = millis(cfg.Stop.WithinMillis) + stopSlack
+	k.Log = n.Log.Component("kernel")
+	k.StopTimeout = millis(cfg.Stop.WithinMillis) + stopSlack
 
 	store := &sageobject.Client{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.CountedTransport(&n.control), Timeout: storeTimeout}}
 	k.Register("store", store)
@@ -139,10 +139,10 @@
 	conf := &sageconfigd.Service{
 		Node: cfg.Node.Name, DataCentre: cfg.Node.DataCentre, Store: store, Rule: rule(cfg.Isolated),
 		Roster: n.allSeeds(), Address: cfg.Listen.Peer,
-		Metrics: n.metrics, Log: n.Log.Part("config"),
+		Metrics: n.metrics, Log: n.Log.Component("config"),
 	}
 	k.Register("config", conf)
-	peerServer := &sagepeer.Server{Listener: n.listeners["peer"], Key: n.peerKey, TLS: n.tls, Log: n.Log.Part("peer")}
+	peerServer := &sagepeer.Server{Listener: n.listeners["peer"], Key: n.peerKey, TLS: n.tls, Log: n.Log.Component("peer")}
 	k.Register("peer_server", peerServer)
 	n.peers = [2]interface{ Bytes() int64 }{peers, peerServer}
 	n.metrics.NewGauge("sagestand_control_bytes_total", func() float64 { return float64(n.ControlBytes()) })
@@ -155,7 +155,7 @@
 	peerServer.Mount(allot.NewAllotServer(load))
 	load.Export(n.metrics)
 	k.Register("load", load)
-	admission := &sageadmission.Service{Config: conf, Load: load, InFlight: cfg.Limits.InFlight, Queued: cfg.Limits.Queued}
+	admission := &sageadmission.Service{Config: conf, Load: load, MaxInFlight: cfg.Limits.InFlight, MaxQueued: cfg.Limits.Queued}
 	admission.Export(n.metrics)
 	k.Register("admission", admission)
 	retries := n.retryService()
@@ -180,7 +180,7 @@
 		Claims:    claims, Placement: placement, Retries: retries,
 		Dispatch: &sageloadd.Timed{Next: &sagedispatch.Dispatcher{Dial: load.Dial}, Load: load},
 		Locator:  locator, Leaver: &resigner{Next: members, Load: load}, Recorder: sagemetrics.Fan{requests, burn},
-		Limits: cfg.Limits, Stop: cfg.Stop, Log: n.Log.Part("entry"),
+		Limits: cfg.Limits, Stop: cfg.Stop, Log: n.Log.Component("entry"),
 	}
 	members.Load = entry.InFlight
 	n.ready = func() error {
@@ -198,7 +198,7 @@
 		Status: func() any {
 			return Status{Node: cfg.Node.Name, DataCentre: cfg.Node.DataCentre, Revision: conf.Revision(), InFlight: entry.InFlight(), Services: k.Names()}
 		},
-		Log: n.Log.Part("operator"),
+		Log: n.Log.Component("operator"),
 	}
 	operator.Handle("GET /v1/nodes", members)
 	operator.Handle("GET /v1/report/burn", burn)
@@ -280,11 +280,11 @@
 
 // Run runs the node until ctx ends and every service stopped.
 func (n *Node) Run(ctx context.Context) error {
-	n.Log.Part("node").Info("Starting.", "data_centre", n.Settings.Node.DataCentre)
+	n.Log.Component("node").Info("Starting.", "data_centre", n.Settings.Node.DataCentre)
 	if err := n.kernel.Run(ctx); err != nil {
 		return fmt.Errorf("run node: %w", err)
 	}
-	n.Log.Part("node").Info("Stopped.")
+	n.Log.Component("node").Info("Stopped.")
 	return nil
 }
 
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -235,7 +235,7 @@
 		return q
 	}
 	q.Chat = chatKey(r)
-	if place, ok := s.Sealer.Verify(r.Token, r.Account, r.ChatID, now); ok {
+	if place, ok := s.Sealer.Verify(r.PlacementToken, r.Account, r.ChatID, now); ok {
 		q.Location = place
 	} else if place, ok := s.evidence.Lookup(q.Chat); ok {
 		q.Location = place
@@ -251,10 +251,10 @@
 	p := &sageentry.Pick{Upstream: name, Address: u.Address, Engine: u.Kind == sageconfig.Engine}
 	place := sageplace.Location{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
 	if p.Engine {
-		p.Token = s.Sealer.Sign(r.Account, r.ChatID, place, now.Add(s.TokenValid))
+		p.PlacementToken = s.Sealer.Sign(r.Account, r.ChatID, place, now.Add(s.TokenValid))
 	}
 	var once sync.Once
-	p.Done = func(res *sagedispatch.Result) { once.Do(func() { s.done(r, g, i, place, res) }) }
+	p.Release = func(res *sagedispatch.Result) { once.Do(func() { s.done(r, g, i, place, res) }) }
 	return p
 }
 
--- a/internal/sageplacement/service_test.go
+++ b/internal/sageplacement/service_test.go
@@ -83,7 +83,7 @@
 		p, ref := s.Pick(context.Background(), chat(account, route, string(rune('a'+i))), nil)
 		require.Nil(t, ref)
 		names[p.Upstream] = true
-		p.Done(&sagedispatch.Result{})
+		p.Release(&sagedispatch.Result{})
 	}
 	return names
 }
@@ -170,8 +170,8 @@
 	require.True(t, ref.RetryAt.After(time.Now()))
 	require.True(t, later.RetryAt.After(ref.RetryAt))
 
-	picks[0].Done(&sagedispatch.Result{Outcome: sagewire.Complete})
-	picks[0].Done(&sagedispatch.Result{Outcome: sagewire.Complete}) // gives back one unit, not two
+	picks[0].Release(&sagedispatch.Result{Outcome: sagewire.Complete})
+	picks[0].Release(&sagedispatch.Result{Outcome: sagewire.Complete}) // gives back one unit, not two
 	_, ref = s.Pick(context.Background(), chat("a", "m", "late"), nil)
 	require.Nil(t, ref)
 	_, ref = s.Pick(context.Background(), chat("a", "m", "later"), nil)
@@ -192,7 +192,7 @@
 	}
 	_, ref := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	require.NotNil(t, ref)
-	last.Done(nil)
+	last.Release(nil)
 	_, ref = s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	require.Nil(t, ref)
 }
@@ -202,15 +202,15 @@
 	p, ref := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	require.Nil(t, ref)
 	home := p.Upstream
-	p.Done(nil)
+	p.Release(nil)
 	p, _ = s.Pick(context.Background(), chat("a", "m", "x"), []string{home})
 	require.NotEqual(t, home, p.Upstream, "tried upstreams are excluded")
 	moved := p.Upstream
-	p.Done(nil)
+	p.Release(nil)
 
 	other, _, _ := testService() // another VM
 	back := chat("a", "m", "x")
-	back.Token = p.Token
+	back.PlacementToken = p.PlacementToken
 	p, _ = other.Pick(context.Background(), back, nil)
 	require.Equal(t, moved, p.Upstream, "any VM honours the token")
 
@@ -225,10 +225,10 @@
 	s, _, _ := testService()
 	p, _ := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	home := p.Upstream
-	p.Done(nil)
+	p.Release(nil)
 	p, _ = s.Pick(context.Background(), chat("a", "m", "x"), []string{home})
 	moved := p.Upstream
-	p.Done(&sagedispatch.Result{Outcome: sagewire.Complete})
+	p.Release(&sagedispatch.Result{Outcome: sagewire.Complete})
 	p, _ = s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	require.Equal(t, moved, p.Upstream)
 }
@@ -253,11 +253,11 @@
 	s.Load = l
 	p, _ := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	home := p.Upstream
-	p.Done(nil)
+	p.Release(nil)
 	p, _ = s.Pick(context.Background(), chat("a", "m", "x"), []string{home})
-	p.Done(nil)
+	p.Release(nil)
 	back := chat("a", "m", "x")
-	back.Token = p.Token
+	back.PlacementToken = p.PlacementToken
 	l.boot = "b2"
 	s.groups = nil
 	s.state = nil
@@ -322,6 +322,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		p, _ := s.Pick(context.Background(), r, nil)
-		p.Done(nil)
+		p.Release(nil)
 	}
 }
--- a/internal/sageplacement/wait_test.go
+++ b/internal/sageplacement/wait_test.go
@@ -135,7 +135,7 @@
 				s, c, _ := testService()
 				p, _ := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 				home := p.Upstream
-				p.Done(nil)
+				p.Release(nil)
 				l := &partly{OwnLoad: OwnLoad{Config: c}, lacks: home}
 				s.Load = l
 				time.Sleep(refreshEvery)
--- a/internal/sagerelay/crash.go
+++ b/internal/sagerelay/crash.go
@@ -92,7 +92,7 @@
 func (s *Service) noteCrash(u *sageupstream.Entry, requests ...sagequarantine.Fingerprint) {
 	now := sageclock.Now()
 	for _, f := range requests {
-		s.Log.Limited(sagelog.KindBelief, "Upstream crashed under a request.", "upstream", u.ID, "service", u.Service, "fingerprint", f.String())
+		s.Log.Limited(sagelog.KindStateChange, "Upstream crashed under a request.", "upstream", u.ID, "service", u.Service, "fingerprint", f.String())
 	}
 	for _, e := range s.Quarantine.RecordCrash(now, crashOf(u), requests...) {
 		s.Log.Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes), "learned", "here", "upstream", u.ID)
--- a/internal/sagerelay/job.go
+++ b/internal/sagerelay/job.go
@@ -178,7 +178,7 @@
 }
 
 func (j *job) log(reason Reason) {
-	j.s.Log.Limited(sagelog.KindGivenUp, "Request given up.", "id", j.call.ID, "reason", string(reason), "route", j.route.Name, "service", j.target,
+	j.s.Log.Limited(sagelog.KindAbandoned, "Request given up.", "id", j.call.ID, "reason", string(reason), "route", j.route.Name, "service", j.target,
 		"sends", j.sends, "runs", j.runs, "cause", j.cause, "fingerprint", j.fingerprint().String(), "config_version", j.version, "age_ms", time.Since(j.began).Milliseconds())
 }
 
--- a/internal/sageretryd/sageretryd.go
+++ b/internal/sageretryd/sageretryd.go
@@ -32,7 +32,7 @@
 }
 
 // First implements [sageentry.Retries].
-func (s *Service) First(time.Time) {
+func (s *Service) RecordFirstAttempt(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Policy.RecordFirstAttempt()
--- a/internal/sagerouter/fleet.go
+++ b/internal/sagerouter/fleet.go
@@ -262,7 +262,7 @@
 			load = loads[id]
 		}
 		if f.health.RecordReports(now, e.Service, id, nodes, load) {
-			f.view.log.Limited(sagelog.KindBelief, "Upstream is avoided, as other nodes' exchanges broke.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
+			f.view.log.Limited(sagelog.KindStateChange, "Upstream is avoided, as other nodes' exchanges broke.", "upstream", id, "service", e.Service, "nodes", nodes, "load", load)
 		}
 	}
 }
--- a/internal/sagerouter/members.go
+++ b/internal/sagerouter/members.go
@@ -30,7 +30,7 @@
 
 // Run tries until it succeeded, then waits for ctx.
 func (m *members) Run(ctx context.Context) error {
-	log := m.node.Log.Part("members")
+	log := m.node.Log.Component("members")
 	for ctx.Err() == nil {
 		err := m.register(ctx)
 		if err == nil {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("list nodes: %w", err)
 	}
-	log := n.Log.Part("members")
+	log := n.Log.Component("members")
 	for _, c := range d.Changes {
 		names = append(names, c.Object.Name)
 		var e nodeEntry
--- a/internal/sagerouter/node.go
+++ b/internal/sagerouter/node.go
@@ -115,7 +115,7 @@
 		debug.SetMemoryLimit(int64(memoryShare*float64(cfg.MemoryMB)) << 20)
 	}
 	n.metrics = metrics.NewSet()
-	n.kernel.Log, n.kernel.StopWithin = n.Log.Part("kernel"), seconds(cfg.Bounds.StopWithinSeconds)
+	n.kernel.Log, n.kernel.StopTimeout = n.Log.Component("kernel"), seconds(cfg.Bounds.StopWithinSeconds)
 	n.makeMesh()
 	if err := n.mesh.Open(); err != nil {
 		return err
@@ -134,7 +134,7 @@
 	}
 	n.kernel.Register("follow_"+n.Kinds.Quarantines, n.copies[n.Kinds.Quarantines])
 	n.kernel.Register("quarantine", &quarantineKeeper{
-		Self: cfg.Node, Kind: n.Kinds.Quarantines, Book: &n.quarantine, Store: n.Store, Rank: n.quarantineRank, Log: n.Log.Part("quarantine"),
+		Self: cfg.Node, Kind: n.Kinds.Quarantines, Book: &n.quarantine, Store: n.Store, Rank: n.quarantineRank, Log: n.Log.Component("quarantine"),
 	})
 	n.kernel.Register("recall", n.recall)
 	n.kernel.Register("settle", &settler{node: n})
@@ -143,25 +143,25 @@
 
 func (n *Node) makeMesh() {
 	cfg := &n.Settings
-	n.peers = &peerLog{DataCentre: cfg.DataCentre, Log: n.Log.Part("mesh")}
+	n.peers = &peerLog{DataCentre: cfg.DataCentre, Log: n.Log.Component("mesh")}
 	n.mesh = &sagemesh.Service{
 		Name: cfg.Node, Address: cfg.Listen.Mesh, Entry: cfg.Listen.Entry, DataCentre: cfg.DataCentre, Seeds: cfg.meshSeeds(),
 		LinkMbps: int(cfg.LinkMbps),
 		Fill:     n.fill, FillUpdates: n.fillNews, FillSum: n.fillSum, OnHeartbeat: n.heard,
 		OnJoined: n.peers.Joined, OnLost: n.peers.Lost,
-		Log: n.Log.Part("mesh"),
+		Log: n.Log.Component("mesh"),
 	}
 }
 
 func (n *Node) makeFleet() {
 	cfg := &n.Settings
 	placer := new(sagechain.Placer)
-	n.view = &view{decoder: n.Decoder, log: n.Log.Part("view"), placer: placer}
+	n.view = &view{decoder: n.Decoder, log: n.Log.Component("view"), placer: placer}
 	n.fetcher = &sagemesh.Fetcher{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 	follow := func(kind string, within int, apply func([]sagefollow.Change, bool)) *sagefollow.Follower {
 		return &sagefollow.Follower{
 			Kind: kind, Source: n.Store, Peers: n.fetcher, MaxStaleness: millis(within), Rank: n.mesh.Rank, Apply: apply,
-			StoreProof: &n.reach, OnChange: n.changed, PeerProofDelay: n.lag, Log: n.Log.Part("follow"),
+			StoreProof: &n.reach, OnChange: n.changed, PeerProofDelay: n.lag, Log: n.Log.Component("follow"),
 		}
 	}
 	n.copies = sagemesh.Copies{
@@ -190,7 +190,7 @@
 	n.fleet.recalled = func() bool { return n.recall.informed.Load() }
 	n.fleet.bounds(&cfg.Bounds)
 	n.relay = &sagerelay.Service{
-		Dialect: n.Dialect, Fleet: n.fleet, Metrics: n.metrics, Log: n.Log.Part("relay"), Closing: n.leaving.Load, Quarantine: &n.quarantine,
+		Dialect: n.Dialect, Fleet: n.fleet, Metrics: n.metrics, Log: n.Log.Component("relay"), Closing: n.leaving.Load, Quarantine: &n.quarantine,
 		SendsTrials:      func() bool { return n.quarantineRank() == 0 },
 		MaxBufferedBytes: int64(bodyShare*float64(cfg.MemoryMB)) << 20,
 	}
@@ -212,7 +212,7 @@
 		Self: n.Settings.Node, DataCentre: n.Settings.DataCentre, FirstStart: n.Settings.FirstStart,
 		Placer: n.fleet.placer, Peers: n.mesh.Live, Engines: n.engines, Named: n.registered,
 		Registered: func() bool { return n.names.Load() != nil }, Fetch: n.fetcher.FetchHolders,
-		Inspector: n.Inspector, Tell: func() { n.mesh.TriggerHeartbeats(true) }, Interval: n.settleInterval, Log: n.Log.Part("recall"),
+		Inspector: n.Inspector, Tell: func() { n.mesh.TriggerHeartbeats(true) }, Interval: n.settleInterval, Log: n.Log.Component("recall"),
 	}
 }
 
@@ -257,7 +257,7 @@
 	cfg := &n.Settings
 	peers := http.NewServeMux()
 	n.copies.Handle(peers)
-	sagemesh.HandleHeld(peers, n.fleet.placer, n.Log.Part("mesh"))
+	sagemesh.HandleHeld(peers, n.fleet.placer, n.Log.Component("mesh"))
 	operator := http.NewServeMux()
 	operator.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { n.metrics.WritePrometheus(w) })
 	for _, l := range []struct {
@@ -286,9 +286,9 @@
 
 // Run serves until ctx ends and the graceful stop is over.
 func (n *Node) Run(ctx context.Context) error {
-	log := n.Log.Part("node")
+	log := n.Log.Component("node")
 	log.Info("Starting.", "data_centre", n.Settings.DataCentre, "entry", n.Settings.Listen.Entry)
-	if err := n.kernel.Run(ctx); err != nil && !errors.Is(err, sagekernel.ErrStopLate) {
+	if err := n.kernel.Run(ctx); err != nil && !errors.Is(err, sagekernel.ErrStopTimeout) {
 		return fmt.Errorf("run node: %w", err)
 	}
 	log.Info("Stopped.")
@@ -301,7 +301,7 @@
 	n.fleet.bounds(&cfg.Bounds)
 	for _, a := range cfg.meshSeeds() {
 		if err := n.mesh.AddPeer(a); err != nil {
-			n.Log.Part("node").Warn("Seed ignored.", "address", a, "err", err)
+			n.Log.Component("node").Warn("Seed ignored.", "address", a, "err", err)
 		}
 	}
 }
--- a/internal/sagerouter/quarantine.go
+++ b/internal/sagerouter/quarantine.go
@@ -37,7 +37,7 @@
 
 // applyQuarantines takes changes of the quarantine's objects in. Operators release a request by deleting its object.
 func (n *Node) applyQuarantines(changes []sagefollow.Change, _ bool) {
-	log := n.Log.Part("quarantine")
+	log := n.Log.Component("quarantine")
 	for _, c := range changes {
 		f, err := sagequarantine.ParseFingerprint(c.Object.Name)
 		if err != nil {
@@ -72,7 +72,7 @@
 // learnCrashes takes in the crashes that another node reports.
 func (n *Node) learnCrashes(now sageclock.Instant, h *sagemesh.Heartbeat) {
 	for _, e := range n.quarantine.Merge(now, h.Crashes, h.Cleared) {
-		n.Log.Part("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
+		n.Log.Component("quarantine").Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes),
 			"learned", "node", "from", h.Node)
 	}
 }
@@ -120,7 +120,7 @@
 			continue
 		}
 		if err := k.write(ctx, d); err != nil {
-			k.Log.Limited(sagelog.KindBelief, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
+			k.Log.Limited(sagelog.KindStateChange, "Quarantine not written.", "fingerprint", d.Request.String(), "quarantined", d.Quarantined, "err", err)
 			k.paused = now.Add(reconcilePause)
 			return
 		}
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -25,7 +25,7 @@
 // applyRollouts takes changes of rollout orders in.
 func (n *Node) applyRollouts(changes []sagefollow.Change, _ bool) {
 	now := sageclock.Now()
-	log := n.Log.Part("rollouts")
+	log := n.Log.Component("rollouts")
 	for _, c := range changes {
 		if c.Deleted {
 			log.Info("Rollout order withdrawn.", "name", c.Object.Name, "revision", c.Object.Revision)
@@ -48,7 +48,7 @@
 // learnPlan takes in a plan from any node.
 func (n *Node) learnPlan(now sageclock.Instant, p sagerollout.Plan) {
 	if n.fleet.rollouts.MergePlan(p) {
-		n.Log.Part("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
+		n.Log.Component("rollouts").Info("Rollout phase.", "order", p.OrderID, "phase", p.Phase.String(), "share", p.Share,
 			"version", p.Sequence, "by", p.Controller, "age_ms", now.Sub(p.IssuedAt).Milliseconds())
 	}
 }
@@ -104,7 +104,7 @@
 	if p.Phase != e.Plan.Phase {
 		v, route := c.controller.Verdict(e.Order.ID)
 		sum := evidence.Sum()
-		n.Log.Part("rollouts").Info("Rollout decision.", "order", e.Order.ID, "service", e.Order.Service, "target", e.Order.Target,
+		n.Log.Component("rollouts").Info("Rollout decision.", "order", e.Order.ID, "service", e.Order.Service, "target", e.Order.Target,
 			"phase", p.Phase.String(), "from", e.Plan.Phase.String(), "verdict", v.String(), "route", route,
 			"target_bad", sum.Target.Bad, "target_answers", sum.Target.Total(), "baseline_bad", sum.Baseline.Bad,
 			"baseline_answers", sum.Baseline.Total(), "target_slots", sees.TargetSlots, "baseline_in_flight", sees.BaselineInFlight,
@@ -136,7 +136,7 @@
 // writeStatus writes one status. The condition on the revision keeps two controllers from writing different
 // last states.
 func (n *Node) writeStatus(ctx context.Context, o sagerollout.Order, state sagerollout.State) {
-	log := n.Log.Part("rollouts")
+	log := n.Log.Component("rollouts")
 	ctx, cancel := context.WithTimeout(ctx, statusWithin)
 	defer cancel()
 	status, err := n.Decoder.RolloutStatus(state, o.Target)
@@ -145,7 +145,7 @@
 		return
 	}
 	if err := n.Store.SetStatus(ctx, n.Kinds.Rollouts, o.Name, o.Revision, status); err != nil {
-		log.Limited(sagelog.KindBelief, "Rollout status not written.", "name", o.Name, "state", string(state), "revision", o.Revision, "err", err)
+		log.Limited(sagelog.KindStateChange, "Rollout status not written.", "name", o.Name, "state", string(state), "revision", o.Revision, "err", err)
 		return
 	}
 	log.Info("Rollout status written.", "name", o.Name, "state", string(state), "revision", o.Revision)
--- a/internal/sagerouter/services.go
+++ b/internal/sagerouter/services.go
@@ -50,14 +50,14 @@
 	by := time.Now().Add(seconds(n.Settings.Bounds.StopWithinSeconds) - stopMargin)
 	n.leaving.Store(true)
 	n.mesh.TriggerHeartbeats(true)
-	n.Log.Part("node").Info("Leaving.", "in_flight", n.relay.InFlight())
+	n.Log.Component("node").Info("Leaving.", "in_flight", n.relay.InFlight())
 	time.Sleep(min(keptTimes*DirectoryTTL+DirectoryTTL/2, time.Until(by)))
 	ctx, cancel := context.WithDeadline(context.Background(), by)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shut down %s: %w", s.name, err)
 	}
-	n.Log.Part("node").Info("Entry closed.", "in_flight", n.relay.InFlight())
+	n.Log.Component("node").Info("Entry closed.", "in_flight", n.relay.InFlight())
 	return s.http.Close()
 }
 
--- a/internal/sagestandin/waitlist.go
+++ b/internal/sagestandin/waitlist.go
@@ -7,7 +7,7 @@
 
 // waitList holds the requests that wait for a slot, by priority and then by arrival.
 type waitList struct {
-	queues [sagewire.Priorities][]chan bool
+	queues [sagewire.NumPriorities][]chan bool
 	n      int
 }
 
--- a/internal/sageworkload/load.go
+++ b/internal/sageworkload/load.go
@@ -85,7 +85,7 @@
 			req := &sagestandin.ChatRequest{Model: l.Model, Messages: history, Stream: turn%2 == 0, MaxTokens: answerTokens}
 			e := c.Chat(ctx, req, sagecaller.Options{
 				Chat: chat, Context: fmt.Sprintf("context-%d", shared),
-				Priority: sagewire.Priority(rng.Intn(sagewire.Priorities)), Deadline: time.Now().Add(patience),
+				Priority: sagewire.Priority(rng.Intn(sagewire.NumPriorities)), Deadline: time.Now().Add(patience),
 			})
 			l.counter.add(e)
 			if e.Outcome != sagewire.Complete {
--- a/pkg/sageburn/book.go
+++ b/pkg/sageburn/book.go
@@ -31,9 +31,9 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Book counts the requests of one node. Objectives are set before first use; its methods are safe
+// Tracker counts the requests of one node. Objectives are set before first use; its methods are safe
 // for concurrent use.
-type Book struct {
+type Tracker struct {
 	Objectives []Objective
 
 	mu     sync.Mutex
@@ -42,7 +42,7 @@
 
 // Record counts the end of a request. Requests without an objective or by the caller's own fault
 // are not counted.
-func (b *Book) Record(r Request) {
+func (b *Tracker) Record(r Request) {
 	o, ok := find(b.Objectives, r.Account, r.Priority)
 	fault := FaultOf(r.Outcome, r.Reason)
 	if !ok || fault == FaultCaller {
@@ -66,7 +66,7 @@
 }
 
 // of returns the series of k; mu is held.
-func (b *Book) of(k seriesKey) *series {
+func (b *Tracker) of(k seriesKey) *series {
 	if b.series == nil {
 		b.series = make(map[seriesKey]*series)
 	}
@@ -96,7 +96,7 @@
 	Series []Series `json:"series"`
 }
 
-// Check reports a snapshot whose histograms can't be added up, wrapped around [ErrBadLatency].
+// Check reports a snapshot whose histograms can't be added up, wrapped around [ErrInvalidLatency].
 func (s *Snapshot) Check() error {
 	for i := range s.Series {
 		if err := checkLatency(s.Series[i].Latency); err != nil {
@@ -107,7 +107,7 @@
 }
 
 // Snapshot returns a copy of everything counted that is still within a window at now.
-func (b *Book) Snapshot(now time.Time) Snapshot {
+func (b *Tracker) Snapshot(now time.Time) Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out Snapshot
--- a/pkg/sageburn/burn_test.go
+++ b/pkg/sageburn/burn_test.go
@@ -20,14 +20,14 @@
 )
 
 // record counts n requests that end at the given instant.
-func record(b *Book, account string, at time.Time, n int, o sagewire.Outcome, r sagewire.Reason, millis int) {
+func record(b *Tracker, account string, at time.Time, n int, o sagewire.Outcome, r sagewire.Reason, millis int) {
 	for range n {
 		b.Record(Request{Account: account, Priority: sagewire.Urgent, Outcome: o, Reason: r,
 			ArrivedAt: at.Add(-time.Duration(millis) * time.Millisecond), FirstByteAt: at, EndedAt: at})
 	}
 }
 
-func TestWhatCounts(t *testing.T) {
+func TestRecordCounts(t *testing.T) {
 	tests := []struct {
 		outcome sagewire.Outcome
 		reason  sagewire.Reason
@@ -45,7 +45,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.outcome, tt.reason, tt.millis), func(t *testing.T) {
-			b := &Book{Objectives: objectives}
+			b := &Tracker{Objectives: objectives}
 			record(b, "trentvale", epoch, 1, tt.outcome, tt.reason, tt.millis)
 			var got Count
 			for _, s := range b.Snapshot(epoch).Series {
@@ -59,20 +59,20 @@
 func TestAlerts(t *testing.T) {
 	tests := []struct {
 		name string
-		play func(b *Book)
+		play func(b *Tracker)
 		want Alert
 	}{
-		{"quiet", func(b *Book) { record(b, "a", epoch, 100, sagewire.Complete, "", 5) }, AlertNone},
-		{"fast burn", func(b *Book) {
+		{"quiet", func(b *Tracker) { record(b, "a", epoch, 100, sagewire.Complete, "", 5) }, AlertNone},
+		{"fast burn", func(b *Tracker) {
 			record(b, "a", epoch, 80, sagewire.Complete, "", 5)
 			record(b, "a", epoch, 20, sagewire.Unknown, "", 5)
 		}, AlertPage},
 		// An outage that ended an hour ago must not wake anybody: the short windows are clean.
-		{"over an hour ago", func(b *Book) {
+		{"over an hour ago", func(b *Tracker) {
 			record(b, "a", epoch.Add(-61*time.Minute), 20, sagewire.Unknown, "", 5)
 			record(b, "a", epoch, 80, sagewire.Complete, "", 5)
 		}, AlertTicket},
-		{"slow burn", func(b *Book) {
+		{"slow burn", func(b *Tracker) {
 			for h := range 72 {
 				at := epoch.Add(-time.Duration(h) * time.Hour)
 				record(b, "a", at, 98, sagewire.Complete, "", 5)
@@ -82,7 +82,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := &Book{Objectives: objectives}
+			b := &Tracker{Objectives: objectives}
 			tt.play(b)
 			lines := Report(b.Snapshot(epoch), objectives, epoch)
 			require.Len(t, lines, 1)
@@ -92,7 +92,7 @@
 }
 
 func TestMergeAddsUpNodes(t *testing.T) {
-	one, two := &Book{Objectives: objectives}, &Book{Objectives: objectives}
+	one, two := &Tracker{Objectives: objectives}, &Tracker{Objectives: objectives}
 	record(one, "haller", epoch, 6, sagewire.Complete, "", 300)
 	record(two, "haller", epoch.Add(-10*time.Minute), 4, sagewire.Complete, "", 500)
 	record(two, "trentvale", epoch, 1, sagewire.Complete, "", 500)
@@ -108,17 +108,17 @@
 
 // A node of another version sends a histogram of another shape. Adding it up would take any amount
 // of memory or mix up its counts, so the whole snapshot is refused and its node named as missing.
-func TestSnapshotOfAnotherShape(t *testing.T) {
-	b := &Book{Objectives: objectives}
+func TestMismatchedHistogramIsRejected(t *testing.T) {
+	b := &Tracker{Objectives: objectives}
 	record(b, "a", epoch, 1, sagewire.Complete, "", 300)
 	s := b.Snapshot(epoch)
 	require.NoError(t, s.Check())
 	s.Series[0].Latency.HighestTrackableValue = 1 << 60
-	require.ErrorIs(t, s.Check(), ErrBadLatency)
+	require.ErrorIs(t, s.Check(), ErrInvalidLatency)
 }
 
-func TestOldSlotsAreForgotten(t *testing.T) {
-	b := &Book{Objectives: objectives}
+func TestOldSlotsExpire(t *testing.T) {
+	b := &Tracker{Objectives: objectives}
 	record(b, "a", epoch, 5, sagewire.Unknown, "", 5)
 	later := epoch.Add(80 * time.Hour)
 	record(b, "a", later, 1, sagewire.Complete, "", 5)
@@ -127,8 +127,8 @@
 	assert.Equal(t, Count{Total: 1}, lines[0].Burns[len(Windows)-1].Count)
 }
 
-func TestFullBook(t *testing.T) {
-	b := &Book{Objectives: objectives}
+func TestSeriesLimit(t *testing.T) {
+	b := &Tracker{Objectives: objectives}
 	for i := range MaxSeries + 10 {
 		record(b, fmt.Sprintf("account%d", i), epoch, 1, sagewire.Complete, "", 5)
 	}
@@ -141,12 +141,12 @@
 func TestObjectiveCheck(t *testing.T) {
 	require.NoError(t, objectives[0].Check())
 	for _, o := range []Objective{{}, {Account: "a", LatencyMillis: 1, Target: 1}, {Account: "a", Target: 0.5}} {
-		require.ErrorIs(t, o.Check(), ErrBadObjective)
+		require.ErrorIs(t, o.Check(), ErrInvalidObjective)
 	}
 }
 
 func BenchmarkRecord(b *testing.B) {
-	book := &Book{Objectives: objectives}
+	book := &Tracker{Objectives: objectives}
 	r := Request{Account: "haller", Priority: sagewire.Urgent, Outcome: sagewire.Complete, ArrivedAt: epoch, FirstByteAt: epoch.Add(time.Millisecond), EndedAt: epoch.Add(time.Millisecond)}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -157,7 +157,7 @@
 func ExampleReport() {
 	at := time.Date(2026, 11, 8, 6, 0, 0, 0, time.UTC)
 	o := []Objective{{Account: AnyAccount, Priority: sagewire.Urgent, LatencyMillis: 800, Target: 0.99}}
-	b := &Book{Objectives: o}
+	b := &Tracker{Objectives: o}
 	b.Record(Request{Account: "haller", Priority: sagewire.Urgent, Outcome: sagewire.Unknown, ArrivedAt: at, EndedAt: at})
 	for _, l := range Report(b.Snapshot(at), o, at) {
 		fmt.Printf("%s %s %s %.0f %s\n", l.Account, l.Priority, l.Burns[0].Window, l.Burns[0].Rate, l.Alert)
--- a/pkg/sageburn/doc.go
+++ b/pkg/sageburn/doc.go
@@ -15,7 +15,7 @@
 //
 // # Usage
 //
-//	b := &sageburn.Book{Objectives: objectives}
+//	b := &sageburn.Tracker{Objectives: objectives}
 //	b.Record(sageburn.Request{Account: "haller", Priority: sagewire.Urgent, ...})
 //	total := sageburn.Merge(b.Snapshot(now), other)
 //	for _, l := range sageburn.Report(total, objectives, now) {
--- a/pkg/sageburn/latency.go
+++ b/pkg/sageburn/latency.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadLatency reports a histogram of another shape than this package's.
-var ErrBadLatency = errors.New("malformed latency histogram")
+// ErrInvalidLatency reports a histogram of another shape than this package's.
+var ErrInvalidLatency = errors.New("malformed latency histogram")
 
 // Shape of the latency histograms: milliseconds up to a minute, to a tenth of the value.
 const (
@@ -40,7 +40,7 @@
 	if s.LowestTrackableValue != lowestMillis || s.HighestTrackableValue != highestMillis ||
 		s.SignificantFigures != latencyDigits || len(s.Counts) != latencyCounts {
 		return fmt.Errorf("range %d to %d, %d digits, %d counts: %w", s.LowestTrackableValue, s.HighestTrackableValue,
-			s.SignificantFigures, len(s.Counts), ErrBadLatency)
+			s.SignificantFigures, len(s.Counts), ErrInvalidLatency)
 	}
 	return nil
 }
--- a/pkg/sageburn/objective.go
+++ b/pkg/sageburn/objective.go
@@ -9,8 +9,8 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrBadObjective reports an objective that can't be measured.
-var ErrBadObjective = errors.New("malformed objective")
+// ErrInvalidObjective reports an objective that can't be measured.
+var ErrInvalidObjective = errors.New("malformed objective")
 
 // AnyAccount as the account of an objective stands for each account without one of its own.
 const AnyAccount = "*"
@@ -25,13 +25,13 @@
 	Target float64 `json:"target"`
 }
 
-// Check reports a missing account or a value out of range, wrapped around [ErrBadObjective].
+// Check reports a missing account or a value out of range, wrapped around [ErrInvalidObjective].
 func (o *Objective) Check() error {
 	if o.Account == "" {
-		return fmt.Errorf("objective without account: %w", ErrBadObjective)
+		return fmt.Errorf("objective without account: %w", ErrInvalidObjective)
 	}
 	if o.LatencyMillis < 1 || !(o.Target > 0 && o.Target < 1) {
-		return fmt.Errorf("objective of %s: latency_millis %d, target %v: %w", o.Account, o.LatencyMillis, o.Target, ErrBadObjective)
+		return fmt.Errorf("objective of %s: latency_millis %d, target %v: %w", o.Account, o.LatencyMillis, o.Target, ErrInvalidObjective)
 	}
 	return nil
 }
--- a/pkg/sagedrain/doc.go
+++ b/pkg/sagedrain/doc.go
@@ -14,9 +14,9 @@
 //	m.Leave(time.Now()) // and announce it
 //	for {
 //		switch m.Step(time.Now(), inFlight()) {
-//		case sagedrain.Honouring: // serve on
+//		case sagedrain.Announced: // serve on
 //		case sagedrain.Draining: // refuse new work
-//		case sagedrain.Cutting: // log and end what is left, then stop
+//		case sagedrain.Aborting: // log and end what is left, then stop
 //		case sagedrain.Done: // stop
 //		}
 //	}
--- a/pkg/sagedrain/machine.go
+++ b/pkg/sagedrain/machine.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadPeriods reports a machine whose periods can't hold.
-var ErrBadPeriods = errors.New("malformed drain periods")
+// ErrInvalidPeriods reports a machine whose periods can't hold.
+var ErrInvalidPeriods = errors.New("malformed drain periods")
 
 // Phase is how far the stop has come. It only moves forward.
 type Phase int
@@ -18,11 +18,11 @@
 	// Serving: nobody asked for a stop.
 	Serving Phase = iota
 	// Honouring: announced as leaving, still serving callers whose answers name it.
-	Honouring
+	Announced
 	// Draining: no new work; running requests finish.
 	Draining
 	// Cutting: the deadline has passed with requests still running.
-	Cutting
+	Aborting
 	// Done: nothing is running any more.
 	Done
 )
@@ -40,21 +40,21 @@
 // safe for concurrent use.
 type Machine struct {
 	// AnswersLast is how long an answer that names the thing is valid at most.
-	AnswersLast time.Duration
+	AnswerTTL time.Duration
 	// SpreadWithin is how long it takes at most until nobody gives such an answer any more.
-	SpreadWithin time.Duration
+	PropagationDelay time.Duration
 	// DrainWithin is how long running requests may take after that.
-	DrainWithin time.Duration
+	DrainTimeout time.Duration
 
 	phase   Phase
 	honour  time.Time
 	drainBy time.Time
 }
 
-// Check reports periods below 0, wrapped around [ErrBadPeriods].
+// Check reports periods below 0, wrapped around [ErrInvalidPeriods].
 func (m *Machine) Check() error {
-	if m.AnswersLast < 0 || m.SpreadWithin < 0 || m.DrainWithin < 0 {
-		return fmt.Errorf("period below 0: %w", ErrBadPeriods)
+	if m.AnswerTTL < 0 || m.PropagationDelay < 0 || m.DrainTimeout < 0 {
+		return fmt.Errorf("period below 0: %w", ErrInvalidPeriods)
 	}
 	return nil
 }
@@ -64,26 +64,26 @@
 	if m.phase != Serving {
 		return
 	}
-	m.phase = Honouring
-	m.honour = now.Add(m.SpreadWithin + m.AnswersLast)
-	m.drainBy = m.honour.Add(m.DrainWithin)
+	m.phase = Announced
+	m.honour = now.Add(m.PropagationDelay + m.AnswerTTL)
+	m.drainBy = m.honour.Add(m.DrainTimeout)
 }
 
 // HonourUntil returns the instant until which new work is taken; zero before Leave.
-func (m *Machine) HonourUntil() time.Time { return m.honour }
+func (m *Machine) AcceptsUntil() time.Time { return m.honour }
 
 // DrainBy returns the instant at which running requests have to be cut; zero before Leave.
-func (m *Machine) DrainBy() time.Time { return m.drainBy }
+func (m *Machine) DrainDeadline() time.Time { return m.drainBy }
 
 // Accepts says whether new work may be taken. It goes by the instant rather than by the last step,
 // so that a step that comes late can't let work in that will be cut.
 func (m *Machine) Accepts(now time.Time) bool {
-	return m.phase == Serving || (m.phase == Honouring && now.Before(m.honour))
+	return m.phase == Serving || (m.phase == Announced && now.Before(m.honour))
 }
 
 // Step moves on as far as now and the number of running requests allow, and returns the phase.
 func (m *Machine) Step(now time.Time, inFlight int) Phase {
-	if m.phase == Honouring && !now.Before(m.honour) {
+	if m.phase == Announced && !now.Before(m.honour) {
 		m.phase = Draining
 	}
 	// Nothing running is enough only once nothing new is accepted.
@@ -91,15 +91,15 @@
 		m.phase = Done
 	}
 	if m.phase == Draining && !now.Before(m.drainBy) {
-		m.phase = Cutting
+		m.phase = Aborting
 	}
 	return m.phase
 }
 
 // Next returns the instant of the next deadline, for a timer; zero when there is none.
-func (m *Machine) Next() time.Time {
+func (m *Machine) NextDeadline() time.Time {
 	switch m.phase {
-	case Honouring:
+	case Announced:
 		return m.honour
 	case Draining:
 		return m.drainBy
--- a/pkg/sagedrain/machine_test.go
+++ b/pkg/sagedrain/machine_test.go
@@ -14,38 +14,38 @@
 var start = time.Unix(1_800_000_000, 0)
 
 func machine() *sagedrain.Machine {
-	return &sagedrain.Machine{AnswersLast: 30 * time.Second, SpreadWithin: 10 * time.Second, DrainWithin: 5 * time.Minute}
+	return &sagedrain.Machine{AnswerTTL: 30 * time.Second, PropagationDelay: 10 * time.Second, DrainTimeout: 5 * time.Minute}
 }
 
 // A VM is taken out while callers hold answers that name it and a stream of four minutes runs. The
 // callers are refused, or the stream is cut. Cause: it stopped when it was told to.
-func TestStopHonoursAnswersAndStreams(t *testing.T) {
+func TestStopWaitsForAnswersAndStreams(t *testing.T) {
 	m := machine()
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	require.Equal(t, sagedrain.Serving, m.Step(start, 0))
 	m.Leave(start)
 	m.Leave(at(35))
-	require.Equal(t, at(40), m.HonourUntil(), "the deadline is stated once")
-	require.Equal(t, at(340), m.DrainBy())
-	require.Equal(t, sagedrain.Honouring, m.Step(at(39), 0), "idle, but answers name it")
+	require.Equal(t, at(40), m.AcceptsUntil(), "the deadline is stated once")
+	require.Equal(t, at(340), m.DrainDeadline())
+	require.Equal(t, sagedrain.Announced, m.Step(at(39), 0), "idle, but answers name it")
 	require.True(t, m.Accepts(at(39)))
 	require.False(t, m.Accepts(at(40)))
-	require.Equal(t, at(40), m.Next())
+	require.Equal(t, at(40), m.NextDeadline())
 	require.Equal(t, sagedrain.Draining, m.Step(at(40), 1))
-	require.Equal(t, at(340), m.Next())
+	require.Equal(t, at(340), m.NextDeadline())
 	require.Equal(t, sagedrain.Draining, m.Step(at(280), 1))
 	require.Equal(t, sagedrain.Done, m.Step(at(281), 0))
 	require.Equal(t, sagedrain.Done, m.Step(at(900), 0))
 }
 
 // A stream never ends. The VM is never replaced, or the stream is cut with no word in the log.
-func TestStopIsBounded(t *testing.T) {
+func TestStopDeadline(t *testing.T) {
 	m := machine()
 	m.Leave(start)
-	require.Equal(t, sagedrain.Cutting, m.Step(m.DrainBy(), 2))
-	require.Equal(t, sagedrain.Done, m.Step(m.DrainBy(), 0))
-	require.ErrorIs(t, (&sagedrain.Machine{DrainWithin: -1}).Check(), sagedrain.ErrBadPeriods)
-	require.Equal(t, "cutting", sagedrain.Cutting.String())
+	require.Equal(t, sagedrain.Aborting, m.Step(m.DrainDeadline(), 2))
+	require.Equal(t, sagedrain.Done, m.Step(m.DrainDeadline(), 0))
+	require.ErrorIs(t, (&sagedrain.Machine{DrainTimeout: -1}).Check(), sagedrain.ErrInvalidPeriods)
+	require.Equal(t, "cutting", sagedrain.Aborting.String())
 }
 
 // Whatever the order of steps: the phase never goes back, nothing is accepted after the honoured
@@ -63,13 +63,13 @@
 				t.Fatalf("went back from %v to %v", last, p)
 			}
 			last = p
-			if p == sagedrain.Cutting && now.Before(m.DrainBy()) {
-				t.Fatalf("cut at %v, before %v", now, m.DrainBy())
+			if p == sagedrain.Aborting && now.Before(m.DrainDeadline()) {
+				t.Fatalf("cut at %v, before %v", now, m.DrainDeadline())
 			}
 			if p >= sagedrain.Draining && m.Accepts(now) {
 				t.Fatalf("accepts in %v", p)
 			}
-			if p > sagedrain.Honouring && now.Before(m.HonourUntil()) {
+			if p > sagedrain.Announced && now.Before(m.AcceptsUntil()) {
 				t.Fatalf("%v before answers have expired", p)
 			}
 		}
@@ -77,7 +77,7 @@
 }
 
 func ExampleMachine() {
-	m := &sagedrain.Machine{AnswersLast: 30 * time.Second, DrainWithin: time.Minute}
+	m := &sagedrain.Machine{AnswerTTL: 30 * time.Second, DrainTimeout: time.Minute}
 	m.Leave(start)
 	fmt.Println(m.Step(start, 3), m.Step(start.Add(30*time.Second), 3), m.Step(start.Add(40*time.Second), 0))
 	// Output: honouring draining done
--- a/pkg/sagefair/account.go
+++ b/pkg/sagefair/account.go
@@ -12,8 +12,8 @@
 	name    string
 	weight  float64
 	tag     float64 // start tag of its next request, in seconds of slot time by weight
-	queues  [sagewire.Priorities]queue
-	pos     [sagewire.Priorities]int // index in the class heaps, while its queue is not empty
+	queues  [sagewire.NumPriorities]queue
+	pos     [sagewire.NumPriorities]int // index in the class heaps, while its queue is not empty
 	waiting int
 	running int
 	idle    time.Time // when its last request ended
--- a/pkg/sagefair/pick.go
+++ b/pkg/sagefair/pick.go
@@ -71,10 +71,10 @@
 }
 
 func (s *Scheduler) slack() float64 {
-	if s.Slack > 0 {
-		return s.Slack.Seconds()
+	if s.UrgentSlack > 0 {
+		return s.UrgentSlack.Seconds()
 	}
-	return DefaultSlack.Seconds()
+	return DefaultUrgentSlack.Seconds()
 }
 
 // learnWeight is the weight of one request in the moving mean of the service time.
@@ -92,5 +92,5 @@
 	if s.service > 0 {
 		return s.service
 	}
-	return DefaultService
+	return DefaultServiceTime
 }
--- a/pkg/sagefair/scheduler.go
+++ b/pkg/sagefair/scheduler.go
@@ -15,10 +15,10 @@
 
 // Defaults of a [Scheduler].
 const (
-	DefaultMaxQueue = 1024
-	DefaultSlack    = 2 * time.Second
-	// DefaultService is the service time that is assumed before one was seen.
-	DefaultService = 200 * time.Millisecond
+	DefaultMaxQueue    = 1024
+	DefaultUrgentSlack = 2 * time.Second
+	// DefaultServiceTime is the service time that is assumed before one was seen.
+	DefaultServiceTime = 200 * time.Millisecond
 )
 
 // Scheduler admits requests to a number of slots.
@@ -27,8 +27,8 @@
 	// twice the number nobody may. Zero means [DefaultMaxQueue].
 	MaxQueue int
 	// Slack is the slot time by unit of weight that an account may be ahead of others and still
-	// have its urgent requests go first. Zero means [DefaultSlack].
-	Slack time.Duration
+	// have its urgent requests go first. Zero means [DefaultUrgentSlack].
+	UrgentSlack time.Duration
 
 	slots    int
 	running  int
@@ -39,9 +39,9 @@
 	accounts map[string]*account
 	active   int // accounts with requests
 	unswept  int // calls since the last sweep
-	byClass  [sagewire.Priorities]int
-	classes  [sagewire.Priorities]class
-	passed   [sagewire.Priorities]int // starts of other classes while this one waited
+	byClass  [sagewire.NumPriorities]int
+	classes  [sagewire.NumPriorities]class
+	passed   [sagewire.NumPriorities]int // starts of other classes while this one waited
 }
 
 // Offer takes a new request. The returned item runs, waits or is refused; others are waiting items
--- a/pkg/sagefair/scheduler_test.go
+++ b/pkg/sagefair/scheduler_test.go
@@ -117,7 +117,7 @@
 // wait behind all of them. The surge may get ahead by the slack, then shares are equal.
 func TestSurgingAccountGetsItsShare(t *testing.T) {
 	b := newBench(4)
-	b.s.Slack = second
+	b.s.UrgentSlack = second
 	for range 400 {
 		b.offer(request("surge", sagewire.Urgent))
 		b.offer(request("calm", sagewire.Normal))
@@ -147,7 +147,7 @@
 
 // Story: an account whose requests take long gets as many of them as others get short ones, and so
 // most of the slots. Shares are of slot time, known only at the end.
-func TestLongRequestsAreCharged(t *testing.T) {
+func TestSharesCountSlotTime(t *testing.T) {
 	b := newBench(1)
 	b.s.MaxQueue = 4000
 	for range 400 {
@@ -167,7 +167,7 @@
 
 // Story: one account sends thousands of requests within a moment. They fill the queue, and the
 // first request of every other account is refused.
-func TestSurgeLeavesRoomInTheQueue(t *testing.T) {
+func TestSurgeDoesNotFillQueue(t *testing.T) {
 	b := newBench(4)
 	b.s.MaxQueue = 40
 	for range 1000 {
@@ -182,9 +182,9 @@
 // lower classes wait, every fourth start is normal and every sixteenth bulk, and no later.
 func TestNoClassStarves(t *testing.T) {
 	b := newBench(2)
-	b.s.Slack = time.Hour
+	b.s.UrgentSlack = time.Hour
 	for range 100 {
-		for p := range sagewire.Priorities {
+		for p := range sagewire.NumPriorities {
 			b.offer(request(fmt.Sprint("a", p), sagewire.Priority(p)))
 		}
 	}
@@ -192,7 +192,7 @@
 	for range 160 {
 		b.end()
 	}
-	gap := [sagewire.Priorities]int{}
+	gap := [sagewire.NumPriorities]int{}
 	for _, p := range b.order {
 		for c := range gap {
 			gap[c]++
@@ -215,7 +215,7 @@
 
 // Story: a caller is told to come back at an instant, does so, and is refused again. At the instant
 // given, while its account has sent nothing more, the request is taken.
-func TestRetryAtIsTruthful(t *testing.T) {
+func TestRetryAtIsAccurate(t *testing.T) {
 	b := newBench(2)
 	b.s.MaxQueue = 16
 	var ref *Item
@@ -230,7 +230,7 @@
 	require.NotEqual(t, Refused, b.offer(request("a", sagewire.Normal)).State)
 }
 
-func TestRefusedEarly(t *testing.T) {
+func TestRefusedOnOffer(t *testing.T) {
 	b := newBench(1)
 	for range 10 {
 		b.offer(request("a", sagewire.Normal))
@@ -246,7 +246,7 @@
 	require.Equal(t, sagewire.ReasonOverloaded, b.offer(request("c", sagewire.Urgent)).Reason)
 }
 
-func TestLateItemsAreRefusedWhenTheirTurnComes(t *testing.T) {
+func TestExpiredItemsAreRefused(t *testing.T) {
 	b := newBench(1)
 	b.offer(request("a", sagewire.Normal))
 	r := request("a", sagewire.Normal)
@@ -307,7 +307,7 @@
 }
 
 // Story: 32,000 accounts call once each in a burst; their state must go when they are served.
-func TestStateOfServedAccountsGoes(t *testing.T) {
+func TestIdleAccountsAreEvicted(t *testing.T) {
 	b := newBench(64)
 	b.took = time.Millisecond
 	peak := 0
--- a/pkg/sagewire/outcome.go
+++ b/pkg/sagewire/outcome.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadOutcome reports an outcome word outside the defined set.
-var ErrBadOutcome = errors.New("unknown outcome")
+// ErrInvalidOutcome reports an outcome word outside the defined set.
+var ErrInvalidOutcome = errors.New("unknown outcome")
 
 // Outcome is the end of a request as told to its caller.
 type Outcome string
@@ -24,11 +24,11 @@
 	AlreadyRun Outcome = "already_run"
 )
 
-// ParseOutcome returns the outcome named by s, or [ErrBadOutcome].
+// ParseOutcome returns the outcome named by s, or [ErrInvalidOutcome].
 func ParseOutcome(s string) (Outcome, error) {
 	switch o := Outcome(s); o {
 	case Complete, NotRun, Unknown, AlreadyRun:
 		return o, nil
 	}
-	return "", fmt.Errorf("outcome %q: %w", s, ErrBadOutcome)
+	return "", fmt.Errorf("outcome %q: %w", s, ErrInvalidOutcome)
 }
--- a/pkg/sagewire/priority.go
+++ b/pkg/sagewire/priority.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadPriority reports a priority word outside the defined set.
-var ErrBadPriority = errors.New("unknown priority")
+// ErrInvalidPriority reports a priority word outside the defined set.
+var ErrInvalidPriority = errors.New("unknown priority")
 
 // Priority is the class of a request; a lower number is served first.
 type Priority int
@@ -19,14 +19,14 @@
 	Bulk
 )
 
-// Priorities is the number of priority classes.
-const Priorities = 3
+// NumPriorities is the number of priority classes.
+const NumPriorities = 3
 
-var priorityNames = [Priorities]string{"urgent", "normal", "bulk"}
+var priorityNames = [NumPriorities]string{"urgent", "normal", "bulk"}
 
 // String returns the name of p as it stands in headers and settings.
 func (p Priority) String() string {
-	if p < 0 || int(p) >= Priorities {
+	if p < 0 || int(p) >= NumPriorities {
 		return fmt.Sprintf("priority(%d)", int(p))
 	}
 	return priorityNames[p]
@@ -42,7 +42,7 @@
 			return Priority(i), nil
 		}
 	}
-	return 0, fmt.Errorf("priority %q (want urgent, normal or bulk): %w", s, ErrBadPriority)
+	return 0, fmt.Errorf("priority %q (want urgent, normal or bulk): %w", s, ErrInvalidPriority)
 }
 
 // MarshalText implements [encoding.TextMarshaler].
--- a/pkg/sagewire/refusal.go
+++ b/pkg/sagewire/refusal.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadRefusal reports a refusal body that contradicts itself or lacks a field.
-var ErrBadRefusal = errors.New("malformed refusal")
+// ErrInvalidRefusal reports a refusal body that contradicts itself or lacks a field.
+var ErrInvalidRefusal = errors.New("malformed refusal")
 
 // Reason says in one word why a request did not end with [Complete].
 type Reason string
@@ -57,16 +57,16 @@
 	return string(r.Outcome) + ": " + string(r.Reason) + ": " + r.Detail
 }
 
-// Check reports why r can't be sent, wrapped around [ErrBadRefusal].
+// Check reports why r can't be sent, wrapped around [ErrInvalidRefusal].
 func (r *Refusal) Check() error {
 	if _, err := ParseOutcome(string(r.Outcome)); err != nil {
 		return fmt.Errorf("refusal: %w", err)
 	}
 	if r.Outcome == Complete {
-		return fmt.Errorf("a complete answer is no refusal: %w", ErrBadRefusal)
+		return fmt.Errorf("a complete answer is no refusal: %w", ErrInvalidRefusal)
 	}
 	if r.Reason == "" {
-		return fmt.Errorf("refusal without a reason: %w", ErrBadRefusal)
+		return fmt.Errorf("refusal without a reason: %w", ErrInvalidRefusal)
 	}
 	return nil
 }
--- a/pkg/sagewire/wire_test.go
+++ b/pkg/sagewire/wire_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, Normal, p)
 	_, err = ParsePriority("soon")
-	require.ErrorIs(t, err, ErrBadPriority)
+	require.ErrorIs(t, err, ErrInvalidPriority)
 }
 
 func TestRefusalCheck(t *testing.T) {
