--- a/pkg/sageload/bound_test.go
+++ b/pkg/sageload/bound_test.go
@@ -7,47 +7,47 @@
 	"pgregory.net/rapid"
 )
 
-// Story: an engine that bears seven requests, and two just after its start, drowns because the
-// routers together send it more. They disagree about its home, are paused, die, are cut off, and
-// their messages come late or twice. At no step may the engine carry more than it bears.
+// Guards against routers that together send more to an engine than its capacity, which is two requests
+// after a start and grows to twelve. The routers disagree about the coordinator, are paused, die or are
+// partitioned, and their messages arrive late or twice.
 func TestBoundHoldsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		w := newWorld(seed, "")
+		w := newSimulation(seed, "")
 		for range 3000 {
 			w.step()
-			require.LessOrEqual(t, w.peak, 0, "in flight beyond what the engine bears at %v", w.now)
+			require.LessOrEqual(t, w.maxExcess, 0, "requests in flight beyond the engine's capacity at %v", w.now)
 		}
 	})
 }
 
-// Story: a guard of the protocol is taken for useless and removed. Each of these worlds lacks one
-// guard; under the same faults its engine is overloaded. The guards that random faults seldom
-// catch have a story of their own each.
-func TestBoundNeedsEachGuard(t *testing.T) {
-	for _, g := range []guard{withRamp, withBoot, withOrder} {
+// Shows that a safeguard of the protocol is needed: in a simulation without it, the same faults
+// overload the engine. Safeguards whose absence random faults seldom reveal have a scenario test of
+// their own.
+func TestBoundNeedsEachSafeguard(t *testing.T) {
+	for _, g := range []safeguard{rampRestart, bootCheck, requestOrder} {
 		t.Run(string(g), func(t *testing.T) {
-			seed, peak := uint64(0), 0
-			for ; peak <= 0 && seed < 100; seed++ {
-				w := newWorld(seed, g)
+			seed, excess := uint64(0), 0
+			for ; excess <= 0 && seed < 100; seed++ {
+				w := newSimulation(seed, g)
 				for range 3000 {
 					w.step()
 				}
-				peak = w.peak
+				excess = w.maxExcess
 			}
-			t.Logf("overload %d at seed %d", peak, seed-1)
-			require.Positive(t, peak, "no run of the world without this guard was overloaded")
+			t.Logf("overload %d at seed %d", excess, seed-1)
+			require.Positive(t, excess, "no simulation without this safeguard had an overload")
 		})
 	}
 }
 
-// Story: the bound is held by granting nothing at all, and each request is refused.
-func TestAllotmentIsUsed(t *testing.T) {
-	w := newWorld(1, "")
+// Guards against a protocol that keeps the bound by granting nothing, so that each request is refused.
+func TestAllotmentsAreUsed(t *testing.T) {
+	w := newSimulation(1, "")
 	steps := 0
 	for range 6000 {
 		w.step()
 		steps++
 	}
-	require.Greater(t, float64(w.total)/float64(steps), float64(worldCold), "more than the guaranteed shares are used")
+	require.Greater(t, float64(w.inFlightSum)/float64(steps), float64(simColdCapacity), "more than the guaranteed shares are used")
 }
--- a/pkg/sageload/detect.go
+++ b/pkg/sageload/detect.go
@@ -1,89 +1,91 @@
 package sageload
 
-// Detector recognises a cold upstream by its latency alone. It compares a fast moving mean with a
-// slow one that is frozen while the upstream counts as cold.
+// Detector recognises a cold upstream by its latency alone. It compares a fast exponential moving
+// average with a slow one, which is frozen while the upstream counts as cold.
 //
-// Two thresholds and a least number of samples keep one slow answer, or latency near a threshold,
-// from restarting the ramp again and again. Feed it a latency that does not grow with the size of
-// the request, such as the time to the first token per uncached prompt token.
+// Two thresholds and a minimum number of consecutive samples keep one slow response, or latency near a
+// threshold, from restarting the ramp repeatedly. The observed latency must not grow with the size of
+// the request; the time to the first token per uncached prompt token is suitable.
 type Detector struct {
-	// Enter and Leave are multiples of the usual latency; Enter > Leave. Zero means 3 and 1.5.
+	// EnterFactor and LeaveFactor are multiples of the slow average: above the first an upstream turns
+	// cold, below the second it is warm again. EnterFactor must be greater. Zero means 3 and 1.5.
 	EnterFactor, LeaveFactor float64
-	// Samples is how many in a row must be beyond a threshold; zero means 8.
+	// MinSamples is the number of consecutive samples beyond a threshold that change the state; zero
+	// means 8.
 	MinSamples int
 
-	fast, slow float64
-	n          int
-	run        int
-	cold       bool
+	fastMean, slowMean float64
+	count              int
+	beyondCount        int
+	cold               bool
 }
 
-// Weights of one sample in the moving means.
+// Weights of one sample in the moving averages.
 const (
 	fastWeight = 0.3
 	slowWeight = 0.01
-	// warmup is the number of samples before the slow mean is worth comparing with.
-	warmup = 32
+	// warmupSamples is the number of samples before the slow average is used for comparison.
+	warmupSamples = 32
 )
 
-// Observe takes one latency and reports whether the upstream has just turned cold.
+// Observe records one latency and reports whether the upstream has just turned cold.
 func (d *Detector) Observe(latency float64) bool {
-	if d.n == 0 {
-		d.fast, d.slow = latency, latency
+	if d.count == 0 {
+		d.fastMean, d.slowMean = latency, latency
 	}
-	d.n++
-	d.fast += fastWeight * (latency - d.fast)
+	d.count++
+	d.fastMean += fastWeight * (latency - d.fastMean)
 	if !d.cold {
 		weight := slowWeight
-		if d.n <= warmup {
-			weight = 1 / float64(d.n)
+		if d.count <= warmupSamples {
+			weight = 1 / float64(d.count)
 		}
-		if d.fast < d.enter()*d.slow || d.n <= warmup {
-			d.slow += weight * (latency - d.slow)
+		if d.fastMean < d.enterFactor()*d.slowMean || d.count <= warmupSamples {
+			d.slowMean += weight * (latency - d.slowMean)
 		}
 	}
-	return d.judge()
+	return d.updateState()
 }
 
 // Cold reports whether the upstream counts as cold.
 func (d *Detector) Cold() bool { return d.cold }
 
-func (d *Detector) judge() bool {
-	if d.n <= warmup {
+func (d *Detector) updateState() bool {
+	if d.count <= warmupSamples {
 		return false
 	}
-	beyond := d.fast > d.enter()*d.slow
+	beyond := d.fastMean > d.enterFactor()*d.slowMean
 	if d.cold {
-		beyond = d.fast < d.leave()*d.slow
+		beyond = d.fastMean < d.leaveFactor()*d.slowMean
 	}
 	if !beyond {
-		d.run = 0
+		d.beyondCount = 0
 		return false
 	}
-	d.run++
-	if d.run < d.samples() {
+	d.beyondCount++
+	if d.beyondCount < d.minSamples() {
 		return false
 	}
-	d.run = 0
+	d.beyondCount = 0
 	d.cold = !d.cold
 	return d.cold
 }
 
-func (d *Detector) enter() float64 {
+func (d *Detector) enterFactor() float64 {
 	if d.EnterFactor > 0 {
 		return d.EnterFactor
 	}
 	return 3
 }
 
-func (d *Detector) leave() float64 {
+func (d *Detector) leaveFactor() float64 {
 	if d.LeaveFactor > 0 {
 		return d.LeaveFactor
 	}
 	return 1.5
 }
 
-func (d *Detector) samples() int {
+func (d *Detector) minSamples() int {
 	if d.MinSamples > 0 {
 		return d.MinSamples
 	}
--- a/pkg/sageload/estimate.go
+++ b/pkg/sageload/estimate.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// Estimate is a router's idea of an upstream's load: the last report plus the router's own
-// dispatches that the report may not yet show. Reports lag and every router sees the same one, so
-// without the correction all of them would send to the upstream that looked idle.
+// Estimate is a router's estimate of an upstream's load: the last report plus the router's own
+// dispatches that the report may not include yet. Reports lag and every router receives the same one,
+// so without the correction all routers would send to the upstream that the report shows as idle.
 type Estimate struct {
-	// Silence is how long a report counts; later the load is unknown.
+	// MaxReportAge is how long a report is used; after it the load is unknown.
 	MaxReportAge time.Duration
 
-	report  Report
-	at      time.Time // when the report arrived
-	own     int       // own requests in flight
-	recent  int       // own dispatches since the report before arrived, not yet ended
-	pending int       // the same since the present report arrived
+	report        Report
+	reportedAt    time.Time // when the report arrived
+	ownInFlight   int
+	maybeReported int // own requests in flight, sent between the last two reports
+	unreported    int // own requests in flight, sent since the last report
 }
 
-// Dispatched counts a request sent to the upstream.
-func (e *Estimate) RecordDispatch() { e.own++; e.pending++ }
+// RecordDispatch counts a request sent to the upstream.
+func (e *Estimate) RecordDispatch() { e.ownInFlight++; e.unreported++ }
 
-// Ended counts a request that is no longer in flight.
+// RecordEnd counts a request that is no longer in flight.
 func (e *Estimate) RecordEnd() {
-	e.own = max(0, e.own-1)
-	e.pending = min(e.pending, e.own)
-	e.recent = min(e.recent, e.own-e.pending)
+	e.ownInFlight = max(0, e.ownInFlight-1)
+	e.unreported = min(e.unreported, e.ownInFlight)
+	e.maybeReported = min(e.maybeReported, e.ownInFlight-e.unreported)
 }
 
-// Observe takes a report that arrived at the instant now. A report with the same figures as before
-// (same AsOf) changes nothing.
+// Observe records a report that arrived at the instant now. It ignores a report whose figures are not
+// newer than those of the last one (by AsOf, within one boot).
 func (e *Estimate) Observe(now time.Time, r Report) {
-	if !e.at.IsZero() && r.BootID == e.report.BootID && !r.AsOf.After(e.report.AsOf) {
+	if !e.reportedAt.IsZero() && r.BootID == e.report.BootID && !r.AsOf.After(e.report.AsOf) {
 		return
 	}
-	// The figures may be as old as the arrival of the report before, so they may miss each
-	// dispatch since.
-	e.recent, e.pending = e.pending, 0
-	e.report, e.at = r, now
+	// The figures may be as old as the arrival of the previous report, so they may lack every dispatch
+	// since then.
+	e.maybeReported, e.unreported = e.unreported, 0
+	e.report, e.reportedAt = r, now
 }
 
-// InFlight returns the estimate; it is at least the router's own requests in flight.
+// InFlight returns the estimated requests in flight of all routers. It is at least the number of the
+// router's own.
 func (e *Estimate) InFlight() float64 {
-	return max(float64(e.report.InFlight+e.recent+e.pending), float64(e.own))
+	return max(float64(e.report.InFlight+e.maybeReported+e.unreported), float64(e.ownInFlight))
 }
 
-// Known reports whether the last report is recent enough to be believed.
+// Known reports whether the last report is recent enough to be used.
 func (e *Estimate) Known(now time.Time) bool {
-	return !e.at.IsZero() && now.Sub(e.at) < e.MaxReportAge
+	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) < e.MaxReportAge
 }
 
 // Report returns the last report.
--- a/pkg/sageload/ledger.go
+++ b/pkg/sageload/ledger.go
@@ -5,238 +5,244 @@
 	"time"
 )
 
-// turns is how many grant periods an order of holders lasts: long enough to use what it brings.
-const turns = 4
+// orderPeriods is how many grant periods an order of holders lasts. It is long enough for a holder to
+// use the units that its position in the order gives it.
+const orderPeriods = 4
 
-// unbounded is more units than any upstream has, and small enough for sums.
-const unbounded = 1 << 30
+// unboundedUnits stands for an unknown number of units. It exceeds the units of any upstream and is
+// small enough to be summed.
+const unboundedUnits = 1 << 30
 
-// Ledger is the home's side of the allotment of one upstream: who may have how much in flight. It
-// is not safe for concurrent use.
+// Ledger is the coordinator's side of the in-flight allotment of one upstream: how many requests each
+// router may have in flight. It is not safe for concurrent use.
 //
-// For each holder it commits the greatest number of requests, beyond the guaranteed share, that
-// the holder may have in flight: what it last reported, or any grant that it may still adopt or
-// use, whichever is more. What holders of earlier homes left running is committed as carried.
-// The sum of all commitments and the floor stays within the cap whenever it grants.
+// For each holder it commits the greatest number of requests beyond the guaranteed share that the
+// holder may have in flight: the number that it last reported or the units of any grant that it may
+// still adopt or use, whichever is greater. Requests that remain from grants of earlier coordinators
+// are committed as inherited. The sum of all commitments and the floor is within the cap whenever the
+// ledger grants.
 type Ledger struct {
-	// Coordinator names this process.
+	// Coordinator identifies this process.
 	Coordinator string
 	Voters      []string
 	Limits      Limits
-	// Floor is the sum of the guaranteed shares. It is set aside, and the shares become usable, once
-	// a boot has completed WarmAfter requests: a cold upstream might not bear even them, and while
-	// they belong to single routers the others could not warm it.
+	// Floor is the sum of the guaranteed shares. It is set aside, and the shares become usable, once a
+	// boot has completed WarmAfterRequests requests. A cold upstream might not have capacity even for
+	// the floor, and while units are set aside for single routers, the others can't use them to warm
+	// the upstream.
 	Floor             int
 	WarmAfterRequests uint64
 
-	capacity int
-	boot     string
-	report   Report
-	reported time.Time // when the report arrived
-	probed   time.Time // when the probe of the report was sent
-	resigned bool
+	capacity   int // current cap of the upstream
+	bootID     string
+	report     Report
+	reportedAt time.Time // when the report arrived
+	probedAt   time.Time // when the probe of the report was sent
+	resigned   bool
 
-	recognised map[string]time.Time
-	majority   time.Time // a majority recognises this home until then
-	grantFrom  time.Time // end of the wait for grants of earlier homes
-	carried    carried
-	holders    map[string]*holder
-	turn       string // names the present order of holders, see part
+	votes         map[string]time.Time // expiry of each voter's promise
+	majorityUntil time.Time            // when the promises of a majority expire
+	grantFrom     time.Time            // when the grants of earlier coordinators have expired
+	inherited     inheritedLoad
+	holders       map[string]*holder
+	orderSeed     string // determines the current order of holders, see maxMinShare
 }
 
-// holder is the ledger's account of one router process.
+// holder is the ledger's record of one router process.
 type holder struct {
-	seq  uint64
-	over int
-	want int
-	// spare is the part of want that is only a reserve.
-	spare int
-	last  sent // answered latest, perhaps not adopted
-	echo  sent // adopted, as the holder's echo said
-	// known says that over counts everything the holder has in flight on this boot, see carried.
-	known bool
+	seq            uint64
+	excessInFlight int
+	wanted         int
+	reserve        int    // part of wanted that is only a reserve
+	latest         answer // last answer sent, perhaps not adopted
+	adopted        answer // last answer that the holder has confirmed as adopted
+	// counted is true if excessInFlight includes everything the holder has in flight on this boot, so
+	// that none of it is counted as inherited.
+	counted bool
 }
 
-// sent is one answer that a holder may act on.
-type sent struct {
-	seq   uint64
-	units int
-	at    time.Time
-	until time.Time // the holder can't use it after this instant
+// answer is an answer that a holder may use.
+type answer struct {
+	seq         uint64
+	units       int
+	sentAt      time.Time
+	usableUntil time.Time // the holder can't start requests on it later
 }
 
-// carried bounds the requests in flight that no holder of this term has reported.
-type carried struct {
+// inheritedLoad bounds the requests in flight that no holder has reported in this coordinator's term.
+type inheritedLoad struct {
 	units int
-	// from is the first instant at which the number can only fall; until is when all have ended.
-	from, until time.Time
-	// seen is when the first report that counts them arrived; zero before.
-	seen time.Time
+	// No such request starts after noStartsAfter; all have ended by endsBy.
+	noStartsAfter, endsBy time.Time
+	// countedAt is when the first report that counts them arrived; zero before.
+	countedAt time.Time
 }
 
-// commit returns the greatest number of requests the holder may have in flight beyond its
+// committed returns the greatest number of requests that the holder may have in flight beyond its
 // guaranteed share.
-func (h *holder) commit() int { return max(h.over, h.last.units, h.echo.units) }
+func (h *holder) committed() int { return max(h.excessInFlight, h.latest.units, h.adopted.units) }
 
-// until returns the instant after which the holder can't start requests on any grant.
-func (h *holder) until() time.Time {
-	if h.echo.until.After(h.last.until) {
-		return h.echo.until
+// usableUntil returns the instant after which the holder can't start requests on any grant.
+func (h *holder) usableUntil() time.Time {
+	if h.adopted.usableUntil.After(h.latest.usableUntil) {
+		return h.adopted.usableUntil
 	}
-	return h.last.until
+	return h.latest.usableUntil
 }
 
-// Ask takes a holder's ask at the instant now and returns the answer.
-func (l *Ledger) HandleRequest(now time.Time, w GrantRequest) Grant {
-	l.advance(now)
-	l.turn = strconv.FormatInt(now.UnixNano()/int64(turns*l.Limits.GrantDuration+1), 36)
-	g := Grant{Upstream: w.Upstream, Seq: w.Seq, Coordinator: l.Coordinator, BootID: l.boot, Cap: l.capacity,
+// HandleRequest records a holder's request at the instant now and returns the answer.
+func (l *Ledger) HandleRequest(now time.Time, r GrantRequest) Grant {
+	l.expire(now)
+	l.orderSeed = strconv.FormatInt(now.UnixNano()/int64(orderPeriods*l.Limits.GrantDuration+1), 36)
+	g := Grant{Upstream: r.Upstream, Seq: r.Seq, Coordinator: l.Coordinator, BootID: l.bootID, Cap: l.capacity,
 		Report: l.report, ReportFresh: l.ReportFresh(now), Pending: true, Resigned: l.resigned}
-	h := l.holder(w)
-	if w.Seq <= h.seq {
-		// A late or repeated ask carries an old count of requests in flight; taking it would free
-		// units that are in use. The holder drops the answer too.
+	h := l.holderRecord(r)
+	if r.Seq <= h.seq {
+		// A late or repeated request has an old count of requests in flight; using it would free units
+		// that are in use. The holder drops the answer too.
 		return g
 	}
-	l.confirm(now, h, w)
-	l.vote(now, w)
-	if l.CanGrant(now) && l.settle(h) {
-		g.Units, g.Pending = l.share(w.Holder, h), false
+	l.updateHolder(now, h, r)
+	l.recordVote(now, r)
+	if l.CanGrant(now) && l.mayGrant(h) {
+		g.Units, g.Pending = l.unitsFor(r.Holder, h), false
 	}
-	h.seq = w.Seq
-	h.last = sent{seq: w.Seq, units: g.Units, at: now, until: now.Add(l.Limits.long(l.Limits.GrantDuration))}
+	h.seq = r.Seq
+	h.latest = answer{seq: r.Seq, units: g.Units, sentAt: now, usableUntil: now.Add(l.Limits.stretch(l.Limits.GrantDuration))}
 	if g.Pending {
-		h.last.units, h.last.until = h.echo.units, h.echo.until // the holder keeps what it has
+		h.latest.units, h.latest.usableUntil = h.adopted.units, h.adopted.usableUntil // the holder keeps what it has
 	}
-	// Only once grants have made room for the floor may it be used.
-	g.GuaranteedUsable = !g.Pending && l.floor() > 0 && l.Committed() <= l.capacity
+	// The floor may be used only once the commitments leave room for it.
+	g.GuaranteedUsable = !g.Pending && l.activeFloor() > 0 && l.Committed() <= l.capacity
 	return g
 }
 
-// Report takes the answer of a probe that was sent at the instant sent and says what the upstream
-// bears now (see [Ramp]).
-func (l *Ledger) RecordReport(now, sent time.Time, r Report, bears int) {
-	l.advance(now)
-	if sent.Before(l.probed) {
+// RecordReport records the answer to a probe that was sent at the instant sentAt. The limit is the
+// upstream's current cap (see [Ramp]).
+func (l *Ledger) RecordReport(now, sentAt time.Time, r Report, limit int) {
+	l.expire(now)
+	if sentAt.Before(l.probedAt) {
 		return
 	}
-	if l.boot != r.BootID {
-		l.restart(r.BootID)
+	if l.bootID != r.BootID {
+		l.resetForBoot(r.BootID)
 	}
-	l.report, l.reported, l.probed, l.capacity = r, now, sent, bears
-	l.observe(now, sent, r.InFlight)
+	l.report, l.reportedAt, l.probedAt, l.capacity = r, now, sentAt, limit
+	l.boundByReport(now, sentAt, r.InFlight)
 }
 
-// Known reports whether the last report is recent.
+// ReportFresh reports whether the last report is recent.
 func (l *Ledger) ReportFresh(now time.Time) bool {
-	return !l.reported.IsZero() && now.Sub(l.reported) < l.Limits.GrantDuration
+	return !l.reportedAt.IsZero() && now.Sub(l.reportedAt) < l.Limits.GrantDuration
 }
 
-// Granting reports whether this home may grant now.
+// CanGrant reports whether this coordinator may grant now.
 func (l *Ledger) CanGrant(now time.Time) bool {
-	return !l.resigned && l.recognisedAt(now) && !now.Before(l.grantFrom) && l.ReportFresh(now)
+	return !l.resigned && l.hasMajority(now) && !now.Before(l.grantFrom) && l.ReportFresh(now)
 }
 
-// Resign ends the term: from now on nothing is granted, and answers release the holders from
-// their promise, so that a successor need not wait for it.
+// Resign ends the term: the ledger grants no more, and its answers release the holders from their
+// promise, so that a successor doesn't have to wait for the promises to expire.
 func (l *Ledger) Resign() { l.resigned = true }
 
-// floor returns what is set aside for guaranteed shares. Completed only grows within a boot, so a
-// later home, whose report is newer, sets aside at least as much.
-func (l *Ledger) floor() int {
-	if l.reported.IsZero() || l.report.Completed < l.WarmAfterRequests {
+// activeFloor returns the units set aside for guaranteed shares. Completed only grows within a boot, so
+// a later coordinator, whose report is newer, sets aside at least as much.
+func (l *Ledger) activeFloor() int {
+	if l.reportedAt.IsZero() || l.report.Completed < l.WarmAfterRequests {
 		return 0
 	}
 	return l.Floor
 }
 
-// Committed returns the units that holders may have in flight, the floor included.
+// Committed returns the number of requests that all holders may have in flight, including the floor and
+// inherited requests.
 func (l *Ledger) Committed() int {
-	n := l.floor()
+	n := l.activeFloor()
 	for _, h := range l.holders {
-		n += h.commit()
+		n += h.committed()
 	}
-	return n + l.carried.units
+	return n + l.inherited.units
 }
 
-// holder returns the record of the asking process, a new one if it has none.
-func (l *Ledger) holder(w GrantRequest) *holder {
+// holderRecord returns the record of the requesting process and creates it if needed.
+func (l *Ledger) holderRecord(r GrantRequest) *holder {
 	if l.holders == nil {
 		l.holders = make(map[string]*holder)
 	}
-	h := l.holders[w.Holder]
+	h := l.holders[r.Holder]
 	if h == nil {
 		h = new(holder)
-		l.holders[w.Holder] = h
+		l.holders[r.Holder] = h
 	}
 	return h
 }
 
-// confirm takes over what the ask says of the holder. The holder adopts only the answer to its
-// latest ask, so of all answers only the echoed one and the coming one count from here on.
-func (l *Ledger) confirm(now time.Time, h *holder, w GrantRequest) {
-	if w.Coordinator == l.Coordinator && h.last.seq == w.AdoptedSeq {
-		h.echo = h.last
-	} else if h.echo.seq != w.AdoptedSeq || w.Coordinator != l.Coordinator {
-		h.echo = sent{}
+// updateHolder updates the holder's record from its request. The holder adopts only the answer to its
+// latest request, so from here on only the confirmed answer and the coming one count.
+func (l *Ledger) updateHolder(now time.Time, h *holder, r GrantRequest) {
+	if r.Coordinator == l.Coordinator && h.latest.seq == r.AdoptedSeq {
+		h.adopted = h.latest
+	} else if h.adopted.seq != r.AdoptedSeq || r.Coordinator != l.Coordinator {
+		h.adopted = answer{}
 	}
-	if !now.Before(h.echo.until) {
-		h.echo.units = 0
+	if !now.Before(h.adopted.usableUntil) {
+		h.adopted.units = 0
 	}
-	h.over, h.want, h.spare = w.ExcessInFlight, w.Units, min(w.Reserve, w.Units)
-	if !l.carried.seen.IsZero() && !h.known && h.echo.at.After(l.carried.seen) {
-		h.known = true
-		l.carried.units = max(0, l.carried.units-h.over)
+	h.excessInFlight, h.wanted, h.reserve = r.ExcessInFlight, r.Units, min(r.Reserve, r.Units)
+	if !l.inherited.countedAt.IsZero() && !h.counted && h.adopted.sentAt.After(l.inherited.countedAt) {
+		h.counted = true
+		l.inherited.units = max(0, l.inherited.units-h.excessInFlight)
 	}
 }
 
-// settle reports whether the holder may be granted units: only once everything it has in flight is
-// counted apart from the carried requests. Otherwise requests on a first grant would be taken for
-// carried ones, and the carried ones of dead routers would be forgotten.
-func (l *Ledger) settle(h *holder) bool {
-	return !l.carried.seen.IsZero() && h.known
+// mayGrant reports whether the holder may be granted units: only once everything it has in flight is
+// counted apart from the inherited requests. Otherwise requests on a first grant would be subtracted
+// from the inherited ones, and those of dead routers would no longer be counted.
+func (l *Ledger) mayGrant(h *holder) bool {
+	return !l.inherited.countedAt.IsZero() && h.counted
 }
 
-// share returns the units for a holder: its max-min fair share of the cap by wants, but no more
-// than the other commitments leave.
-func (l *Ledger) share(name string, h *holder) int {
-	left := l.capacity - l.floor() - l.carried.units
+// unitsFor returns the units for a holder: its max-min fair share of the cap, but no more than the
+// other commitments leave.
+func (l *Ledger) unitsFor(name string, h *holder) int {
+	available := l.capacity - l.activeFloor() - l.inherited.units
 	others := 0
 	for _, o := range l.holders {
 		if o != h {
-			others += o.commit()
+			others += o.committed()
 		}
 	}
-	return max(0, min(l.fair(name, h, left), left-others))
+	return max(0, min(l.fairShare(name, h, available), available-others))
 }
 
-// fair returns the holder's part of left: first the needs of all, then their reserves.
+// fairShare returns the holder's part of the available units: first the needs of all holders are
+// served, then their reserves.
 //
-// It guards against a router that gets nothing while upstreams idle: on a cold upstream there are
-// fewer units than routers, and those that others held in reserve, none in use, were never asked back.
-func (l *Ledger) fair(name string, h *holder, left int) int {
-	need := min(h.want-h.spare, l.part(name, left, (*holder).needs))
-	rest := left - l.filled(unbounded, (*holder).needs)
-	if rest <= 0 {
+// A cold upstream has fewer units than there are routers. If reserves counted as needs, unused units in
+// the reserves of some routers would never return, and a router with waiting requests would get none.
+func (l *Ledger) fairShare(name string, h *holder, available int) int {
+	need := min(h.wanted-h.reserve, l.maxMinShare(name, available, (*holder).neededUnits))
+	remaining := available - l.sumCapped(unboundedUnits, (*holder).neededUnits)
+	if remaining <= 0 {
 		return need
 	}
-	return need + min(h.spare, l.part(name, rest, (*holder).spares))
+	return need + min(h.reserve, l.maxMinShare(name, remaining, (*holder).reservedUnits))
 }
 
-// needs returns what the holder has in flight or has requests waiting for.
-func (h *holder) needs() int { return max(h.want-h.spare, h.over) }
+// neededUnits returns the units for the holder's requests in flight and waiting.
+func (h *holder) neededUnits() int { return max(h.wanted-h.reserve, h.excessInFlight) }
 
-// spares returns what it would hold in reserve.
-func (h *holder) spares() int { return h.spare }
+func (h *holder) reservedUnits() int { return h.reserve }
 
-// part returns the holder's max-min fair part of left: its amount, cut to the level at which the
-// amounts of all fill left. What the level leaves over goes one by one to the first holders that
-// have more, in an order that changes with each turn, so that nobody is last for good.
-func (l *Ledger) part(name string, left int, amount func(*holder) int) int {
-	lo, hi := 0, max(0, left)
+// maxMinShare returns the holder's max-min fair part of the available units: its amount, capped at the
+// highest level at which the capped amounts of all holders fit. The remaining units go one each to the
+// first holders with larger amounts. Their order changes every orderPeriods grant periods, so that no
+// holder is always last.
+func (l *Ledger) maxMinShare(name string, available int, amount func(*holder) int) int {
+	lo, hi := 0, max(0, available)
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if l.filled(mid, amount) <= left {
+		if l.sumCapped(mid, amount) <= available {
 			lo = mid
 		} else {
 			hi = mid - 1
@@ -247,24 +253,24 @@
 	}
 	before := 0
 	for n, o := range l.holders {
-		if amount(o) > lo && l.earlier(n, name) {
+		if amount(o) > lo && l.precedes(n, name) {
 			before++
 		}
 	}
-	if before < left-l.filled(lo, amount) {
+	if before < available-l.sumCapped(lo, amount) {
 		return lo + 1
 	}
 	return lo
 }
 
-// earlier reports whether holder a comes before b in the present turn.
-func (l *Ledger) earlier(a, b string) bool {
-	x, y := score(l.turn, a), score(l.turn, b)
+// precedes reports whether holder a comes before b in the current order.
+func (l *Ledger) precedes(a, b string) bool {
+	x, y := score(l.orderSeed, a), score(l.orderSeed, b)
 	return x > y || x == y && a < b
 }
 
-// filled returns the sum of the amounts of all holders, each cut to the level.
-func (l *Ledger) filled(level int, amount func(*holder) int) int {
+// sumCapped returns the sum of the amounts of all holders, each capped at level.
+func (l *Ledger) sumCapped(level int, amount func(*holder) int) int {
 	sum := 0
 	for _, h := range l.holders {
 		sum += min(level, amount(h))
--- a/pkg/sageload/limits.go
+++ b/pkg/sageload/limits.go
@@ -10,22 +10,23 @@
 // ErrBadLimits reports limits under which the bound would not hold.
 var ErrBadLimits = errors.New("limits out of range")
 
-// Limits are the periods of the allotment protocol; all nodes use the same ones.
+// Limits are the periods of the allotment protocol. All nodes must use the same ones.
 type Limits struct {
-	// Grant is how long a grant lasts: at the holder since it asked, at the home since it answered.
+	// GrantDuration is how long a grant lasts: for the holder since it sent the request, for the
+	// coordinator since it answered.
 	GrantDuration time.Duration
-	// Promise is how long a voter that recognised a home recognises no other.
+	// PromiseDuration is how long a voter that voted for a coordinator votes for no other.
 	PromiseDuration time.Duration
-	// Lifetime bounds a request: the router ends it, and the upstream no longer works on it, after
-	// this long.
+	// RequestLifetime is the longest time for which a request runs: after it the router ends the
+	// request, and the upstream no longer works on it.
 	RequestLifetime time.Duration
-	// ReportLag bounds the age of the figures in an answer of GET /v1/load.
+	// ReportLag is the greatest age of the figures in an answer to GET /v1/load.
 	ReportLag time.Duration
-	// Drift bounds how far the rate of a node's clock is from true, as a fraction.
+	// MaxClockDrift is the greatest relative error of the rate of a node's clock.
 	MaxClockDrift float64
 }
 
-// DefaultLimits suit nodes whose quartz clocks are far better than the assumed half percent.
+// DefaultLimits suit nodes with quartz clocks, whose error is far below the assumed half percent.
 var DefaultLimits = Limits{
 	GrantDuration:   3 * time.Second,
 	PromiseDuration: 3 * time.Second,
@@ -34,9 +35,9 @@
 	MaxClockDrift:   0.005,
 }
 
-// Check reports a period that isn't positive, a drift outside [0, 0.1] or reports that may be older
-// than a grant, wrapped around [ErrBadLimits]. A new home must see at least as much completed work
-// as the one before it, or it would not set aside the floor that is already in use.
+// Validate returns an error that wraps [ErrBadLimits] if a period isn't positive, the drift is outside
+// [0, 0.1], or reports may be as old as a grant. A new coordinator must see at least as much completed
+// work as the one before it; otherwise it would not set aside the floor that is already in use.
 func (l Limits) Validate() error {
 	if l.GrantDuration <= 0 || l.PromiseDuration <= 0 || l.RequestLifetime <= 0 || l.ReportLag < 0 {
 		return fmt.Errorf("periods must be positive: %w", ErrBadLimits)
@@ -50,13 +51,13 @@
 	return nil
 }
 
-// long stretches d so that d has passed on every clock once long(d) has passed on this one.
-// Two clocks of rates 1-Drift and 1+Drift differ by the factor (1+Drift)/(1-Drift).
-func (l Limits) long(d time.Duration) time.Duration {
+// stretch returns a duration after which d has passed on every clock. Two clocks of rates
+// 1-MaxClockDrift and 1+MaxClockDrift differ by the factor (1+MaxClockDrift)/(1-MaxClockDrift).
+func (l Limits) stretch(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + l.MaxClockDrift) / (1 - l.MaxClockDrift))
 }
 
-// short shrinks d so that d has not passed on any clock while short(d) has not on this one.
-func (l Limits) short(d time.Duration) time.Duration {
+// shrink returns a duration within which d has not passed on any clock.
+func (l Limits) shrink(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - l.MaxClockDrift) / (1 + l.MaxClockDrift))
 }
--- a/pkg/sageload/ramp.go
+++ b/pkg/sageload/ramp.go
@@ -1,53 +1,54 @@
 package sageload
 
-// Ramp says what an upstream may carry now. It starts at Start, or at a quarter of what the upstream
-// says that it bears if that is more, and grows by one for each PerUnit
-// completed requests, up to what the upstream says it bears.
+// Ramp computes the current cap of an upstream. The cap starts at InitialCap, or at a quarter of the
+// capacity that the upstream reports if that is more, and grows by one for each CompletionsPerUnit
+// completed requests, up to the reported capacity.
 //
-// Growth follows completed work, not time: an upstream that is stuck in its start would otherwise
-// be given more and more. It restarts when the boot id or the cache generation changes, when
-// [Ramp.Restart] is called (latency, return from an exit), so that a cold upstream never gets the
-// share of the warm one that it was.
+// Growth follows completed work, not time: an upstream that hangs while it starts would otherwise be
+// given more and more requests. The ramp restarts when the boot id or the cache generation changes, or
+// when [Ramp.Restart] is called (after an increase of latency, or on return from an exclusion), so that
+// a cold upstream never gets the cap that it had when warm.
 type Ramp struct {
-	// Start is the least that the upstream bears at any time.
+	// InitialCap is the lowest initial cap of a cold upstream.
 	InitialCap int
-	// PerUnit is the number of completed requests for one more at once; 0 means 1.
+	// CompletionsPerUnit is the number of completed requests for which the cap grows by one; 0 means 1.
 	CompletionsPerUnit uint64
-	// Max is the configured limit; 0 means none.
+	// MaxCap is the configured limit of the cap; 0 means none.
 	MaxCap int
 
-	seen       bool
-	boot       string
-	generation uint64
-	base       uint64
-	completed  uint64
+	observed        bool
+	bootID          string
+	cacheGeneration uint64
+	baseCompleted   uint64
+	completed       uint64
 }
 
-// Observe takes a report and returns the number of requests that the upstream bears now.
+// Observe records a report and returns the current cap.
 func (p *Ramp) Observe(r Report) int {
 	switch {
-	case !p.seen || r.BootID != p.boot:
-		// The count runs since the boot, so a home that is new to a warm upstream sees it warm.
-		p.base = 0
-	case r.CacheGeneration != p.generation || r.Completed < p.base:
-		p.base = r.Completed
+	case !p.observed || r.BootID != p.bootID:
+		// Completed counts since the boot, so a coordinator that first observes a warm upstream treats
+		// it as warm.
+		p.baseCompleted = 0
+	case r.CacheGeneration != p.cacheGeneration || r.Completed < p.baseCompleted:
+		p.baseCompleted = r.Completed
 	}
-	p.seen, p.boot, p.generation, p.completed = true, r.BootID, r.CacheGeneration, r.Completed
+	p.observed, p.bootID, p.cacheGeneration, p.completed = true, r.BootID, r.CacheGeneration, r.Completed
 	return p.Cap(r.Capacity)
 }
 
-// Restart begins the ramp anew: the upstream is cold although it runs as the same boot.
-func (p *Ramp) Restart() { p.base = p.completed }
+// Restart restarts the ramp of an upstream that has turned cold within the same boot.
+func (p *Ramp) Restart() { p.baseCompleted = p.completed }
 
-// Cap returns the present cap of an upstream that says it bears that many.
-func (p *Ramp) Cap(bears int) int {
-	grown := uint64(0)
-	if p.completed > p.base {
-		grown = (p.completed - p.base) / max(p.CompletionsPerUnit, 1)
+// Cap returns the current cap of an upstream that reports the given capacity.
+func (p *Ramp) Cap(capacity int) int {
+	growth := uint64(0)
+	if p.completed > p.baseCompleted {
+		growth = (p.completed - p.baseCompleted) / max(p.CompletionsPerUnit, 1)
 	}
-	c, start := bears, max(p.InitialCap, bears/4)
-	if uint64(start)+grown < uint64(max(bears, 0)) {
-		c = start + int(grown)
+	c, initial := capacity, max(p.InitialCap, capacity/4)
+	if uint64(initial)+growth < uint64(max(capacity, 0)) {
+		c = initial + int(growth)
 	}
 	if p.MaxCap > 0 {
 		c = min(c, p.MaxCap)
--- a/pkg/sageload/term.go
+++ b/pkg/sageload/term.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// vote counts the holder's recognition of this home. The promise began when the holder sent the
-// ask, which was after this home sent the answer that the ask echoes; counting from that answer
-// ends before the promise does, on any clock.
-func (l *Ledger) vote(now time.Time, w GrantRequest) {
-	if !w.Vote || w.Coordinator != l.Coordinator || l.resigned || !l.elects(w.Node) {
+// recordVote counts a holder's vote for this coordinator. The promise began when the holder sent the
+// request, which was after this coordinator sent the answer that the request confirms. Counting from
+// that answer therefore ends before the promise does, on any clock.
+func (l *Ledger) recordVote(now time.Time, r GrantRequest) {
+	if !r.Vote || r.Coordinator != l.Coordinator || l.resigned || !l.isVoter(r.Node) {
 		return
 	}
-	h := l.holders[w.Holder]
-	if h.echo.seq != w.AdoptedSeq {
+	h := l.holders[r.Holder]
+	if h.adopted.seq != r.AdoptedSeq {
 		return
 	}
-	if l.recognised == nil {
-		l.recognised = make(map[string]time.Time)
+	if l.votes == nil {
+		l.votes = make(map[string]time.Time)
 	}
-	until := h.echo.at.Add(l.Limits.short(l.Limits.PromiseDuration))
-	if until.After(l.recognised[w.Node]) {
-		l.recognised[w.Node] = until
+	until := h.adopted.sentAt.Add(l.Limits.shrink(l.Limits.PromiseDuration))
+	if until.After(l.votes[r.Node]) {
+		l.votes[r.Node] = until
 	}
-	l.elect(now)
+	l.updateMajority(now)
 }
 
-func (l *Ledger) elects(node string) bool {
+func (l *Ledger) isVoter(node string) bool {
 	for _, n := range l.Voters {
 		if n == node {
 			return true
@@ -35,86 +35,88 @@
 	return false
 }
 
-// elect computes until when a majority recognises this home, and begins a term if none runs.
+// updateMajority computes until when a majority has voted for this coordinator, and starts a term if
+// none is running.
 //
-// A new term waits: an earlier home may have granted until the last voter turned away from it,
-// and routers use such grants for a whole grant period. Granting at once would add to them.
-func (l *Ledger) elect(now time.Time) {
-	running := l.recognisedAt(now)
-	until := make([]time.Time, 0, len(l.recognised))
-	for _, t := range l.recognised {
-		until = append(until, t)
+// A new term begins with a wait of one grant period: an earlier coordinator may have granted until it
+// lost its last needed vote, and routers use such grants for a whole grant period. Granting immediately
+// would add to them.
+func (l *Ledger) updateMajority(now time.Time) {
+	hadMajority := l.hasMajority(now)
+	expiries := make([]time.Time, 0, len(l.votes))
+	for _, t := range l.votes {
+		expiries = append(expiries, t)
 	}
-	need := len(l.Voters)/2 + 1
-	if len(until) < need {
+	quorum := len(l.Voters)/2 + 1
+	if len(expiries) < quorum {
 		return
 	}
-	sort.Slice(until, func(i, j int) bool { return until[i].After(until[j]) })
-	l.majority = until[need-1]
-	if running || !l.recognisedAt(now) {
+	sort.Slice(expiries, func(i, j int) bool { return expiries[i].After(expiries[j]) })
+	l.majorityUntil = expiries[quorum-1]
+	if hadMajority || !l.hasMajority(now) {
 		return
 	}
-	l.grantFrom = now.Add(l.Limits.long(l.Limits.GrantDuration))
-	l.forget(l.grantFrom)
+	l.grantFrom = now.Add(l.Limits.stretch(l.Limits.GrantDuration))
+	l.resetHolders(l.grantFrom)
 }
 
-func (l *Ledger) recognisedAt(now time.Time) bool { return now.Before(l.majority) }
+func (l *Ledger) hasMajority(now time.Time) bool { return now.Before(l.majorityUntil) }
 
-// forget drops what the ledger knew of holders; whatever is in flight is carried, unbounded until
-// a report counts it. From the instant from on it can only fall.
-func (l *Ledger) forget(from time.Time) {
+// resetHolders drops what the ledger knows of holders. Whatever is in flight becomes inherited and is
+// unbounded until a report counts it. From the given instant on, no such request starts.
+func (l *Ledger) resetHolders(from time.Time) {
 	for _, h := range l.holders {
-		h.known = false
-		h.last.units, h.echo.units, h.over = 0, 0, 0
+		h.counted = false
+		h.latest.units, h.adopted.units, h.excessInFlight = 0, 0, 0
 	}
-	l.carried = carried{units: unbounded, from: from, until: from.Add(l.Limits.long(l.Limits.RequestLifetime))}
+	l.inherited = inheritedLoad{units: unboundedUnits, noStartsAfter: from, endsBy: from.Add(l.Limits.stretch(l.Limits.RequestLifetime))}
 }
 
-// restart begins the account of another boot. Grants name their boot and die with it; what an
-// earlier home granted for this boot is carried.
-func (l *Ledger) restart(boot string) {
-	l.boot = boot
-	l.forget(l.grantFrom)
+// resetForBoot starts the accounting of another boot. Grants name their boot and are not usable on
+// another; requests from an earlier coordinator's grants for this boot are inherited.
+func (l *Ledger) resetForBoot(boot string) {
+	l.bootID = boot
+	l.resetHolders(l.grantFrom)
 }
 
-// observe bounds what is carried, and what silent holders may have left running, by the number of
-// requests in flight that a report gives. The report counts only if its figures were taken after
-// the last of these requests could have begun.
-func (l *Ledger) observe(now, sent time.Time, inFlight int) {
-	asOf := sent.Add(-l.Limits.long(l.Limits.ReportLag))
-	if !asOf.Before(l.carried.from) && !l.majority.IsZero() {
-		l.carried.units = min(l.carried.units, inFlight)
-		if l.carried.seen.IsZero() {
-			l.carried.seen = now
+// boundByReport bounds the inherited requests, and those that holders without a usable grant may have
+// left running, by the number of requests in flight in a report. The report is used only if its figures
+// were taken after the last of these requests could have started.
+func (l *Ledger) boundByReport(now, sentAt time.Time, inFlight int) {
+	asOf := sentAt.Add(-l.Limits.stretch(l.Limits.ReportLag))
+	if !asOf.Before(l.inherited.noStartsAfter) && !l.majorityUntil.IsZero() {
+		l.inherited.units = min(l.inherited.units, inFlight)
+		if l.inherited.countedAt.IsZero() {
+			l.inherited.countedAt = now
 		}
 	}
 	for _, h := range l.holders {
-		if asOf.After(h.until()) {
-			h.over = min(h.commit(), inFlight)
-			h.last.units, h.echo.units = 0, 0
+		if asOf.After(h.usableUntil()) {
+			h.excessInFlight = min(h.committed(), inFlight)
+			h.latest.units, h.adopted.units = 0, 0
 		}
 	}
 }
 
-// advance drops what has ended by now.
-func (l *Ledger) advance(now time.Time) {
-	if !l.carried.until.IsZero() && !now.Before(l.carried.until) {
-		l.carried.units = 0
-		if l.carried.seen.IsZero() {
-			l.carried.seen = now
+// expire drops the state that has expired by now.
+func (l *Ledger) expire(now time.Time) {
+	if !l.inherited.endsBy.IsZero() && !now.Before(l.inherited.endsBy) {
+		l.inherited.units = 0
+		if l.inherited.countedAt.IsZero() {
+			l.inherited.countedAt = now
 		}
 	}
-	life := l.Limits.long(l.Limits.RequestLifetime)
-	for k, h := range l.holders {
-		end := h.until()
+	lifetime := l.Limits.stretch(l.Limits.RequestLifetime)
+	for id, h := range l.holders {
+		end := h.usableUntil()
 		if !now.Before(end) {
-			h.want, h.spare = 0, 0
+			h.wanted, h.reserve = 0, 0
 		}
-		if h.last.at.After(end) {
-			end = h.last.at
+		if h.latest.sentAt.After(end) {
+			end = h.latest.sentAt
 		}
-		if now.Sub(end) >= life {
-			delete(l.holders, k)
+		if now.Sub(end) >= lifetime {
+			delete(l.holders, id)
 		}
 	}
 }
