--- a/pkg/sageplace/bench_test.go
+++ b/pkg/sageplace/bench_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// busy returns 256 candidates of which many are over the mark, so that a decision has to look far.
-func busy() (*Table, *Loads) {
+// busyLoads returns 256 candidates of which many are above the bound, so that a decision examines many
+// of them.
+func busyLoads() (*Table, *Loads) {
 	t, l := NewTable(upstreams(256, 16)), NewLoads(256)
 	l.Refresh(func(i int) Load {
 		return Load{InFlight: float64(mix(uint64(i)) % 16), Cap: 16, Free: 16, Known: i%50 != 0}
@@ -31,25 +32,25 @@
 }
 
 func BenchmarkChoose256(b *testing.B) {
-	t, l := busy()
+	t, l := busyLoads()
 	qs := queries(t)
-	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testUncachedBound, WidthPolicy: NewWidthByLoad(1024)}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		p.Choose(start, t, l, &qs[n%len(qs)])
 	}
 }
 
-// BenchmarkInOrder256 is the costliest path alone: no place, no wide context.
-func BenchmarkInOrder256(b *testing.B) {
-	t, l := busy()
+// BenchmarkFirstInOrder256 measures the most expensive path alone: no location, no spread context.
+func BenchmarkFirstInOrder256(b *testing.B) {
+	t, l := busyLoads()
 	b.ReportAllocs()
 	for n := uint64(1); b.Loop(); n++ {
-		inOrder(t, l, mix(n), nil, l.limit(testBound, 0))
+		firstInOrder(t, l, mix(n), nil, l.limitFor(testBound, 0))
 	}
 }
 
-func BenchmarkOpen(b *testing.B) {
+func BenchmarkVerify(b *testing.B) {
 	s := &TokenSigner{Keys: [][]byte{[]byte("key")}}
 	tok := s.Sign("ab", "c", Location{Upstream: 1, Generation: 2}, start.Add(time.Hour))
 	for b.Loop() {
@@ -58,9 +59,9 @@
 }
 
 func TestChooseAllocatesNothing(t *testing.T) {
-	tab, l := busy()
+	tab, l := busyLoads()
 	qs := queries(tab)
-	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testUncachedBound, WidthPolicy: NewWidthByLoad(1024)}
 	n := 0
 	require.Zero(t, testing.AllocsPerRun(500, func() {
 		p.Choose(start.Add(time.Duration(n)*time.Second), tab, l, &qs[n%len(qs)])
@@ -68,10 +69,10 @@
 	}))
 }
 
-// BenchmarkRefuse256 is the worst case: no candidate fits, so each is looked at twice.
+// BenchmarkRefuse256 measures the worst case: no candidate fits, so each is examined twice.
 func BenchmarkRefuse256(b *testing.B) {
-	t, l := NewTable(upstreams(256, 16)), even(256, 16, 16)
-	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(1024)}
+	t, l := NewTable(upstreams(256, 16)), evenLoads(256, 16, 16)
+	p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testUncachedBound, WidthPolicy: NewWidthByLoad(1024)}
 	q := &Query{Chat: 7}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/sageplace/fuzz_test.go
+++ b/pkg/sageplace/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzOpen: no token that a caller makes up opens.
-func FuzzOpen(f *testing.F) {
+// FuzzVerify checks that no forged token is accepted.
+func FuzzVerify(f *testing.F) {
 	s := &TokenSigner{Keys: [][]byte{[]byte("key")}}
 	f.Add("", "depot", "chat-1")
 	f.Add("AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "depot", "chat-1")
--- a/pkg/sageplace/main_test.go
+++ b/pkg/sageplace/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that each run has the same verdict.
+// TestMain gives the property tests a fixed seed, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300"} {
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-var testBound, testFresh = LoadBounds(DefaultLoadBound)
+var testBound, testUncachedBound = LoadBounds(DefaultLoadBound)
 
 func upstreams(n, weight int) []Upstream {
 	ups := make([]Upstream, n)
@@ -29,8 +29,8 @@
 	return ups
 }
 
-// even returns n known loads of the same size.
-func even(n int, inFlight float64, capacity int) *Loads {
+// evenLoads returns n known loads of the same size.
+func evenLoads(n int, inFlight float64, capacity int) *Loads {
 	l := NewLoads(n)
 	l.Refresh(func(int) Load { return Load{InFlight: inFlight, Cap: capacity, Free: capacity, Known: true} })
 	return l
--- a/pkg/sageplace/placer.go
+++ b/pkg/sageplace/placer.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// DefaultLoadBound is the multiple of the mean load that no upstream is to exceed.
-// docs/design/placement.md has the measurement that chose it.
+// DefaultLoadBound is the multiple of the mean load that no upstream should exceed.
+// docs/design/placement.md describes how it was measured.
 const DefaultLoadBound = 1.5
 
-// LoadBounds returns the bounds to place by so that a multiple of the mean is seldom exceeded. The bound is
-// for all requests, fresh for chats of which an upstream holds nothing: these even out the load, since
-// moving them costs no cache. A bound below the multiple gains nothing, as loads are known too late.
-func LoadBounds(multiple float64) (bound, fresh float64) {
+// LoadBounds returns the bounds of a [Placer] for a multiple of the mean that should seldom be
+// exceeded. The first is for all requests, the second for chats without a cached prefix: these even out
+// the load, since moving them loses no cache. A first bound below the multiple has no benefit, because
+// load reports lag.
+func LoadBounds(multiple float64) (bound, uncached float64) {
 	return multiple, 1 + (multiple-1)/5
 }
 
-// DefaultHeadroom is the part of an upstream's capacity that a request leaves free, from the most urgent
-// priority class to the least.
+// DefaultHeadroom is the fraction of an upstream's cap that a request leaves free, from the most urgent
+// priority class to the least urgent.
 var DefaultHeadroom = [3]float64{0, 0.05, 0.2}
 
-// Location names an upstream by the [Key] of its name, and the generation of its cache.
+// Location identifies an upstream by the [Key] of its name, and the generation of its cache.
 type Location struct {
 	Upstream   uint64
 	Generation uint64
@@ -32,32 +33,34 @@
 	Context uint64
 	// Chat is the key of the returning chat.
 	Chat uint64
-	// Request spreads requests that have neither context nor chat.
+	// Request is the key of a request that has neither context nor chat; it spreads such requests.
 	Request uint64
-	// Location is where the chat's cached prefix is thought to be; its zero value says nothing.
+	// Location is the likely location of the chat's cached prefix; the zero value means unknown.
 	Location Location
-	// Tried lists upstreams, by place in the table, that must not be chosen again.
+	// Tried lists upstreams, by index in the table, that must not be chosen again.
 	Tried []int
-	// Yield is the part of an upstream's capacity that the request leaves to more urgent ones.
+	// Headroom is the fraction of an upstream's cap that the request leaves to more urgent ones.
 	Headroom float64
 }
 
-// Reason tells which rule chose.
+// Reason is the rule that determined a [Choice].
 type Reason uint8
 
 // The rules.
 const (
-	// Empty: the table has no candidate outside Tried.
+	// ReasonNoCandidate means that the table has no candidate outside Tried.
 	ReasonNoCandidate Reason = iota
-	// Over: every candidate is at its bound.
+	// ReasonAllAtBound means that every candidate is at its bound.
 	ReasonAllAtBound
-	// Kept: the chat stays where its prefix is.
+	// ReasonCachedPrefix means that the chosen upstream has the chat's prefix in its cache.
 	ReasonCachedPrefix
-	// First: the first upstream of the key's order, or one that the context is spread over.
+	// ReasonHashOrder means the first upstream of the key's order, or one that the context is spread
+	// over.
 	ReasonHashOrder
-	// Spilled: the first upstream of the order that is under the bound.
+	// ReasonSpilled means the first upstream of the order that is under the bound.
 	ReasonSpilled
-	// Silent: nothing known fits; this upstream's load is unknown.
+	// ReasonLoadUnknown means an upstream of unknown load, chosen because no upstream of known load
+	// fits.
 	ReasonLoadUnknown
 )
 
@@ -72,67 +75,68 @@
 	Choose(now time.Time, t *Table, l *Loads, q *Query) Choice
 }
 
-// Placer is the policy of this package, with a rule for the width of hot contexts. It is not safe for
+// Placer is the policy of this package. W decides how widely contexts are spread. It is not safe for
 // concurrent use.
 type Placer[W WidthPolicy] struct {
-	// Bound is the multiple of the mean load up to which a request may be placed at all; see [LoadBounds].
+	// LoadBound is the multiple of the mean load up to which an upstream takes requests; see
+	// [LoadBounds].
 	LoadBound float64
-	// Fresh is the multiple up to which an upstream takes chats that it holds nothing of. Below
-	// Bound, it keeps room for the chats that it does hold.
+	// UncachedLoadBound is the multiple up to which an upstream takes chats without a cached prefix
+	// there. Below LoadBound, it leaves room for the chats that do have one.
 	UncachedLoadBound float64
 	WidthPolicy       W
 }
 
 // Choose implements [Policy].
 func (p *Placer[W]) Choose(now time.Time, t *Table, l *Loads, q *Query) Choice {
-	if i := p.kept(t, l, q); i >= 0 {
+	if i := p.cachedUpstream(t, l, q); i >= 0 {
 		return Choice{Index: i, Reason: ReasonCachedPrefix}
 	}
-	key := q.key()
+	key := q.orderKey()
 	if q.Context != 0 {
-		if i := p.wide(now, t, l, q); i >= 0 {
+		if i := p.spreadUpstream(now, t, l, q); i >= 0 {
 			return Choice{Index: i, Reason: ReasonHashOrder}
 		}
 	}
-	c := inOrder(t, l, key, q.Tried, l.limit(p.UncachedLoadBound, q.Headroom))
-	if c.Reason == ReasonLoadUnknown || c.Reason == ReasonAllAtBound && l.anyFits(l.limit(p.LoadBound, q.Headroom)) {
-		// Above Fresh everywhere: the bound itself decides.
-		c = inOrder(t, l, key, q.Tried, l.limit(p.LoadBound, q.Headroom))
+	c := firstInOrder(t, l, key, q.Tried, l.limitFor(p.UncachedLoadBound, q.Headroom))
+	if c.Reason == ReasonLoadUnknown || c.Reason == ReasonAllAtBound && l.anyFits(l.limitFor(p.LoadBound, q.Headroom)) {
+		// All are above UncachedLoadBound, so LoadBound applies.
+		c = firstInOrder(t, l, key, q.Tried, l.limitFor(p.LoadBound, q.Headroom))
 	}
 	return c
 }
 
-// kept returns the upstream that holds the chat's prefix if it may take the request, or -1. A place
-// that names an older generation holds nothing any more.
-func (p *Placer[W]) kept(t *Table, l *Loads, q *Query) int {
+// cachedUpstream returns the upstream that has the chat's prefix in its cache if it may take the
+// request, or -1. If the upstream's cache generation has changed, the prefix is lost.
+func (p *Placer[W]) cachedUpstream(t *Table, l *Loads, q *Query) int {
 	if q.Location.Upstream == 0 {
 		return -1
 	}
 	i := t.Find(q.Location.Upstream)
-	if i < 0 || l.all[i].CacheGeneration != q.Location.Generation {
+	if i < 0 || l.loads[i].CacheGeneration != q.Location.Generation {
 		return -1
 	}
-	if slices.Contains(q.Tried, i) || !l.fits(i, l.limit(p.LoadBound, q.Headroom)) {
+	if slices.Contains(q.Tried, i) || !l.fits(i, l.limitFor(p.LoadBound, q.Headroom)) {
 		return -1
 	}
 	return i
 }
 
-// wide returns the upstream for the chat among those that its context is spread over, or -1. It is
-// the less loaded of the first two of the chat's own order: the chat has no cached prefix here, the
-// context is cached on both, so evening out the load costs nothing.
-func (p *Placer[W]) wide(now time.Time, t *Table, l *Loads, q *Query) int {
-	among := p.WidthPolicy.Upstreams(now, t, l, q.Context)
-	if len(among) < 2 {
+// spreadUpstream returns the upstream for the chat among those that its context is spread over, or -1.
+// It is the less loaded of the first two in the chat's own order: the chat has no cached prefix here
+// and the context is cached on both, so evening out the load costs nothing.
+func (p *Placer[W]) spreadUpstream(now time.Time, t *Table, l *Loads, q *Query) int {
+	candidates := p.WidthPolicy.Upstreams(now, t, l, q.Context)
+	if len(candidates) < 2 {
 		return -1
 	}
-	key, m := q.chatKey(), l.limit(p.UncachedLoadBound, q.Headroom)
-	const none = ^uint64(0)
-	first, firstAt := none, -1
-	second, secondAt := none, -1
-	for _, i := range among {
+	key, limit := q.chatKey(), l.limitFor(p.UncachedLoadBound, q.Headroom)
+	const maxCost = ^uint64(0)
+	first, firstAt := maxCost, -1
+	second, secondAt := maxCost, -1
+	for _, i := range candidates {
 		c := t.cost(key, int(i))
-		if c >= second || !l.fits(int(i), m) || slices.Contains(q.Tried, int(i)) {
+		if c >= second || !l.fits(int(i), limit) || slices.Contains(q.Tried, int(i)) {
 			continue
 		}
 		second, secondAt = c, int(i)
@@ -141,14 +145,14 @@
 			firstAt, secondAt = secondAt, firstAt
 		}
 	}
-	if secondAt >= 0 && l.relative(secondAt) < l.relative(firstAt) {
+	if secondAt >= 0 && l.utilization(secondAt) < l.utilization(firstAt) {
 		return secondAt
 	}
 	return firstAt
 }
 
-// key is what the order is made from: chats of one context meet on the same upstreams.
-func (q *Query) key() uint64 {
+// orderKey returns the key of the rendezvous order: chats of one context go to the same upstreams.
+func (q *Query) orderKey() uint64 {
 	if q.Context != 0 {
 		return q.Context
 	}
@@ -162,52 +166,52 @@
 	return q.Request
 }
 
-// inOrder returns the first upstream of key's order that fits. It needs no sorting: of those that
-// fit, the one with the lowest cost is the first, and only an upstream that would become the lowest
-// has to be looked at.
+// firstInOrder returns the first upstream of key's order that fits. It doesn't sort: of the upstreams
+// that fit, it needs only the one with the lowest cost.
 //
-// An upstream of unknown load is taken as first of the order, where chats return to it anyway, but
-// not as a spill while a known one fits: all routers would spill on it blindly.
-func inOrder(t *Table, l *Loads, key uint64, tried []int, m limit) Choice {
-	const none = ^uint64(0)
-	front, frontAt := none, -1
-	known, knownAt := none, -1
-	silent, silentAt := none, -1
+// An upstream of unknown load is chosen if it is the first of the order, because its chats return to it
+// anyway. It is not chosen as a spill while an upstream of known load fits: all routers would spill to
+// it without knowing its load.
+func firstInOrder(t *Table, l *Loads, key uint64, tried []int, limit loadLimit) Choice {
+	const maxCost = ^uint64(0)
+	first, firstAt := maxCost, -1
+	known, knownAt := maxCost, -1
+	unknown, unknownAt := maxCost, -1
 	for i, h := range t.hashes {
 		x := mix(key ^ h)
-		least := t.floorOf(x, i)
-		if least >= known {
+		minCost := t.minCostOf(x, i)
+		if minCost >= known {
 			continue
 		}
-		// One that doesn't fit only matters if it comes before all that were looked at.
-		fits := l.fits(i, m)
-		if !fits && least >= front {
+		// An upstream that doesn't fit matters only if it precedes all others examined so far.
+		fits := l.fits(i, limit)
+		if !fits && minCost >= first {
 			continue
 		}
 		c := t.costOf(x, i)
 		if c >= known || slices.Contains(tried, i) {
 			continue
 		}
-		if c < front {
-			front, frontAt = c, i
+		if c < first {
+			first, firstAt = c, i
 		}
 		switch {
 		case !fits:
-		case l.all[i].Known:
+		case l.loads[i].Known:
 			known, knownAt = c, i
-		case c < silent:
-			silent, silentAt = c, i
+		case c < unknown:
+			unknown, unknownAt = c, i
 		}
 	}
 	switch {
-	case frontAt < 0:
+	case firstAt < 0:
 		return Choice{Index: -1, Reason: ReasonNoCandidate}
-	case silentAt == frontAt || knownAt == frontAt:
-		return Choice{Index: frontAt, Reason: ReasonHashOrder}
+	case unknownAt == firstAt || knownAt == firstAt:
+		return Choice{Index: firstAt, Reason: ReasonHashOrder}
 	case knownAt >= 0:
 		return Choice{Index: knownAt, Reason: ReasonSpilled}
-	case silentAt >= 0:
-		return Choice{Index: silentAt, Reason: ReasonLoadUnknown}
+	case unknownAt >= 0:
+		return Choice{Index: unknownAt, Reason: ReasonLoadUnknown}
 	}
 	return Choice{Index: -1, Reason: ReasonAllAtBound}
 }
--- a/pkg/sageplace/placer_test.go
+++ b/pkg/sageplace/placer_test.go
@@ -14,12 +14,13 @@
 
 var start = time.Date(2026, 11, 1, 8, 0, 0, 0, time.UTC)
 
-func placer() *Placer[NoWidening] {
-	return &Placer[NoWidening]{LoadBound: testBound, UncachedLoadBound: testFresh}
+func newPlacer() *Placer[NoWidening] {
+	return &Placer[NoWidening]{LoadBound: testBound, UncachedLoadBound: testUncachedBound}
 }
 
-// sorted is the plain statement of inOrder: sort by cost, take the first that may be taken.
-func sorted(t *Table, l *Loads, key uint64, tried []int, m limit) Choice {
+// sortedChoice is a reference implementation of firstInOrder: it sorts by cost and returns the first
+// upstream that may be chosen.
+func sortedChoice(t *Table, l *Loads, key uint64, tried []int, limit loadLimit) Choice {
 	var order []int
 	for i := range t.Upstreams {
 		if !slices.Contains(tried, i) {
@@ -30,13 +31,13 @@
 	if len(order) == 0 {
 		return Choice{Index: -1, Reason: ReasonNoCandidate}
 	}
-	if l.fits(order[0], m) {
+	if l.fits(order[0], limit) {
 		return Choice{Index: order[0], Reason: ReasonHashOrder}
 	}
-	for _, want := range []bool{true, false} {
+	for _, known := range []bool{true, false} {
 		for _, i := range order {
-			if l.all[i].Known == want && l.fits(i, m) {
-				return Choice{Index: i, Reason: map[bool]Reason{true: ReasonSpilled, false: ReasonLoadUnknown}[want]}
+			if l.loads[i].Known == known && l.fits(i, limit) {
+				return Choice{Index: i, Reason: map[bool]Reason{true: ReasonSpilled, false: ReasonLoadUnknown}[known]}
 			}
 		}
 	}
@@ -56,7 +57,7 @@
 	return l
 }
 
-func TestInOrderIsFirstThatFits(t *testing.T) {
+func TestFirstInOrderMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 9).Draw(t, "n")
 		ups := upstreams(n, 1)
@@ -66,39 +67,40 @@
 		tab, l := NewTable(ups), drawLoads(t, n)
 		key := rapid.Uint64().Draw(t, "key")
 		tried := rapid.SliceOfN(rapid.IntRange(0, 9), 0, 3).Draw(t, "tried")
-		m := l.limit(1.25, 0)
-		got, want := inOrder(tab, l, key, tried, m), sorted(tab, l, key, tried, m)
+		limit := l.limitFor(1.25, 0)
+		got, want := firstInOrder(tab, l, key, tried, limit), sortedChoice(tab, l, key, tried, limit)
 		if got != want {
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
 	})
 }
 
-// Story: one engine carries twice what the others do and its chats time out, while the others idle.
-// Whatever rule chooses, the chosen upstream must be outside tried and under the bound after it.
+// Guards against an engine that carries twice the load of the others, whose chats time out while others
+// are idle. Whatever rule applies, the chosen upstream must not have been tried and must be under the
+// bound afterwards.
 func TestChoiceKeepsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		tab, l := NewTable(upstreams(n, 16)), drawLoads(t, n)
-		p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testFresh, WidthPolicy: NewWidthByLoad(16)}
+		p := &Placer[*WidthByLoad]{LoadBound: testBound, UncachedLoadBound: testUncachedBound, WidthPolicy: NewWidthByLoad(16)}
 		q := &Query{
 			Context:  rapid.Uint64Range(0, 3).Draw(t, "context"),
 			Chat:     rapid.Uint64Range(0, 99).Draw(t, "chat"),
-			Location: Location{Upstream: Key(fmt.Sprintf("engine-%d", rapid.IntRange(0, 13).Draw(t, "place")))},
-			Headroom: float64(rapid.IntRange(0, 1).Draw(t, "yield")) / 4,
+			Location: Location{Upstream: Key(fmt.Sprintf("engine-%d", rapid.IntRange(0, 13).Draw(t, "location")))},
+			Headroom: float64(rapid.IntRange(0, 1).Draw(t, "headroom")) / 4,
 			Tried:    rapid.SliceOfN(rapid.IntRange(0, n-1), 0, 2).Draw(t, "tried"),
 		}
 		for step := range 8 {
 			c := p.Choose(start.Add(time.Duration(step)*3*time.Second), tab, l, q)
 			if c.Index < 0 {
 				for i := range n {
-					if !slices.Contains(q.Tried, i) && l.fits(i, l.limit(p.LoadBound, q.Headroom)) {
-						t.Fatalf("refused as %v while %d fits", c.Reason, i)
+					if !slices.Contains(q.Tried, i) && l.fits(i, l.limitFor(p.LoadBound, q.Headroom)) {
+						t.Fatalf("refused with reason %v while upstream %d fits", c.Reason, i)
 					}
 				}
 				return
 			}
-			if slices.Contains(q.Tried, c.Index) || !l.fits(c.Index, l.limit(p.LoadBound, q.Headroom)) {
+			if slices.Contains(q.Tried, c.Index) || !l.fits(c.Index, l.limitFor(p.LoadBound, q.Headroom)) {
 				t.Fatalf("chose %+v with %+v", c, l.At(c.Index))
 			}
 			l.AddRequests(c.Index, 1)
@@ -106,130 +108,131 @@
 	})
 }
 
-func TestReturningChatIsKept(t *testing.T) {
+func TestReturningChatUsesCachedPrefix(t *testing.T) {
 	tab := NewTable(upstreams(6, 10))
 	chat := Key("chat-1")
-	home := tab.Find(Key(first(tab, chat)))
-	other := (home + 1) % 6
-	place := Location{Upstream: Key(tab.Upstreams[other].Name), Generation: 4}
+	firstChoice := tab.Find(Key(firstUpstream(tab, chat)))
+	other := (firstChoice + 1) % 6
+	loc := Location{Upstream: Key(tab.Upstreams[other].Name), Generation: 4}
 	tests := []struct {
 		name  string
 		load  Load
 		tried []int
 		want  int
 	}{
-		{"warm", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, nil, other},
-		{"cache lost", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 5}, nil, home},
-		{"over the bound", Load{InFlight: 9, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, nil, home},
-		{"cold, ramp full", Load{InFlight: 2, Cap: 2, Free: 3, Known: true, CacheGeneration: 4}, nil, home},
-		{"no allotment", Load{InFlight: 5, Cap: 10, Known: true, CacheGeneration: 4}, nil, home},
-		{"silent", Load{Cap: 10, Free: 3, CacheGeneration: 4}, nil, other},
-		{"tried", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, []int{other}, home},
+		{"cached", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, nil, other},
+		{"cache lost", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 5}, nil, firstChoice},
+		{"over the bound", Load{InFlight: 9, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, nil, firstChoice},
+		{"cap reduced by a cold start", Load{InFlight: 2, Cap: 2, Free: 3, Known: true, CacheGeneration: 4}, nil, firstChoice},
+		{"no allotment", Load{InFlight: 5, Cap: 10, Known: true, CacheGeneration: 4}, nil, firstChoice},
+		{"load unknown", Load{Cap: 10, Free: 3, CacheGeneration: 4}, nil, other},
+		{"tried", Load{InFlight: 5, Cap: 10, Free: 3, Known: true, CacheGeneration: 4}, []int{other}, firstChoice},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := even(6, 5, 10)
+			l := evenLoads(6, 5, 10)
 			l.Set(other, tt.load)
-			c := placer().Choose(start, tab, l, &Query{Chat: chat, Location: place, Tried: tt.tried})
+			c := newPlacer().Choose(start, tab, l, &Query{Chat: chat, Location: loc, Tried: tt.tried})
 			require.Equal(t, tt.want, c.Index)
 		})
 	}
 }
 
-// Story: an engine's reports stop while the others are busy. Its last word was "idle", so all routers
-// send it everything that the others may not take, and it falls over before it is heard again.
-func TestSilenceDrawsNoSpill(t *testing.T) {
+// Guards against an overload of an engine whose reports stop while the others are busy. Its last report
+// showed it idle; if it still counted as idle, all routers would send it everything that the others
+// can't take.
+func TestUnknownLoadAttractsNoSpill(t *testing.T) {
 	tab := NewTable(upstreams(5, 10))
-	l := even(5, 8, 10)
+	l := evenLoads(5, 8, 10)
 	l.Set(3, Load{Cap: 10, Free: 10})
 	for k := range 500 {
 		key := mix(uint64(k + 1))
-		busy := tab.Find(Key(first(tab, key)))
+		busy := tab.Find(Key(firstUpstream(tab, key)))
 		if busy == 3 {
 			continue
 		}
-		was := l.At(busy)
+		previous := l.At(busy)
 		l.Set(busy, Load{InFlight: 10, Cap: 10, Free: 10, Known: true})
-		c := placer().Choose(start, tab, l, &Query{Chat: key})
+		c := newPlacer().Choose(start, tab, l, &Query{Chat: key})
 		require.Equal(t, ReasonSpilled, c.Reason)
 		require.NotEqual(t, 3, c.Index)
-		l.Set(busy, was)
+		l.Set(busy, previous)
 	}
 	for i := range 5 {
 		l.Set(i, Load{InFlight: 10, Cap: 10, Free: 10, Known: i != 3})
 	}
 	l.Set(3, Load{Cap: 10, Free: 10})
-	c := placer().Choose(start, tab, l, &Query{Chat: 1})
-	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, c, "when the rest is full the silent one counts as full")
+	c := newPlacer().Choose(start, tab, l, &Query{Chat: 1})
+	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, c, "if all others are full, the one of unknown load counts as full")
 }
 
-func TestAllSilentStillServes(t *testing.T) {
+func TestAllLoadsUnknownStillServes(t *testing.T) {
 	tab := NewTable(upstreams(3, 10))
 	l := NewLoads(3)
 	l.Refresh(func(int) Load { return Load{Cap: 10, Free: 1} })
-	c := placer().Choose(start, tab, l, &Query{Chat: 5})
+	c := newPlacer().Choose(start, tab, l, &Query{Chat: 5})
 	require.Equal(t, ReasonHashOrder, c.Reason)
 	l.AddRequests(c.Index, 1)
-	c = placer().Choose(start, tab, l, &Query{Chat: 5})
-	require.Equal(t, ReasonLoadUnknown, c.Reason, "allotments alone hold the bound now")
+	c = newPlacer().Choose(start, tab, l, &Query{Chat: 5})
+	require.Equal(t, ReasonLoadUnknown, c.Reason, "without reports only the allotments limit the load")
 }
 
-// Story: a context is spread over four engines, but all its new chats of a minute start on one of
-// them, because a hash alone is blind to load. Of the two that a chat may use, the idler one must win.
+// Guards against a spread context whose new chats all start on one of its engines, because a hash alone
+// ignores the load. Of the first two engines in a chat's order, the less loaded one must be chosen.
 func TestSpreadContextTakesLessLoaded(t *testing.T) {
 	tab := NewTable(upstreams(12, 20))
-	p := &Placer[fixed]{LoadBound: 1.35, UncachedLoadBound: 1.1, WidthPolicy: fixed(4)}
-	ctx, l := Key("festival"), even(12, 8, 20)
-	taken := map[int]int{}
+	p := &Placer[fixedWidth]{LoadBound: 1.35, UncachedLoadBound: 1.1, WidthPolicy: fixedWidth(4)}
+	ctx, l := Key("festival"), evenLoads(12, 8, 20)
+	counts := map[int]int{}
 	for k := range 400 {
 		c := p.Choose(start, tab, l, &Query{Context: ctx, Chat: mix(uint64(k + 1))})
 		require.Equal(t, ReasonHashOrder, c.Reason)
-		taken[c.Index]++
+		counts[c.Index]++
 	}
-	require.Len(t, taken, 4)
+	require.Len(t, counts, 4)
 	var order [4]int32
 	tab.Order(ctx, order[:])
 	l.Set(int(order[0]), Load{InFlight: 7, Cap: 20, Free: 20, Known: true})
-	more := 0
+	chosen := 0
 	for k := range 400 {
 		if p.Choose(start, tab, l, &Query{Context: ctx, Chat: mix(uint64(k + 1))}).Index == int(order[0]) {
-			more++
+			chosen++
 		}
 	}
-	require.InDelta(t, 200, more, 40, "it wins for each chat that has it among its first two of four")
+	require.InDelta(t, 200, chosen, 40, "chosen by each chat that has it among its first two of four")
 }
 
-// fixed is a constant width.
-type fixed int
+// fixedWidth is a policy of constant width.
+type fixedWidth int
 
-func (n fixed) Upstreams(_ time.Time, t *Table, _ *Loads, context uint64) []int32 {
+func (n fixedWidth) Upstreams(_ time.Time, t *Table, _ *Loads, context uint64) []int32 {
 	order := make([]int32, n)
 	return order[:t.Order(context, order)]
 }
 
 func TestNoCandidate(t *testing.T) {
 	q := &Query{Chat: 5}
-	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, placer().Choose(start, NewTable(nil), NewLoads(0), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, newPlacer().Choose(start, NewTable(nil), NewLoads(0), q))
 	tab := NewTable(upstreams(2, 10))
 	q.Tried = []int{0, 1}
-	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, placer().Choose(start, tab, even(2, 0, 10), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonNoCandidate}, newPlacer().Choose(start, tab, evenLoads(2, 0, 10), q))
 	q.Tried = nil
-	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, placer().Choose(start, tab, even(2, 10, 10), q))
+	require.Equal(t, Choice{Index: -1, Reason: ReasonAllAtBound}, newPlacer().Choose(start, tab, evenLoads(2, 10, 10), q))
 }
 
-// Story: half the engines leave; long audits fill the rest and a fitter on a doorstep is refused. The
-// last part of each engine must stay free for urgent requests.
-func TestBulkLeavesRoom(t *testing.T) {
-	tab, l := NewTable(upstreams(2, 10)), even(2, 8, 10)
-	require.Equal(t, ReasonAllAtBound, placer().Choose(start, tab, l, &Query{Chat: 5, Headroom: 0.2}).Reason)
-	require.Equal(t, ReasonHashOrder, placer().Choose(start, tab, l, &Query{Chat: 5}).Reason)
+// Guards against less urgent requests that fill all engines, so that an urgent one is refused. The last
+// part of each engine's cap must stay free for urgent requests.
+func TestHeadroomIsKeptForUrgentRequests(t *testing.T) {
+	tab, l := NewTable(upstreams(2, 10)), evenLoads(2, 8, 10)
+	require.Equal(t, ReasonAllAtBound, newPlacer().Choose(start, tab, l, &Query{Chat: 5, Headroom: 0.2}).Reason)
+	require.Equal(t, ReasonHashOrder, newPlacer().Choose(start, tab, l, &Query{Chat: 5}).Reason)
 }
 
 func TestBaselinesKeepCapacity(t *testing.T) {
 	tab := NewTable(upstreams(4, 10))
 	r := rand.New(rand.NewPCG(1, 1))
 	for _, p := range []Policy{&Random{r}, &RoundRobin{}, LeastLoaded{}, &TwoChoices{r}, PlainHash{}} {
-		l := even(4, 10, 10)
+		l := evenLoads(4, 10, 10)
 		l.Set(2, Load{InFlight: 3, Cap: 10, Free: 5, Known: true})
 		for k := range 20 {
 			require.Equal(t, 2, p.Choose(start, tab, l, &Query{Chat: uint64(k + 1)}).Index, "%T", p)
--- a/pkg/sageplace/state_test.go
+++ b/pkg/sageplace/state_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A node has 32 MB for control at the size of the letter. The greatest state that the service keeps,
-// 128 groups of 256 upstreams, the evidence and the hot contexts, must leave most of it to others.
+// A node has a memory budget of 32 MB for control state. The largest state of placement, 128 groups of
+// 256 upstreams, the prefix locations and the spread contexts, must leave most of it to others.
 func TestStateFitsNode(t *testing.T) {
 	heap := func() uint64 {
 		runtime.GC()
@@ -23,9 +23,9 @@
 	for range 128 {
 		tables, loads = append(tables, NewTable(ups)), append(loads, NewLoads(len(ups)))
 	}
-	evidence, width := NewPrefixLocations(1<<14), NewWidthByLoad(1<<10)
+	locations, width := NewPrefixLocations(1<<14), NewWidthByLoad(1<<10)
 	used := heap() - before
-	runtime.KeepAlive([]any{tables, loads, evidence, width})
+	runtime.KeepAlive([]any{tables, loads, locations, width})
 	t.Logf("%d bytes", used)
 	require.Less(t, used, uint64(8<<20))
 }
--- a/pkg/sageplace/table.go
+++ b/pkg/sageplace/table.go
@@ -10,36 +10,36 @@
 // Upstream is one candidate.
 type Upstream struct {
 	Name string
-	// Weight is the number of requests that it bears at once when warm. It weighs the order, so it
-	// must not follow the ramp of a cold start: the order would change with every step.
+	// Weight is the capacity of the upstream when warm, in concurrent requests. It weights the order,
+	// so it must not follow the ramp of a cold start: the order would change with every step.
 	Weight int
 }
 
-// Table holds the candidates of one upstream set and model set in the form that decisions read.
-// It is immutable; a change of configuration makes a new one.
+// Table holds the candidates of one set of upstreams and one set of models in the form that decisions
+// read. It is immutable; a change of configuration creates a new table.
 type Table struct {
 	Upstreams []Upstream
 	hashes    []uint64
-	// inverses holds 2⁶⁴ divided by each weight, floors log₂(e)·2⁵⁶ divided by it.
-	inverses []uint64
-	floors   []uint64
-	index    map[uint64]int
+	// inverseWeights holds 2⁶⁴ divided by each weight, minCostFactors log₂(e)·2⁵⁶ divided by it.
+	inverseWeights []uint64
+	minCostFactors []uint64
+	index          map[uint64]int
 }
 
 // NewTable returns the table of ups. A weight below 1 counts as 1.
 func NewTable(ups []Upstream) *Table {
 	t := &Table{
-		Upstreams: ups,
-		hashes:    make([]uint64, len(ups)),
-		inverses:  make([]uint64, len(ups)),
-		floors:    make([]uint64, len(ups)),
-		index:     make(map[uint64]int, len(ups)),
+		Upstreams:      ups,
+		hashes:         make([]uint64, len(ups)),
+		inverseWeights: make([]uint64, len(ups)),
+		minCostFactors: make([]uint64, len(ups)),
+		index:          make(map[uint64]int, len(ups)),
 	}
 	for i, u := range ups {
 		t.hashes[i] = Key(u.Name)
 		weight := uint64(max(u.Weight, 1))
-		t.inverses[i] = math.MaxUint64 / weight
-		t.floors[i] = floorPoint / weight
+		t.inverseWeights[i] = math.MaxUint64 / weight
+		t.minCostFactors[i] = log2E / weight
 		t.index[t.hashes[i]] = i
 	}
 	return t
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// Find returns the place in t of the upstream whose name has that [Key], or -1.
+// Find returns the index in t of the upstream whose name has that [Key], or -1.
 func (t *Table) Find(key uint64) int {
 	if i, ok := t.index[key]; ok {
 		return i
@@ -61,24 +61,24 @@
 	return -1
 }
 
-// cost orders the candidates of a key: the lowest cost comes first. It is -log₂(u)/weight for a hash
-// u in (0, 1), in fixed point, so that every router computes the same order.
+// cost determines the order of the candidates for a key: the lowest cost is the first. It is
+// -log₂(u)/weight for a hash u in (0, 1), in fixed point, so that every router computes the same order.
 func (t *Table) cost(key uint64, i int) uint64 { return t.costOf(mix(key^t.hashes[i]), i) }
 
 func (t *Table) costOf(x uint64, i int) uint64 {
-	hi, _ := bits.Mul64(negLog2(x), t.inverses[i])
+	hi, _ := bits.Mul64(negLog2(x), t.inverseWeights[i])
 	return hi
 }
 
-// floorOf returns a lower limit of costOf, by -ln(u) ≥ 1-u, without the logarithm. Most candidates of
-// a decision are passed over by it.
-func (t *Table) floorOf(x uint64, i int) uint64 {
-	hi, _ := bits.Mul64(^x, t.floors[i])
+// minCostOf returns a lower bound of costOf, by -ln(u) ≥ 1-u, without the logarithm. With it a decision
+// skips most candidates.
+func (t *Table) minCostOf(x uint64, i int) uint64 {
+	hi, _ := bits.Mul64(^x, t.minCostFactors[i])
 	return hi
 }
 
-// Order writes the first candidates of key's order into dst, at most [MaxWidth], and returns how many
-// there are.
+// Order writes the first candidates of key's order into dst, at most [MaxWidth], and returns their
+// number.
 func (t *Table) Order(key uint64, dst []int32) int {
 	var costs [MaxWidth]uint64
 	dst = dst[:min(len(dst), MaxWidth)]
@@ -100,7 +100,7 @@
 	return n
 }
 
-// mix is the finalizer of SplitMix64: every bit of x decides about every bit of the result.
+// mix is the finalizer of SplitMix64: every bit of x affects every bit of the result.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -108,27 +108,27 @@
 }
 
 const (
-	logBits  = 9  // the table of logarithms has 2⁹ steps
-	logPoint = 56 // logarithms have 56 bits after the point
+	logTableBits    = 9  // the table of logarithms has 2⁹ steps
+	logFractionBits = 56 // fixed-point logarithms have 56 fractional bits
 )
 
-// floorPoint is log₂(e) with the point of the logarithms, rounded down by more than they err.
-const floorPoint uint64 = 144269 * (1 << logPoint) / 100000
+// log2E is log₂(e) in the fixed point of the logarithms, rounded down by more than their error.
+const log2E uint64 = 144269 * (1 << logFractionBits) / 100000
 
 // logTable holds log₂(1+k/2⁹).
-var logTable = func() (t [1<<logBits + 1]uint64) {
+var logTable = func() (t [1<<logTableBits + 1]uint64) {
 	for k := range t {
-		t[k] = uint64(math.Log2(1+float64(k)/(1<<logBits)) * (1 << logPoint))
+		t[k] = uint64(math.Log2(1+float64(k)/(1<<logTableBits)) * (1 << logFractionBits))
 	}
 	return t
 }()
 
-// negLog2 returns -log₂(x/2⁶⁴) for x above 0 by linear interpolation; it errs by less than 10⁻⁶.
+// negLog2 returns -log₂(x/2⁶⁴) for x above 0 by linear interpolation; its error is below 10⁻⁶.
 func negLog2(x uint64) uint64 {
 	x |= 1
-	lead := uint64(bits.LeadingZeros64(x))
-	frac := x << (lead + 1)
-	k := frac >> (64 - logBits)
-	part, _ := bits.Mul64(logTable[k+1]-logTable[k], frac<<logBits)
-	return (lead+1)<<logPoint - logTable[k] - part
+	leadingZeros := uint64(bits.LeadingZeros64(x))
+	frac := x << (leadingZeros + 1)
+	k := frac >> (64 - logTableBits)
+	interpolated, _ := bits.Mul64(logTable[k+1]-logTable[k], frac<<logTableBits)
+	return (leadingZeros+1)<<logFractionBits - logTable[k] - interpolated
 }
--- a/pkg/sageplace/token_test.go
+++ b/pkg/sageplace/token_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-func TestTokenHonouredByAnyVM(t *testing.T) {
+func TestTokenIsValidOnAnyVM(t *testing.T) {
 	p := Location{Upstream: Key("engine-4"), Generation: 9}
 	old, now := []byte("old key"), []byte("new key")
 	tok := (&TokenSigner{Keys: [][]byte{old}}).Sign("depot", "chat-1", p, start.Add(time.Hour))
 	got, ok := (&TokenSigner{Keys: [][]byte{now, old}}).Verify(tok, "depot", "chat-1", start)
-	require.True(t, ok, "a key under replacement still opens")
+	require.True(t, ok, "a key that is being replaced still verifies")
 	require.Equal(t, p, got)
 }
 
-// Story: a caller copies another account's token, keeps one for a month or edits it. Believed, it
-// would let callers pile chats on an engine of their choice.
-func TestBadTokensSayNothing(t *testing.T) {
+// Guards against copied, old and edited tokens. With them, callers could send chats to an engine of
+// their choice.
+func TestInvalidTokensAreRejected(t *testing.T) {
 	s := &TokenSigner{Keys: [][]byte{[]byte("key")}}
 	p := Location{Upstream: Key("engine-4"), Generation: 9}
 	tok := s.Sign("ab", "c", p, start.Add(time.Hour))
@@ -31,11 +31,11 @@
 		{"expired", tok, "ab", "c", s, start.Add(time.Hour)},
 		{"other chat", tok, "ab", "d", s, start},
 		{"other account", tok, "xy", "c", s, start},
-		{"shifted border", tok, "a", "bc", s, start},
+		{"shifted boundary between account and chat", tok, "a", "bc", s, start},
 		{"foreign key", tok, "ab", "c", &TokenSigner{Keys: [][]byte{[]byte("kez")}}, start},
 		{"no key", tok, "ab", "c", &TokenSigner{}, start},
 		{"empty", "", "ab", "c", s, start},
-		{"cut", tok[1:], "ab", "c", s, start},
+		{"truncated", tok[1:], "ab", "c", s, start},
 		{"longer", tok + "A", "ab", "c", s, start},
 		{"not base64", "!" + tok[1:], "ab", "c", s, start},
 	}
@@ -49,7 +49,7 @@
 	require.Empty(t, (&TokenSigner{}).Sign("ab", "c", p, start.Add(time.Hour)), "no key, no token")
 }
 
-func TestAlteredTokenSaysNothing(t *testing.T) {
+func TestAlteredTokenIsRejected(t *testing.T) {
 	s := &TokenSigner{Keys: [][]byte{[]byte("key")}}
 	tok := s.Sign("ab", "c", Location{Upstream: 1, Generation: 2}, start.Add(time.Hour))
 	rapid.Check(t, func(t *rapid.T) {
@@ -61,7 +61,7 @@
 		}
 		b[i] = c
 		if _, ok := s.Verify(string(b), "ab", "c", start); ok {
-			t.Fatalf("believed %s", b)
+			t.Fatalf("accepted %s", b)
 		}
 	})
 }
