--- a/pkg/sageobject/client.go
+++ b/pkg/sageobject/client.go
@@ -20,36 +20,40 @@
 	queryUntil      = "until"
 )
 
-// watchFor bounds one waiting call; the client asks again after it.
-const watchFor = 20 * time.Second
+// maxWatchDuration limits one blocking call of a watch; the client then repeats it.
+const maxWatchDuration = 20 * time.Second
 
-// Client is a [Store] over HTTP. URL and HTTP are set before first use.
+// Client is a [Store] over HTTP. URL and HTTP must be set before first use.
 type Client struct {
-	// URL is the base of the platform's API, such as "http://127.0.0.1:7000".
+	// URL is the base URL of the platform's API, such as "http://127.0.0.1:7000".
 	URL  string
 	HTTP *http.Client
 }
 
 func (c *Client) objectURL(key string) string { return c.URL + "/v1/objects/" + key }
 
-// do sends one request and reads its whole answer. A failure before an answer wraps lost.
-func (c *Client) do(req *http.Request, lost error) (int, http.Header, []byte, error) {
+// do sends one request and reads the whole response. An error before the response is complete wraps
+// noResponseErr. If the context ends before there is a response, a read returns the context's error; a
+// write still wraps ErrUnknown, because it may have taken effect.
+func (c *Client) do(req *http.Request, noResponseErr error) (int, http.Header, []byte, error) {
 	res, err := c.HTTP.Do(req)
 	if err != nil {
-		if ctxErr := req.Context().Err(); ctxErr != nil && lost != ErrUnknown {
+		if ctxErr := req.Context().Err(); ctxErr != nil && noResponseErr != ErrUnknown {
 			return 0, nil, nil, ctxErr
 		}
-		return 0, nil, nil, fmt.Errorf("%v: %w", err, lost)
+		return 0, nil, nil, fmt.Errorf("%v: %w", err, noResponseErr)
 	}
 	defer func() { _ = res.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(res.Body, 2*MaxValueBytes))
 	if err != nil {
-		return 0, nil, nil, fmt.Errorf("read answer: %v: %w", err, lost)
+		return 0, nil, nil, fmt.Errorf("read response: %v: %w", err, noResponseErr)
 	}
 	return res.StatusCode, res.Header, b, nil
 }
 
-func statusError(code int, lost error) error {
+// statusError returns the error of a status code; for codes without an error of their own it wraps
+// otherErr.
+func statusError(code int, otherErr error) error {
 	switch code {
 	case http.StatusNotFound:
 		return ErrNotFound
@@ -60,13 +64,13 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return ErrUnavailable
 	}
-	return fmt.Errorf("status %d: %w", code, lost)
+	return fmt.Errorf("status %d: %w", code, otherErr)
 }
 
-func version(h http.Header) (int64, error) {
+func parseVersion(h http.Header) (int64, error) {
 	v, err := strconv.ParseInt(h.Get(HeaderVersion), 10, 64)
 	if err != nil || v < 1 {
-		return 0, fmt.Errorf("answer without a version: %w", ErrUnavailable)
+		return 0, fmt.Errorf("response without a valid version: %w", ErrUnavailable)
 	}
 	return v, nil
 }
@@ -91,7 +95,7 @@
 	if code != http.StatusOK {
 		return Object{}, fmt.Errorf("get %s: %w", key, statusError(code, ErrUnavailable))
 	}
-	v, err := version(h)
+	v, err := parseVersion(h)
 	if err != nil {
 		return Object{}, fmt.Errorf("get %s: %w", key, err)
 	}
@@ -99,7 +103,7 @@
 }
 
 // Put implements [Store].
-func (c *Client) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
+func (c *Client) Put(ctx context.Context, key string, value []byte, expected int64) (int64, error) {
 	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("put %s, %d bytes: %w", key, len(value), ErrTooLarge)
 	}
@@ -107,12 +111,12 @@
 	if err != nil {
 		return 0, fmt.Errorf("put %s: %w", key, err)
 	}
-	// net/http repeats a PUT on a broken reused connection only if it can rewind the body. The
-	// repeat of a write that took effect would answer "conflict" for our own success, so the body
-	// is made single use.
+	// net/http repeats a PUT on a broken reused connection only if it can rewind the body. If the first
+	// write took effect, the repeat would return a conflict with our own write, so the body is made
+	// non-rewindable.
 	req.GetBody = nil
-	if want != AnyVersion {
-		req.Header.Set(HeaderIfVersion, strconv.FormatInt(want, 10))
+	if expected != AnyVersion {
+		req.Header.Set(HeaderIfVersion, strconv.FormatInt(expected, 10))
 	}
 	code, h, _, err := c.do(req, ErrUnknown)
 	if err != nil {
@@ -121,7 +125,7 @@
 	if code != http.StatusOK {
 		return 0, fmt.Errorf("put %s: %w", key, statusError(code, ErrUnknown))
 	}
-	v, err := version(h)
+	v, err := parseVersion(h)
 	if err != nil {
 		return 0, fmt.Errorf("put %s: %v: %w", key, err, ErrUnknown)
 	}
@@ -129,13 +133,13 @@
 }
 
 // Delete implements [Store].
-func (c *Client) Delete(ctx context.Context, key string, want int64) error {
+func (c *Client) Delete(ctx context.Context, key string, expected int64) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, c.objectURL(key), nil)
 	if err != nil {
 		return fmt.Errorf("delete %s: %w", key, err)
 	}
-	if want != AnyVersion {
-		req.Header.Set(HeaderIfVersion, strconv.FormatInt(want, 10))
+	if expected != AnyVersion {
+		req.Header.Set(HeaderIfVersion, strconv.FormatInt(expected, 10))
 	}
 	code, _, _, err := c.do(req, ErrUnknown)
 	if err != nil {
@@ -147,12 +151,12 @@
 	return nil
 }
 
-// Watch implements [Store] by waiting calls, each of which counts as one read.
+// Watch implements [Store] by repeated blocking calls, each of which counts as one read.
 func (c *Client) Watch(ctx context.Context, key string, after int64) (Object, error) {
 	for {
 		q := url.Values{}
 		q.Set(queryAfter, strconv.FormatInt(after, 10))
-		q.Set(queryUntil, time.Now().Add(watchFor).Format(time.RFC3339Nano))
+		q.Set(queryUntil, time.Now().Add(maxWatchDuration).Format(time.RFC3339Nano))
 		o, err := c.get(ctx, key, c.objectURL(key)+"?"+q.Encode())
 		if err != nil {
 			return Object{}, fmt.Errorf("watch: %w", err)
--- a/pkg/sageobject/doc.go
+++ b/pkg/sageobject/doc.go
@@ -1,11 +1,10 @@
-// Package sageobject is the system's view of the platform's Object API: named values with
-// versions, conditional updates and watches.
+// Package sageobject provides access to the platform's Object API: named values with versions,
+// conditional updates and watches.
 //
-// The one rule that callers must keep in mind: a [Store.Put] that returns [ErrUnknown] may have
-// taken effect. Only a later [Store.Get] can tell. [ErrUnavailable] and [ErrConflict] say for
-// certain that nothing was written.
+// A [Store.Put] or [Store.Delete] that returns [ErrUnknown] may have taken effect; only a later
+// [Store.Get] can show whether it did. After [ErrUnavailable] and [ErrConflict] nothing was written.
 //
-// [Memory] is a small store in memory for tests and for the platform stand-in; [Client] speaks to a
+// [Memory] is a small in-memory store for tests and for the platform's stand-in; [Client] accesses a
 // store over HTTP.
 //
 // # Usage
--- a/pkg/sageobject/memory.go
+++ b/pkg/sageobject/memory.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Op names an operation of a store for a fault hook.
+// Op is an operation of a store, as passed to the hooks of [Memory].
 type Op string
 
 // The operations.
@@ -20,20 +20,21 @@
 	OpList   Op = "list"
 )
 
-// Memory is a store in memory. The zero value is ready for use.
+// Memory is an in-memory store. The zero value is ready for use.
 //
-// Before and After, when set before first use, are called around the effect of each operation, and
-// an error of theirs is what the operation returns: Before prevents the effect, as in an outage;
-// After loses the answer of an operation that took effect, and should wrap [ErrUnknown] for writes.
+// Before and After are optional hooks for fault injection and must be set before first use. They are
+// called before and after the effect of each operation, and an error that one returns is returned by
+// the operation. An error of Before prevents the effect, as in an outage. An error of After simulates a
+// lost response to an operation that took effect, and should wrap [ErrUnknown] for writes.
 type Memory struct {
 	Before func(op Op, key string) error
 	After  func(op Op, key string) error
 
-	mu      sync.Mutex
-	objects map[string]Object
-	changed chan struct{}
-	next    int64
-	calls   map[Op]int64
+	mu          sync.Mutex
+	objects     map[string]Object
+	changed     chan struct{}
+	lastVersion int64
+	calls       map[Op]int64
 }
 
 func (m *Memory) before(op Op, key string) error {
@@ -85,14 +86,14 @@
 }
 
 // Put implements [Store].
-func (m *Memory) Put(_ context.Context, key string, value []byte, want int64) (int64, error) {
+func (m *Memory) Put(_ context.Context, key string, value []byte, expected int64) (int64, error) {
 	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("put %s, %d bytes: %w", key, len(value), ErrTooLarge)
 	}
 	if err := m.before(OpPut, key); err != nil {
 		return 0, err
 	}
-	v, err := m.put(key, value, want)
+	v, err := m.put(key, value, expected)
 	if err != nil {
 		return 0, err
 	}
@@ -102,50 +103,50 @@
 	return v, nil
 }
 
-func (m *Memory) put(key string, value []byte, want int64) (int64, error) {
+func (m *Memory) put(key string, value []byte, expected int64) (int64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	have := m.objects[key].Version
-	if want != AnyVersion && want != have {
-		return 0, fmt.Errorf("put %s: have version %d, want %d: %w", key, have, want, ErrConflict)
+	current := m.objects[key].Version
+	if expected != AnyVersion && expected != current {
+		return 0, fmt.Errorf("put %s: have version %d, want %d: %w", key, current, expected, ErrConflict)
 	}
 	if m.objects == nil {
 		m.objects = make(map[string]Object)
 	}
-	m.next++
-	m.objects[key] = Object{Key: key, Version: m.next, Value: append([]byte(nil), value...)}
-	m.wake()
-	return m.next, nil
+	m.lastVersion++
+	m.objects[key] = Object{Key: key, Version: m.lastVersion, Value: append([]byte(nil), value...)}
+	m.notifyWatchers()
+	return m.lastVersion, nil
 }
 
 // Delete implements [Store].
-func (m *Memory) Delete(_ context.Context, key string, want int64) error {
+func (m *Memory) Delete(_ context.Context, key string, expected int64) error {
 	if err := m.before(OpDelete, key); err != nil {
 		return err
 	}
-	if err := m.remove(key, want); err != nil {
+	if err := m.remove(key, expected); err != nil {
 		return err
 	}
 	return m.after(OpDelete, key)
 }
 
-func (m *Memory) remove(key string, want int64) error {
+func (m *Memory) remove(key string, expected int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o, ok := m.objects[key]
 	if !ok {
 		return fmt.Errorf("delete %s: %w", key, ErrNotFound)
 	}
-	if want != AnyVersion && want != o.Version {
-		return fmt.Errorf("delete %s: have version %d, want %d: %w", key, o.Version, want, ErrConflict)
+	if expected != AnyVersion && expected != o.Version {
+		return fmt.Errorf("delete %s: have version %d, want %d: %w", key, o.Version, expected, ErrConflict)
 	}
 	delete(m.objects, key)
-	m.wake()
+	m.notifyWatchers()
 	return nil
 }
 
-// wake releases the waiting watches; mu is held.
-func (m *Memory) wake() {
+// notifyWatchers wakes all waiting calls of Watch; mu is held.
+func (m *Memory) notifyWatchers() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
--- a/pkg/sageobject/object_test.go
+++ b/pkg/sageobject/object_test.go
@@ -15,32 +15,32 @@
 
 var ctx = context.Background()
 
-func TestMemoryComparesVersions(t *testing.T) {
+func TestMemoryChecksVersions(t *testing.T) {
 	m := new(Memory)
 	v, err := m.Put(ctx, "k", []byte("a"), NoVersion)
 	require.NoError(t, err)
 	_, err = m.Put(ctx, "k", []byte("b"), NoVersion)
 	require.ErrorIs(t, err, ErrConflict)
-	w, err := m.Put(ctx, "k", []byte("b"), v)
+	updated, err := m.Put(ctx, "k", []byte("b"), v)
 	require.NoError(t, err)
-	assert.Greater(t, w, v)
+	assert.Greater(t, updated, v)
 	_, err = m.Put(ctx, "k", []byte("c"), v)
 	require.ErrorIs(t, err, ErrConflict)
 	require.ErrorIs(t, m.Delete(ctx, "k", v), ErrConflict)
-	require.NoError(t, m.Delete(ctx, "k", w))
+	require.NoError(t, m.Delete(ctx, "k", updated))
 	_, err = m.Get(ctx, "k")
 	require.ErrorIs(t, err, ErrNotFound)
 	_, err = m.Put(ctx, "k", make([]byte, MaxValueBytes+1), AnyVersion)
 	require.ErrorIs(t, err, ErrTooLarge)
 }
 
-// A write takes effect and its answer is lost. The client must say that it doesn't know: "not
-// written" would let its user write the same thing again, and "conflict" would hide its own success.
-func TestClientTellsLostAnswers(t *testing.T) {
+// Guards against a wrong result for a write that took effect but whose response was lost. "Not written"
+// would let the caller repeat the write, and "conflict" would hide that the write succeeded.
+func TestClientReportsUnknownOutcome(t *testing.T) {
 	tests := []struct {
-		name   string
-		answer http.HandlerFunc
-		want   error
+		name    string
+		handler http.HandlerFunc
+		want    error
 	}{
 		{"connection cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrUnknown},
 		{"server error", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, ErrUnknown},
@@ -54,16 +54,16 @@
 			var calls atomic.Int64
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
-				tt.answer(w, r)
+				tt.handler(w, r)
 			}))
 			defer srv.Close()
 			c := &Client{URL: srv.URL, HTTP: srv.Client()}
 			_, err := c.Put(ctx, "k", []byte("v"), 3)
 			require.ErrorIs(t, err, tt.want)
-			assert.EqualValues(t, 1, calls.Load(), "net/http sends it once")
+			assert.EqualValues(t, 1, calls.Load(), "net/http must not repeat the request")
 			_, err = c.Get(ctx, "k")
 			require.Error(t, err)
-			assert.NotErrorIs(t, err, ErrUnknown, "a read is never unknown")
+			assert.NotErrorIs(t, err, ErrUnknown, "the outcome of a read is never unknown")
 		})
 	}
 }
