--- a/pkg/sageload/bound_test.go
+++ b/pkg/sageload/bound_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against routers that together send more to an engine than its capacity, which is two requests
-// after a start and grows to twelve. The routers disagree about the coordinator, are paused, die or are
-// partitioned, and their messages arrive late or twice.
+// Guards against routers that together exceed an engine's capacity, which grows from two requests after
+// a start to twelve. The routers disagree about the coordinator, are paused, die or are partitioned,
+// and their messages arrive late or twice.
 func TestBoundHoldsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/pkg/sageload/components_test.go
+++ b/pkg/sageload/components_test.go
@@ -29,11 +29,11 @@
 func TestCoordinatorIsLocalAndStable(t *testing.T) {
 	live := []Member{{"a", "x"}, {"b", "x"}, {"c", "y"}, {"d", "y"}}
 	for _, u := range []string{"u1", "u2", "u3", "u4", "u5", "u6"} {
-		h, ok := Coordinator(u, "y", live)
+		name, ok := Coordinator(u, "y", live)
 		require.True(t, ok)
-		require.Contains(t, []string{"c", "d"}, h)
+		require.Contains(t, []string{"c", "d"}, name)
 		without := live[:3] // without d: only its upstreams get another coordinator
-		if h == "c" {
+		if name == "c" {
 			after, _ := Coordinator(u, "y", without)
 			require.Equal(t, "c", after)
 		}
@@ -62,7 +62,7 @@
 		want int
 	}{
 		{"just started", Report{BootID: "b1", Capacity: 8}, 2},
-		{"repeated report", Report{BootID: "b1", Capacity: 8}, 2},
+		{"no growth without work", Report{BootID: "b1", Capacity: 8}, 2},
 		{"a quarter of a large capacity", Report{BootID: "b1", Capacity: 16}, 4},
 		{"completed work", Report{BootID: "b1", Capacity: 8, Completed: 8}, 4},
 		{"capacity below the ramp", Report{BootID: "b1", Capacity: 3, Completed: 12}, 3},
@@ -127,22 +127,22 @@
 
 func TestLimitsValidate(t *testing.T) {
 	require.NoError(t, DefaultLimits.Validate())
-	require.ErrorIs(t, Limits{}.Validate(), ErrBadLimits)
+	require.ErrorIs(t, Limits{}.Validate(), ErrInvalidLimits)
 	bad := DefaultLimits
 	bad.MaxClockDrift = 0.5
-	require.ErrorIs(t, bad.Validate(), ErrBadLimits)
+	require.ErrorIs(t, bad.Validate(), ErrInvalidLimits)
 	bad = DefaultLimits
 	bad.ReportLag = bad.GrantDuration
-	require.ErrorIs(t, bad.Validate(), ErrBadLimits)
+	require.ErrorIs(t, bad.Validate(), ErrInvalidLimits)
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
 	now := time.Unix(0, 0)
-	h := Allotment{Guaranteed: 4, Static: true, Limits: DefaultLimits}
+	a := Allotment{Guaranteed: 4, Static: true, Limits: DefaultLimits}
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Acquire(now)
-		h.Release()
+		a.Acquire(now)
+		a.Release()
 	}
 }
 
@@ -182,7 +182,7 @@
 	for _, n := range []string{"a", "b", "c", "d"} {
 		routers = append(routers, s.router(n))
 	}
-	s.exchange(5*time.Second, l, "a", tenRequests, routers...)
+	s.exchange(5*time.Second, l, "a", scenarioCapacity, routers...)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.now = s.now.Add(time.Millisecond)
--- a/pkg/sageload/limits.go
+++ b/pkg/sageload/limits.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadLimits reports limits under which the bound would not hold.
-var ErrBadLimits = errors.New("limits out of range")
+// ErrInvalidLimits reports limits under which the bound would not hold.
+var ErrInvalidLimits = errors.New("limits out of range")
 
 // Limits are the periods of the allotment protocol. All nodes must use the same ones.
 type Limits struct {
@@ -35,18 +35,18 @@
 	MaxClockDrift:   0.005,
 }
 
-// Validate returns an error that wraps [ErrBadLimits] if a period isn't positive, the drift is outside
+// Validate returns an error that wraps [ErrInvalidLimits] if a period isn't positive, the drift is outside
 // [0, 0.1], or reports may be as old as a grant. A new coordinator must see at least as much completed
 // work as the one before it; otherwise it would not set aside the floor that is already in use.
 func (l Limits) Validate() error {
 	if l.GrantDuration <= 0 || l.PromiseDuration <= 0 || l.RequestLifetime <= 0 || l.ReportLag < 0 {
-		return fmt.Errorf("periods must be positive: %w", ErrBadLimits)
+		return fmt.Errorf("periods must be positive: %w", ErrInvalidLimits)
 	}
 	if l.ReportLag >= l.GrantDuration {
-		return fmt.Errorf("report lag %v (want less than the grant's %v): %w", l.ReportLag, l.GrantDuration, ErrBadLimits)
+		return fmt.Errorf("report lag %v (want less than the grant's %v): %w", l.ReportLag, l.GrantDuration, ErrInvalidLimits)
 	}
 	if l.MaxClockDrift < 0 || l.MaxClockDrift > 0.1 {
-		return fmt.Errorf("drift %v (want 0 to 0.1): %w", l.MaxClockDrift, ErrBadLimits)
+		return fmt.Errorf("drift %v (want 0 to 0.1): %w", l.MaxClockDrift, ErrInvalidLimits)
 	}
 	return nil
 }
--- a/pkg/sageload/reserve_test.go
+++ b/pkg/sageload/reserve_test.go
@@ -12,14 +12,14 @@
 // units, the others want only reserves.
 func (s *scenario) requestAll(l *Ledger, routers []*Allotment, neededByLast int) {
 	l.RecordReport(s.now, s.now, Report{BootID: "e1", InFlight: s.inFlight()}, 4)
-	for i, h := range routers {
+	for i, a := range routers {
 		units, reserve := 2, 2
 		if i == len(routers)-1 {
 			units, reserve = neededByLast, 0
 		}
-		h.Reserve = reserve
-		if r, ok := h.Request(s.now, "a", units); ok {
-			h.ApplyGrant(l.HandleRequest(s.now, r))
+		a.Reserve = reserve
+		if r, ok := a.Request(s.now, "a", units); ok {
+			a.ApplyGrant(l.HandleRequest(s.now, r))
 		}
 	}
 	s.now = s.now.Add(100 * time.Millisecond)
@@ -33,11 +33,11 @@
 	l := s.ledgerOf("a")
 	var routers []*Allotment
 	for i := range 8 {
-		h := &Allotment{Upstream: "u", Holder: fmt.Sprintf("r%d", i), Node: fmt.Sprint("n", i), Limits: s.limits}
+		a := &Allotment{Upstream: "u", Holder: fmt.Sprintf("r%d", i), Node: fmt.Sprint("n", i), Limits: s.limits}
 		if i < len(s.voters) {
-			h.Node, h.Voter = s.voters[i], true
+			a.Node, a.Voter = s.voters[i], true
 		}
-		routers = append(routers, h)
+		routers = append(routers, a)
 	}
 	s.routers = routers
 	last := routers[len(routers)-1]
@@ -46,8 +46,8 @@
 			s.requestAll(l, routers, 0)
 		}
 		free := 0
-		for _, h := range routers {
-			free += h.Free(s.now)
+		for _, a := range routers {
+			free += a.Free(s.now)
 		}
 		require.GreaterOrEqual(t, free, 3, "the reserves use the capacity; one unit may be in transfer to another holder")
 		require.Zero(t, last.Free(s.now))
--- a/pkg/sageload/scenario_test.go
+++ b/pkg/sageload/scenario_test.go
@@ -19,7 +19,7 @@
 	clockRate float64 // of the coordinator's clock, relative to the routers'
 }
 
-const tenRequests = 10
+const scenarioCapacity = 10
 
 func newScenario(without safeguard) *scenario {
 	return &scenario{now: time.Unix(1e6, 0), without: without, voters: []string{"a", "b", "c"}, clockRate: 1,
@@ -27,9 +27,9 @@
 }
 
 func (s *scenario) router(node string) *Allotment {
-	h := &Allotment{Upstream: "u", Holder: node + ".1", Node: node, Voter: node != "d", Limits: s.limits}
-	s.routers = append(s.routers, h)
-	return h
+	a := &Allotment{Upstream: "u", Holder: node + ".1", Node: node, Voter: node != "d", Limits: s.limits}
+	s.routers = append(s.routers, a)
+	return a
 }
 
 func (s *scenario) ledgerOf(node string) *Ledger {
@@ -44,8 +44,8 @@
 
 func (s *scenario) inFlight() int {
 	n := s.orphaned
-	for _, h := range s.routers {
-		n += h.InUse()
+	for _, a := range s.routers {
+		n += a.InUse()
 	}
 	return n
 }
@@ -54,14 +54,14 @@
 // router wants units.
 func (s *scenario) exchange(d time.Duration, l *Ledger, node string, units int, routers ...*Allotment) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(100 * time.Millisecond) {
-		l.RecordReport(s.clock(), s.clock(), Report{BootID: "e1", InFlight: s.inFlight()}, tenRequests)
-		for i, h := range routers {
+		l.RecordReport(s.clock(), s.clock(), Report{BootID: "e1", InFlight: s.inFlight()}, scenarioCapacity)
+		for i, a := range routers {
 			n := 0
 			if i == 0 {
 				n = units
 			}
-			if r, ok := h.Request(s.now, node, n); ok {
-				h.ApplyGrant(l.HandleRequest(s.clock(), r))
+			if r, ok := a.Request(s.now, node, n); ok {
+				a.ApplyGrant(l.HandleRequest(s.clock(), r))
 			}
 			s.removeSafeguard(l)
 		}
@@ -76,9 +76,9 @@
 	case inheritedCount:
 		l.inherited.units = 0
 	case tailCount:
-		for _, h := range l.holders {
-			if !s.clock().Before(h.usableUntil()) {
-				h.excessInFlight = 0
+		for _, a := range l.holders {
+			if !s.clock().Before(a.usableUntil()) {
+				a.excessInFlight = 0
 			}
 		}
 	}
@@ -86,10 +86,10 @@
 
 // acquireAll starts as many requests as the allotment allows at the given instant and returns their
 // number.
-func (s *scenario) acquireAll(h *Allotment, at time.Time) int {
+func (s *scenario) acquireAll(a *Allotment, at time.Time) int {
 	n := 0
-	for ; n < 2*tenRequests; n++ {
-		if !h.Acquire(at) {
+	for ; n < 2*scenarioCapacity; n++ {
+		if !a.Acquire(at) {
 			break
 		}
 	}
@@ -102,10 +102,10 @@
 	t.Helper()
 	with := newScenario("")
 	play(with)
-	require.LessOrEqual(t, with.inFlight(), tenRequests, "with every safeguard")
+	require.LessOrEqual(t, with.inFlight(), scenarioCapacity, "with every safeguard")
 	without := newScenario(g)
 	play(without)
-	require.Greater(t, without.inFlight(), tenRequests, "without the safeguard: %s", g)
+	require.Greater(t, without.inFlight(), scenarioCapacity, "without the safeguard: %s", g)
 }
 
 // Guards against an overload after a change of coordinator. Router d has ten unused units of the old
@@ -113,8 +113,8 @@
 func TestNewCoordinatorWaitsForOldGrants(t *testing.T) {
 	requireSafeguard(t, waitForOldGrants, func(s *scenario) {
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
-		s.exchange(5*time.Second, s.ledgerOf("a"), "a", tenRequests, d, a, b, c)
-		s.exchange(1300*time.Millisecond, s.ledgerOf("b"), "b", tenRequests, c, a, b)
+		s.exchange(5*time.Second, s.ledgerOf("a"), "a", scenarioCapacity, d, a, b, c)
+		s.exchange(1300*time.Millisecond, s.ledgerOf("b"), "b", scenarioCapacity, c, a, b)
 		s.acquireAll(c, s.now)
 		s.acquireAll(d, s.now)
 	})
@@ -126,10 +126,10 @@
 	requireSafeguard(t, deadlineRecheck, func(s *scenario) {
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		ledger := s.ledgerOf("a")
-		s.exchange(5*time.Second, ledger, "a", tenRequests, d, a, b, c)
+		s.exchange(5*time.Second, ledger, "a", scenarioCapacity, d, a, b, c)
 		sendTime := s.now
-		s.exchange(4*time.Second, ledger, "a", tenRequests, c, a, b)
-		require.Equal(t, tenRequests, s.acquireAll(c, s.now), "the units of the stalled router are used by others")
+		s.exchange(4*time.Second, ledger, "a", scenarioCapacity, c, a, b)
+		require.Equal(t, scenarioCapacity, s.acquireAll(c, s.now), "the units of the stalled router are used by others")
 		if s.without != deadlineRecheck {
 			sendTime = s.now
 		}
@@ -147,8 +147,8 @@
 		}
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		ledger := s.ledgerOf("a")
-		s.exchange(5*time.Second, ledger, "a", tenRequests, d, a, b, c)
-		s.exchange(1300*time.Millisecond, ledger, "a", tenRequests, c, a, b)
+		s.exchange(5*time.Second, ledger, "a", scenarioCapacity, d, a, b, c)
+		s.exchange(1300*time.Millisecond, ledger, "a", scenarioCapacity, c, a, b)
 		s.acquireAll(c, s.now)
 		s.acquireAll(d, s.now)
 	})
@@ -160,18 +160,18 @@
 	requireSafeguard(t, voterAbstention, func(s *scenario) {
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		old, next := s.ledgerOf("a"), s.ledgerOf("b")
-		s.exchange(5*time.Second, old, "a", tenRequests, d, a, b)
+		s.exchange(5*time.Second, old, "a", scenarioCapacity, d, a, b)
 		b.Holder = "b.2"
 		b.promisedTo = ""
 		if s.without != voterAbstention {
 			b.AbstainUntil = s.now.Add(s.limits.stretch(s.limits.PromiseDuration))
 		}
 		for range 7 { // d can reach a; b and c can reach each other
-			s.exchange(100*time.Millisecond, next, "b", tenRequests, c, b)
+			s.exchange(100*time.Millisecond, next, "b", scenarioCapacity, c, b)
 			s.now = s.now.Add(-100 * time.Millisecond)
-			s.exchange(100*time.Millisecond, old, "a", tenRequests, d, a)
+			s.exchange(100*time.Millisecond, old, "a", scenarioCapacity, d, a)
 		}
-		s.exchange(1200*time.Millisecond, next, "b", tenRequests, c, b)
+		s.exchange(1200*time.Millisecond, next, "b", scenarioCapacity, c, b)
 		s.acquireAll(c, s.now)
 		s.acquireAll(d, s.now)
 	})
@@ -187,9 +187,9 @@
 			minority.Voters = []string{"a"}
 		}
 		for range 50 {
-			s.exchange(100*time.Millisecond, minority, "a", tenRequests, d, a)
+			s.exchange(100*time.Millisecond, minority, "a", scenarioCapacity, d, a)
 			s.now = s.now.Add(-100 * time.Millisecond)
-			s.exchange(100*time.Millisecond, majority, "b", tenRequests, c, b)
+			s.exchange(100*time.Millisecond, majority, "b", scenarioCapacity, c, b)
 		}
 		s.acquireAll(c, s.now)
 		s.acquireAll(d, s.now)
@@ -204,7 +204,7 @@
 		a, b, c := s.router("a"), s.router("b"), s.router("c")
 		ledger := s.ledgerOf("a")
 		ledger.Floor, b.Guaranteed = 2, 2
-		s.exchange(5*time.Second, ledger, "a", tenRequests, c, a, b)
+		s.exchange(5*time.Second, ledger, "a", scenarioCapacity, c, a, b)
 		s.orphaned = s.acquireAll(b, s.now)
 		s.routers = []*Allotment{a, c}
 		restarted := s.router("b")
@@ -212,7 +212,7 @@
 		if s.without != shareDelay {
 			restarted.GuaranteedFrom = s.now.Add(s.limits.RequestLifetime)
 		}
-		s.exchange(time.Second, ledger, "a", tenRequests, c, a, restarted)
+		s.exchange(time.Second, ledger, "a", scenarioCapacity, c, a, restarted)
 		s.acquireAll(c, s.now)
 		s.acquireAll(restarted, s.now)
 	})
@@ -224,11 +224,11 @@
 func TestNewCoordinatorCountsRequestsOfDeadRouters(t *testing.T) {
 	requireSafeguard(t, inheritedCount, func(s *scenario) {
 		a, b, c := s.router("a"), s.router("b"), s.router("c")
-		s.exchange(5*time.Second, s.ledgerOf("a"), "a", tenRequests, a, b, c)
+		s.exchange(5*time.Second, s.ledgerOf("a"), "a", scenarioCapacity, a, b, c)
 		s.orphaned = s.acquireAll(a, s.now)
-		require.Equal(t, tenRequests, s.orphaned)
+		require.Equal(t, scenarioCapacity, s.orphaned)
 		s.routers = s.routers[1:]
-		s.exchange(6*time.Second, s.ledgerOf("b"), "b", tenRequests, c, b)
+		s.exchange(6*time.Second, s.ledgerOf("b"), "b", scenarioCapacity, c, b)
 		s.acquireAll(c, s.now)
 	})
 }
@@ -239,10 +239,10 @@
 	requireSafeguard(t, tailCount, func(s *scenario) {
 		a, b, c, d := s.router("a"), s.router("b"), s.router("c"), s.router("d")
 		ledger := s.ledgerOf("a")
-		s.exchange(5*time.Second, ledger, "a", tenRequests, d, a, b, c)
+		s.exchange(5*time.Second, ledger, "a", scenarioCapacity, d, a, b, c)
 		s.orphaned = s.acquireAll(d, s.now)
 		s.routers = s.routers[:3]
-		s.exchange(4*time.Second, ledger, "a", tenRequests, c, a, b)
+		s.exchange(4*time.Second, ledger, "a", scenarioCapacity, c, a, b)
 		s.acquireAll(c, s.now)
 	})
 }
