--- a/pkg/sageconfig/doc.go
+++ b/pkg/sageconfig/doc.go
@@ -1,14 +1,15 @@
-// Package sageconfig defines the configuration of the system as things, and how states of it merge.
+// Package sageconfig defines the configuration of the system as a set of entries, and how two copies of
+// it are merged.
 //
-// A [EntryKey] is what a change ticket can touch: a route, a data centre, an upstream, an upstream
-// set, a client account, a model set or an order. A [Ticket] has a number and carries the whole
-// new state of each thing that it touches. A [State] maps each thing to the newest change it has
-// seen. Merging takes the higher ticket number for each thing; this merge is commutative,
-// associative and idempotent (a join of a semilattice), so copies that exchange changes in any
-// order, late or repeatedly, converge and never revert.
+// An [EntryKey] names one configuration entry: a route, a data centre, an upstream, an upstream set, a
+// client account, a model set or an order. A [Ticket] is a numbered change and carries the complete new
+// value of every entry that it changes. A [State] maps each key to the newest entry seen for it.
+// Merging two states keeps the entry with the higher ticket number for each key. This merge is
+// commutative, associative and idempotent (the join of a semilattice), so copies that exchange changes
+// late, repeatedly or in any order converge and never go back to an older value.
 //
-// Reference: Shapiro, Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types",
-// SSS 2011, section 2 (state-based objects).
+// Reference: Shapiro, Preguiça, Baquero, Zawirski, "Conflict-free Replicated Data Types", SSS 2011,
+// section 2 (state-based objects).
 //
 // # Usage
 //
--- a/pkg/sageconfig/domain.go
+++ b/pkg/sageconfig/domain.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// RouteKind says what a route leads to.
+// RouteKind is the kind of service behind a route.
 type RouteKind string
 
 // The route kinds.
@@ -14,19 +14,18 @@
 	RouteService RouteKind = "service"
 )
 
-// Route leads callers to model engines or to an application service. The name of a chat route is
-// the model name that callers ask for; the name of a service route is the path element after
-// /v1/services/.
+// Route maps requests to model engines or to an application service. The name of a chat route is the
+// model name in the request; the name of a service route is the path element after /v1/services/.
 type Route struct {
 	Kind        RouteKind `json:"kind"`
 	UpstreamSet string    `json:"upstream_set"`
-	// ModelSet names the model versions a chat route may use; empty for services.
+	// ModelSet names the model versions that a chat route may use; empty for services.
 	ModelSet string `json:"model_set,omitempty"`
-	// Idempotent says that requests other than GET and HEAD may be sent again too.
+	// Idempotent allows retries of requests other than GET and HEAD.
 	Idempotent bool `json:"idempotent,omitempty"`
 }
 
-// Check reports a route that can't serve, wrapped around [ErrInvalidState].
+// Check reports an unknown kind or a missing upstream set, wrapped around [ErrInvalidState].
 func (r *Route) Check() error {
 	if r.Kind != RouteChat && r.Kind != RouteService {
 		return fmt.Errorf("route kind %q (want chat or service): %w", r.Kind, ErrInvalidState)
@@ -37,16 +36,16 @@
 	return nil
 }
 
-// DataCentre is in service or out of it.
+// DataCentre is a data centre, in service or out of service.
 type DataCentre struct {
 	InService bool   `json:"in_service"`
 	Region    string `json:"region,omitempty"`
 }
 
-// Check always succeeds: both states are allowed.
+// Check always returns nil: every value is valid.
 func (d *DataCentre) Check() error { return nil }
 
-// UpstreamKind tells model engines from application services.
+// UpstreamKind distinguishes model engines from application services.
 type UpstreamKind string
 
 // The upstream kinds.
@@ -60,13 +59,13 @@
 	Kind       UpstreamKind `json:"kind"`
 	Address    string       `json:"address"`
 	DataCentre string       `json:"data_centre"`
-	// Models lists the model versions an engine serves, each as "model@version".
+	// Models lists the model versions that an engine serves, each as "model@version".
 	Models []string `json:"models,omitempty"`
-	// MaxInFlight is the greatest number of requests it bears at once when warm.
+	// MaxInFlight is the greatest number of concurrent requests after warm-up.
 	MaxInFlight int `json:"max_in_flight"`
-	// ChecksFencing says that it refuses orders bearing an old fencing number.
+	// ChecksFencing reports whether the upstream rejects orders with an outdated fencing number.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
-	// Leaving says that it must receive no new work.
+	// Leaving excludes the upstream from new work.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -87,12 +86,12 @@
 	return nil
 }
 
-// UpstreamSet lists upstreams by name.
+// UpstreamSet is a list of upstream names.
 type UpstreamSet struct {
 	Upstreams []string `json:"upstreams"`
 }
 
-// Check reports an empty or repeated entry, wrapped around [ErrInvalidState].
+// Check reports an invalid or repeated name, wrapped around [ErrInvalidEntryKey] or [ErrInvalidState].
 func (s *UpstreamSet) Check() error {
 	seen := make(map[string]bool, len(s.Upstreams))
 	for _, n := range s.Upstreams {
@@ -100,20 +99,20 @@
 			return fmt.Errorf("upstream_set: %w", err)
 		}
 		if seen[n] {
-			return fmt.Errorf("upstream %q stands twice: %w", n, ErrInvalidState)
+			return fmt.Errorf("upstream %q is listed twice: %w", n, ErrInvalidState)
 		}
 		seen[n] = true
 	}
 	return nil
 }
 
-// ClientAccount is one firm's or department's right to call.
+// ClientAccount identifies a firm or department and sets its share of capacity.
 type ClientAccount struct {
-	// KeySHA256 is the SHA-256 of the bearer key, in hexadecimal.
+	// KeySHA256 is the SHA-256 of the bearer key in hexadecimal.
 	KeySHA256 string `json:"key_sha256"`
-	// Weight is its part of shared capacity relative to other accounts; above 0.
+	// Weight is the account's share of capacity relative to other accounts; greater than 0.
 	Weight float64 `json:"weight"`
-	// UpstreamSet, when set, takes the place of the route's own set for chats.
+	// UpstreamSet, if not empty, replaces the upstream set of the route for chat requests.
 	UpstreamSet string `json:"upstream_set,omitempty"`
 }
 
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// ModelSet lists the model versions that may carry a chat route, each as "model@version".
+// ModelSet lists the model versions that may serve a chat route, each as "model@version".
 type ModelSet struct {
 	Versions []string `json:"versions"`
 }
@@ -141,7 +140,7 @@
 	return nil
 }
 
-// Order is the wanted state of an engine: absolute, so that applying it twice changes nothing more.
+// Order is the target state of an engine. It is absolute, so applying it again has no further effect.
 type Order struct {
 	Upstream string   `json:"upstream"`
 	Models   []string `json:"models,omitempty"`
--- a/pkg/sageconfig/thing.go
+++ b/pkg/sageconfig/entry_key.go
@@ -7,14 +7,15 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of this package; every returned error wraps one of them.
+// Errors of this package. Every returned error wraps one of these, [ErrUnknownReference] or
+// [ErrNoUpstream].
 var (
-	ErrInvalidEntryKey = errors.New("malformed thing")
+	ErrInvalidEntryKey = errors.New("malformed configuration entry key")
 	ErrInvalidTicket   = errors.New("malformed ticket")
-	ErrInvalidState    = errors.New("malformed state of a thing")
+	ErrInvalidState    = errors.New("malformed value of a configuration entry")
 )
 
-// Kind is the kind of a thing that a ticket can touch.
+// Kind is the kind of a configuration entry.
 type Kind string
 
 // The kinds.
@@ -28,42 +29,43 @@
 	KindOrder         Kind = "order"
 )
 
-// MaxNameBytes is the greatest length of a thing's name in bytes.
+// MaxNameBytes is the greatest length of an entry's name.
 const MaxNameBytes = 128
 
-// EntryKey names one unit of configuration.
+// EntryKey identifies a configuration entry.
 type EntryKey struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String returns the thing as "kind/name".
-func (t EntryKey) String() string { return string(t.Kind) + "/" + t.Name }
+// String returns the key as "kind/name".
+func (k EntryKey) String() string { return string(k.Kind) + "/" + k.Name }
 
-// Check reports an unknown kind or a name outside [A-Za-z0-9._-], wrapped around [ErrInvalidEntryKey].
-func (t EntryKey) Check() error {
-	switch t.Kind {
+// Check reports an unknown kind, or a name that is empty, too long or has characters outside
+// [A-Za-z0-9._-], wrapped around [ErrInvalidEntryKey].
+func (k EntryKey) Check() error {
+	switch k.Kind {
 	case KindRoute, KindDataCentre, KindUpstream, KindUpstreamSet, KindClientAccount, KindModelSet, KindOrder:
 	default:
-		return fmt.Errorf("kind %q: %w", t.Kind, ErrInvalidEntryKey)
+		return fmt.Errorf("kind %q: %w", k.Kind, ErrInvalidEntryKey)
 	}
-	if err := checkName(t.Name); err != nil {
-		return fmt.Errorf("%s: %w", t.Kind, err)
+	if err := checkName(k.Name); err != nil {
+		return fmt.Errorf("%s: %w", k.Kind, err)
 	}
 	return nil
 }
 
-// ParseEntryKey reads "kind/name".
+// ParseEntryKey parses and checks a key of the form "kind/name".
 func ParseEntryKey(s string) (EntryKey, error) {
 	kind, name, ok := strings.Cut(s, "/")
 	if !ok {
 		return EntryKey{}, fmt.Errorf("%q (want kind/name): %w", s, ErrInvalidEntryKey)
 	}
-	t := EntryKey{Kind: Kind(kind), Name: name}
-	if err := t.Check(); err != nil {
-		return EntryKey{}, fmt.Errorf("parse thing: %w", err)
+	k := EntryKey{Kind: Kind(kind), Name: name}
+	if err := k.Check(); err != nil {
+		return EntryKey{}, fmt.Errorf("parse entry key: %w", err)
 	}
-	return t, nil
+	return k, nil
 }
 
 func checkName(s string) error {
@@ -74,7 +76,7 @@
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '.', c == '_', c == '-':
 		default:
-			return fmt.Errorf("name %q holds %q (want letters, digits, '.', '_' or '-'): %w", s, c, ErrInvalidEntryKey)
+			return fmt.Errorf("name %q contains %q (want letters, digits, '.', '_' or '-'): %w", s, c, ErrInvalidEntryKey)
 		}
 	}
 	return nil
--- a/pkg/sageconfig/state_test.go
+++ b/pkg/sageconfig/state_test.go
@@ -21,8 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// anyState draws states as the join of tickets: at most one content per number and thing.
-func anyState(t *rapid.T, label string) *State {
+// drawState draws states that tickets can produce: for each number and key there is only one content.
+func drawState(t *rapid.T, label string) *State {
 	s := NewState()
 	for _, n := range rapid.SliceOfN(rapid.Uint64Range(1, 6), 0, 8).Draw(t, label) {
 		for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2).Draw(t, label) {
@@ -35,30 +35,30 @@
 
 func entries(s *State) map[EntryKey]Entry { return maps.Collect(s.All()) }
 
-func joined(ss ...*State) *State {
+func merged(states ...*State) *State {
 	s := NewState()
-	for _, o := range ss {
+	for _, o := range states {
 		s.Merge(o)
 	}
 	return s
 }
 
-// Copies that exchange changes in any order, late or repeatedly, must hold the same in the end.
-func TestMergeIsJoin(t *testing.T) {
+// Copies that exchange changes late, repeatedly or in any order must converge to the same state.
+func TestMergeIsSemilatticeJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := anyState(t, "a"), anyState(t, "b"), anyState(t, "c")
-		assert.Equal(t, entries(joined(a, b)), entries(joined(b, a)), "commutative")
-		assert.Equal(t, entries(joined(joined(a, b), c)), entries(joined(a, joined(b, c))), "associative")
-		assert.Equal(t, entries(a), entries(joined(a, a)), "idempotent")
-		ab := joined(a, b)
-		for th, e := range a.All() {
-			assert.GreaterOrEqual(t, ab.TicketNumber(th), e.TicketNumber, "never reverts")
+		a, b, c := drawState(t, "a"), drawState(t, "b"), drawState(t, "c")
+		assert.Equal(t, entries(merged(a, b)), entries(merged(b, a)), "commutative")
+		assert.Equal(t, entries(merged(merged(a, b), c)), entries(merged(a, merged(b, c))), "associative")
+		assert.Equal(t, entries(a), entries(merged(a, a)), "idempotent")
+		ab := merged(a, b)
+		for key, e := range a.All() {
+			assert.GreaterOrEqual(t, ab.TicketNumber(key), e.TicketNumber, "newest number is kept")
 		}
 	})
 }
 
-// A state is served from while a clone of it is changed, and goes on being changed itself after it
-// was cloned: neither may show in the other.
+// Nodes read a state while a clone of it is modified, and a state may be modified after it was cloned.
+// A change of one must not appear in the other.
 func TestCloneIsIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type pair struct {
@@ -96,8 +96,8 @@
 	assert.False(t, ok)
 }
 
-func TestUnserved(t *testing.T) {
-	th := func(k Kind, n string) EntryKey { return EntryKey{Kind: k, Name: n} }
+func TestWithoutUpstream(t *testing.T) {
+	key := func(k Kind, n string) EntryKey { return EntryKey{Kind: k, Name: n} }
 	build := func(change func(*Upstream, *DataCentre, *UpstreamSet)) *State {
 		u := &Upstream{Kind: Engine, Address: "127.0.0.1:1", DataCentre: "derby", MaxInFlight: 1, Models: []string{"m@1"}}
 		d := &DataCentre{InService: true}
@@ -105,17 +105,17 @@
 		change(u, d, us)
 		s := NewState()
 		s.ApplyTicket(&Ticket{Number: 1, Changes: []Change{
-			{Key: th(KindUpstream, "e1"), Upstream: u},
-			{Key: th(KindDataCentre, "derby"), DataCentre: d},
-			{Key: th(KindUpstreamSet, "s"), UpstreamSet: us},
-			{Key: th(KindModelSet, "ms"), ModelSet: &ModelSet{Versions: []string{"m@1"}}},
-			{Key: th(KindRoute, "chat"), Route: &Route{Kind: RouteChat, UpstreamSet: "s", ModelSet: "ms"}},
-			{Key: th(KindClientAccount, "haller"), ClientAccount: &ClientAccount{UpstreamSet: "s"}},
-			{Key: th(KindClientAccount, "other"), ClientAccount: &ClientAccount{}},
+			{Key: key(KindUpstream, "e1"), Upstream: u},
+			{Key: key(KindDataCentre, "derby"), DataCentre: d},
+			{Key: key(KindUpstreamSet, "s"), UpstreamSet: us},
+			{Key: key(KindModelSet, "ms"), ModelSet: &ModelSet{Versions: []string{"m@1"}}},
+			{Key: key(KindRoute, "chat"), Route: &Route{Kind: RouteChat, UpstreamSet: "s", ModelSet: "ms"}},
+			{Key: key(KindClientAccount, "haller"), ClientAccount: &ClientAccount{UpstreamSet: "s"}},
+			{Key: key(KindClientAccount, "other"), ClientAccount: &ClientAccount{}},
 		}})
 		return s
 	}
-	both := map[EntryKey]bool{th(KindRoute, "chat"): true, th(KindClientAccount, "haller"): true}
+	both := map[EntryKey]bool{key(KindRoute, "chat"): true, key(KindClientAccount, "haller"): true}
 	for _, c := range []struct {
 		name   string
 		change func(*Upstream, *DataCentre, *UpstreamSet)
@@ -126,16 +126,16 @@
 		{"data centre out", func(_ *Upstream, d *DataCentre, _ *UpstreamSet) { d.InService = false }, both},
 		{"empty set", func(_ *Upstream, _ *DataCentre, s *UpstreamSet) { s.Upstreams = nil }, both},
 		{"application", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Kind = Application }, both},
-		{"other version", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Models = []string{"m@2"} }, map[EntryKey]bool{th(KindRoute, "chat"): true}},
+		{"other version", func(u *Upstream, _ *DataCentre, _ *UpstreamSet) { u.Models = []string{"m@2"} }, map[EntryKey]bool{key(KindRoute, "chat"): true}},
 	} {
 		assert.Equal(t, c.want, build(c.change).WithoutUpstream(), c.name)
 	}
 }
 
-func TestParseThing(t *testing.T) {
-	th, err := ParseEntryKey("data_centre/derby")
+func TestParseEntryKey(t *testing.T) {
+	key, err := ParseEntryKey("data_centre/derby")
 	require.NoError(t, err)
-	assert.Equal(t, "data_centre/derby", th.String())
+	assert.Equal(t, "data_centre/derby", key.String())
 	for _, bad := range []string{"", "derby", "zone/derby", "data_centre/", "data_centre/a b"} {
 		_, err := ParseEntryKey(bad)
 		assert.ErrorIs(t, err, ErrInvalidEntryKey, bad)
--- a/pkg/sageconfig/ticket.go
+++ b/pkg/sageconfig/ticket.go
@@ -11,8 +11,8 @@
 // MaxTicketBytes is the greatest size of an encoded ticket.
 const MaxTicketBytes = 256 << 10
 
-// Change is the whole new state of one thing. Exactly the field that matches Thing.Kind is set,
-// or Deleted.
+// Change is the complete new value of one entry. Either Deleted is true, or exactly the field that
+// matches Key.Kind is set.
 type Change struct {
 	Key           EntryKey       `json:"thing"`
 	Deleted       bool           `json:"deleted,omitempty"`
@@ -25,10 +25,10 @@
 	Order         *Order         `json:"order,omitempty"`
 }
 
-// checker is a state that checks itself when decoded.
+// checker is the value of an entry that can be validated.
 type checker interface{ Check() error }
 
-// states lists the set fields of c by kind.
+// states returns the values that are set in c, by kind.
 func (c *Change) states() map[Kind]checker {
 	m := make(map[Kind]checker, 1)
 	if c.Route != nil {
@@ -55,7 +55,8 @@
 	return m
 }
 
-// Check reports a change whose state is missing, doubled, of another kind or malformed.
+// Check reports an invalid key, and a change whose value is missing, duplicated, of another kind or
+// malformed.
 func (c *Change) Check() error {
 	if err := c.Key.Check(); err != nil {
 		return err
@@ -63,7 +64,7 @@
 	m := c.states()
 	if c.Deleted {
 		if len(m) != 0 {
-			return fmt.Errorf("%s is deleted and has a state: %w", c.Key, ErrInvalidTicket)
+			return fmt.Errorf("%s is deleted but has a value: %w", c.Key, ErrInvalidTicket)
 		}
 		return nil
 	}
@@ -77,24 +78,24 @@
 	return nil
 }
 
-// Ticket is a numbered change: the whole new state of everything it touches.
+// Ticket is a numbered change. It carries the complete new value of every entry that it changes.
 type Ticket struct {
 	Number uint64 `json:"number"`
 	Author string `json:"author,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// Force accepts a ticket that leaves an account or a route without an upstream.
+	// Force accepts a ticket even if it leaves a client account or a route without an upstream.
 	Force   bool     `json:"force,omitempty"`
 	Changes []Change `json:"changes"`
 }
 
-// Check reports a ticket without number or changes, with a thing that stands twice, or with a
-// malformed change.
+// Check reports a missing number, an empty list of changes, two changes of the same entry, and
+// malformed changes.
 func (t *Ticket) Check() error {
 	if t.Number == 0 {
 		return fmt.Errorf("ticket without a number: %w", ErrInvalidTicket)
 	}
 	if len(t.Changes) == 0 {
-		return fmt.Errorf("ticket %d changes nothing: %w", t.Number, ErrInvalidTicket)
+		return fmt.Errorf("ticket %d has no changes: %w", t.Number, ErrInvalidTicket)
 	}
 	seen := make(map[EntryKey]bool, len(t.Changes))
 	for i := range t.Changes {
@@ -103,26 +104,26 @@
 			return fmt.Errorf("ticket %d, changes[%d]: %w", t.Number, i, err)
 		}
 		if seen[c.Key] {
-			return fmt.Errorf("ticket %d touches %s twice: %w", t.Number, c.Key, ErrInvalidTicket)
+			return fmt.Errorf("ticket %d changes %s twice: %w", t.Number, c.Key, ErrInvalidTicket)
 		}
 		seen[c.Key] = true
 	}
 	return nil
 }
 
-// Digest returns the SHA-256 of the ticket's canonical encoding in hexadecimal. Two submissions of
-// one number are the same ticket exactly if their digests match.
+// Digest returns the SHA-256 of the ticket's JSON encoding in hexadecimal. Two submissions with the
+// same number are the same ticket if and only if their digests are equal.
 func (t *Ticket) Digest() string {
 	b, err := json.Marshal(t)
 	if err != nil {
-		panic("sageconfig: a checked ticket always encodes: " + err.Error())
+		panic("sageconfig: encoding a valid ticket failed: " + err.Error())
 	}
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
 }
 
-// DecodeTicket decodes a ticket strictly and checks it: unknown fields, trailing data and
-// tickets above [MaxTicketBytes] are errors.
+// DecodeTicket decodes and checks a ticket. Unknown fields, trailing data and tickets larger than
+// [MaxTicketBytes] are errors.
 func DecodeTicket(b []byte) (*Ticket, error) {
 	if len(b) > MaxTicketBytes {
 		return nil, fmt.Errorf("ticket of %d bytes (at most %d): %w", len(b), MaxTicketBytes, ErrInvalidTicket)
@@ -134,7 +135,7 @@
 		return nil, fmt.Errorf("decode ticket: %v: %w", err, ErrInvalidTicket)
 	}
 	if d.More() {
-		return nil, fmt.Errorf("data after the ticket: %w", ErrInvalidTicket)
+		return nil, fmt.Errorf("trailing data after the ticket: %w", ErrInvalidTicket)
 	}
 	if err := t.Check(); err != nil {
 		return nil, err
--- a/pkg/sageconfig/ticket_test.go
+++ b/pkg/sageconfig/ticket_test.go
@@ -9,28 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodTicket = `{"number":7,"author":"kim","changes":[
+const validTicket = `{"number":7,"author":"kim","changes":[
 	{"thing":{"kind":"data_centre","name":"derby"},"data_centre":{"in_service":false}},
 	{"thing":{"kind":"upstream","name":"e1"},"deleted":true}]}`
 
 func TestDecodeTicket(t *testing.T) {
-	tk, err := DecodeTicket([]byte(goodTicket))
+	tk, err := DecodeTicket([]byte(validTicket))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(7), tk.Number)
 	assert.Len(t, tk.Changes, 2)
 	for name, bad := range map[string]string{
-		"empty":         ``,
-		"no number":     `{"changes":[{"thing":{"kind":"upstream","name":"e1"},"deleted":true}]}`,
-		"no changes":    `{"number":1}`,
-		"unknown field": `{"number":1,"colour":1,"changes":[{"thing":{"kind":"upstream","name":"e1"},"deleted":true}]}`,
-		"trailing":      goodTicket + goodTicket,
-		"twice":         `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"},"deleted":true},{"thing":{"kind":"upstream","name":"a"},"deleted":true}]}`,
-		"wrong field":   `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"},"data_centre":{}}]}`,
-		"two fields":    `{"number":1,"changes":[{"thing":{"kind":"data_centre","name":"a"},"data_centre":{},"order":{}}]}`,
-		"no state":      `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"}}]}`,
-		"both":          `{"number":1,"changes":[{"thing":{"kind":"data_centre","name":"a"},"deleted":true,"data_centre":{}}]}`,
-		"negative":      `{"number":-1,"changes":[]}`,
-		"huge":          `{"number":1,"reason":"` + strings.Repeat("x", MaxTicketBytes) + `"}`,
+		"empty":              ``,
+		"no number":          `{"changes":[{"thing":{"kind":"upstream","name":"e1"},"deleted":true}]}`,
+		"no changes":         `{"number":1}`,
+		"unknown field":      `{"number":1,"colour":1,"changes":[{"thing":{"kind":"upstream","name":"e1"},"deleted":true}]}`,
+		"trailing":           validTicket + validTicket,
+		"duplicate":          `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"},"deleted":true},{"thing":{"kind":"upstream","name":"a"},"deleted":true}]}`,
+		"wrong field":        `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"},"data_centre":{}}]}`,
+		"two fields":         `{"number":1,"changes":[{"thing":{"kind":"data_centre","name":"a"},"data_centre":{},"order":{}}]}`,
+		"no value":           `{"number":1,"changes":[{"thing":{"kind":"upstream","name":"a"}}]}`,
+		"deleted with value": `{"number":1,"changes":[{"thing":{"kind":"data_centre","name":"a"},"deleted":true,"data_centre":{}}]}`,
+		"negative":           `{"number":-1,"changes":[]}`,
+		"huge":               `{"number":1,"reason":"` + strings.Repeat("x", MaxTicketBytes) + `"}`,
 	} {
 		_, err := DecodeTicket([]byte(bad))
 		assert.ErrorIs(t, err, ErrInvalidTicket, name)
@@ -48,10 +48,10 @@
 	}
 }
 
-// The digest tells whether two submissions of a number are the same ticket, so it must survive the
-// way over the wire, and differ with the content.
+// The digest decides whether two submissions of a number are the same ticket: encoding and decoding
+// must not change it, and different contents must have different digests.
 func TestDigest(t *testing.T) {
-	a, err := DecodeTicket([]byte(goodTicket))
+	a, err := DecodeTicket([]byte(validTicket))
 	require.NoError(t, err)
 	b, err := json.Marshal(a)
 	require.NoError(t, err)
@@ -62,10 +62,10 @@
 	assert.NotEqual(t, a.Digest(), again.Digest())
 }
 
-// FuzzDecodeTicket: whatever is sent, decoding never panics, and what it accepts survives encoding
-// with the same digest.
+// FuzzDecodeTicket checks that decoding never panics, and that an accepted ticket has the same digest
+// after it is encoded and decoded.
 func FuzzDecodeTicket(f *testing.F) {
-	f.Add([]byte(goodTicket))
+	f.Add([]byte(validTicket))
 	f.Add([]byte(`{"number":1,"changes":[{"thing":{"kind":"client_account","name":"a"},"client_account":{"weight":1e308}}]}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -77,7 +77,7 @@
 		require.NoError(t, err)
 		again, err := DecodeTicket(enc)
 		if len(enc) > MaxTicketBytes {
-			return // escapes may lengthen a ticket beyond the bound; the acceptor refuses it
+			return // JSON escapes can make the encoding larger than the limit; the acceptor rejects such a ticket
 		}
 		require.NoError(t, err)
 		require.Equal(t, tk.Digest(), again.Digest())
