--- a/pkg/sageticket/accept.go
+++ b/pkg/sageticket/accept.go
@@ -11,43 +11,45 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// attempts bounds the conditional updates of one submission.
-const attempts = 32
+// maxAttempts is the greatest number of conditional updates of one operation.
+const maxAttempts = 32
 
-// settleFor bounds the read back after a lost answer, also when the caller has gone meanwhile.
-const settleFor = 3 * time.Second
+// readBackTimeout bounds the read back after a lost response. It continues if the caller's context
+// ends.
+const readBackTimeout = 3 * time.Second
 
-// Acceptor accepts tickets. Its fields are set before first use; it is safe for concurrent use.
+// Acceptor accepts tickets. Set the fields before first use; the methods are safe for concurrent use.
 type Acceptor struct {
 	Store sageobject.Store
-	// Now gives the instant that is recorded as accepted_at; nil means time.Now.
+	// Now returns the time that is recorded as accepted_at; nil means time.Now.
 	Now func() time.Time
-	// Base, if set, gives a complete configuration and its revision, which must not be changed. A
-	// base that the head's tail reaches back to saves reading the shards.
+	// BaseState, if not nil, returns a complete configuration and its revision. The state must not be
+	// modified. If the tail of the head reaches back to that revision, the shards needn't be read.
 	BaseState func() (revision uint64, s *sageconfig.State)
-	// Remember bounds the past numbers that a shard remembers; 0 means DefaultRemember.
+	// MaxSummariesPerShard bounds the ticket summaries in a shard; 0 means DefaultMaxSummariesPerShard.
 	MaxSummariesPerShard int
-	// Keep bounds the records that a fold leaves in the tail; 0 means DefaultKeep.
+	// KeepRecords bounds the number of records that a compaction leaves in the tail; 0 means
+	// DefaultKeepRecords.
 	KeepRecords int
 }
 
-// Accepted tells about an accepted ticket.
+// Accepted describes an accepted ticket.
 type Accepted struct {
 	Number     uint64    `json:"number"`
 	Digest     string    `json:"digest"`
 	Revision   uint64    `json:"revision"`
 	AcceptedAt time.Time `json:"accepted_at"`
-	// Repeated: the same ticket had been accepted before.
+	// Repeated reports that the same ticket had already been accepted.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// view is what one attempt to accept a ticket goes by.
-type view struct {
+// snapshot is the stored state that one attempt uses.
+type snapshot struct {
 	head    *Head
 	version int64
 	state   *sageconfig.State
-	past    Summary
-	known   bool
+	summary Summary
+	found   bool
 }
 
 func (a *Acceptor) now() time.Time {
@@ -57,52 +59,54 @@
 	return a.Now()
 }
 
-// Submit accepts t by one conditional update of the head. The error wraps one of this package's, or
-// sageconfig's ErrBadTicket, ErrReference or ErrNoUpstream.
+// Submit accepts t by a conditional update of the head. The error wraps one of this package, or
+// ErrInvalidTicket, ErrUnknownReference or ErrNoUpstream of package sageconfig.
 //
-// When the answer of the update is lost, the update may have taken effect, or may do so still. The
-// head is read again: if it holds the ticket the submission succeeded. If it doesn't, the update is
-// repeated, which is safe: the repeat either wins, or fails because the head's version moved on, and
-// then the first update can't take effect any more. Until one of the two is known, the outcome is
-// unknown, also when the repeat itself is refused by a store that has gone away meanwhile: the first
-// update may have landed before.
+// If the response to the update is lost, the update may have taken effect or may do so later. Submit
+// reads the head again. If the head contains the ticket, the submission succeeded. If not, the update
+// is repeated, which is safe: either the repeated update succeeds, or it fails because the head's
+// version has changed, and then the first update can't take effect any more. Until one of these is
+// certain the outcome is unknown, even if the store becomes unavailable and rejects the repeated
+// update: the first one may have taken effect.
 func (a *Acceptor) Submit(ctx context.Context, t *sageconfig.Ticket) (Accepted, error) {
 	if err := checkTicket(t); err != nil {
 		return Accepted{}, fmt.Errorf("submit: %w", err)
 	}
 	digest := t.Digest()
-	unsure := false
-	var last error
-	for range attempts {
-		acc, lost, err := a.attempt(ctx, t, digest)
-		last = err
+	outcomeUnknown := false
+	var lastErr error
+	for range maxAttempts {
+		accepted, responseLost, err := a.attempt(ctx, t, digest)
+		lastErr = err
 		switch {
 		case err == nil:
-			return acc, nil
-		case lost && !unsure:
-			unsure = true
+			return accepted, nil
+		case responseLost && !outcomeUnknown:
+			outcomeUnknown = true
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), settleFor)
+			ctx, cancel = context.WithTimeout(context.WithoutCancel(ctx), readBackTimeout)
 			defer cancel()
-		case lost, errors.Is(err, sageobject.ErrConflict):
-		case verdict(err):
+		case responseLost, errors.Is(err, sageobject.ErrConflict):
+		case isRejection(err):
 			return Accepted{}, fmt.Errorf("submit ticket %d: %w", t.Number, err)
-		case unsure:
+		case outcomeUnknown:
 			return Accepted{}, fmt.Errorf("submit ticket %d: %v: %w", t.Number, err, ErrOutcomeUnknown)
 		default:
 			return Accepted{}, fmt.Errorf("submit ticket %d: %v: %w", t.Number, err, ErrNotAccepted)
 		}
 	}
-	if unsure {
-		return Accepted{}, fmt.Errorf("submit ticket %d: gave up: %v: %w", t.Number, last, ErrOutcomeUnknown)
+	if outcomeUnknown {
+		return Accepted{}, fmt.Errorf("submit ticket %d: too many attempts: %v: %w", t.Number, lastErr, ErrOutcomeUnknown)
 	}
-	return Accepted{}, fmt.Errorf("submit ticket %d: gave up: %v: %w", t.Number, last, ErrNotAccepted)
+	return Accepted{}, fmt.Errorf("submit ticket %d: too many attempts: %v: %w", t.Number, lastErr, ErrNotAccepted)
 }
 
-// verdict reports whether err says about the ticket itself, not about the store. Such a verdict
-// also settles an earlier lost update: it differs from the verdict before that update, so the head
-// has moved on without the ticket.
-func verdict(err error) bool {
+// isRejection reports whether err concerns the ticket rather than the store.
+//
+// After an update whose response was lost, a rejection also proves that the update has no effect: the
+// ticket passed the same checks before that update, so the head has changed since, without the ticket,
+// and the update's version condition fails.
+func isRejection(err error) bool {
 	for _, e := range []error{ErrContentMismatch, ErrSuperseded, ErrTooOld, sageconfig.ErrUnknownReference, sageconfig.ErrNoUpstream} {
 		if errors.Is(err, e) {
 			return true
@@ -125,117 +129,118 @@
 	return nil
 }
 
-// attempt reads, judges and tries one conditional update. lost says that the update's outcome is
-// not known.
-func (a *Acceptor) attempt(ctx context.Context, t *sageconfig.Ticket, digest string) (acc Accepted, lost bool, err error) {
-	v, err := a.view(ctx, t.Number)
+// attempt reads the stored state, checks the ticket and makes one conditional update. If outcomeUnknown
+// is true, the update may have taken effect.
+func (a *Acceptor) attempt(ctx context.Context, t *sageconfig.Ticket, digest string) (accepted Accepted, outcomeUnknown bool, err error) {
+	snap, err := a.readSnapshot(ctx, t.Number)
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	if v.known {
-		if v.past.Digest != digest {
-			return Accepted{}, false, fmt.Errorf("accepted at revision %d: %w", v.past.Revision, ErrContentMismatch)
+	if snap.found {
+		if snap.summary.Digest != digest {
+			return Accepted{}, false, fmt.Errorf("accepted at revision %d: %w", snap.summary.Revision, ErrContentMismatch)
 		}
 		return Accepted{
-			Number: t.Number, Digest: digest, Revision: v.past.Revision, AcceptedAt: v.past.AcceptedAt, Repeated: true,
+			Number: t.Number, Digest: digest, Revision: snap.summary.Revision, AcceptedAt: snap.summary.AcceptedAt, Repeated: true,
 		}, false, nil
 	}
-	if err := judge(v, t); err != nil {
+	if err := checkAgainst(snap, t); err != nil {
 		return Accepted{}, false, err
 	}
-	r := Record{Revision: v.head.Revision + 1, Digest: digest, AcceptedAt: a.now().UTC(), Ticket: t}
-	value, err := v.head.append(r).encode()
+	record := Record{Revision: snap.head.Revision + 1, Digest: digest, AcceptedAt: a.now().UTC(), Ticket: t}
+	value, err := snap.head.append(record).encode()
 	if err != nil {
 		return Accepted{}, false, err
 	}
 	if len(value) > maxHeadBytes {
 		if err := a.Compact(ctx); err != nil {
-			return Accepted{}, false, fmt.Errorf("make room: %w", err)
+			return Accepted{}, false, fmt.Errorf("compact full head: %w", err)
 		}
 		return Accepted{}, false, sageobject.ErrConflict
 	}
-	if _, err := a.Store.Put(ctx, HeadKey, value, v.version); err != nil {
+	if _, err := a.Store.Put(ctx, HeadKey, value, snap.version); err != nil {
 		return Accepted{}, !nothingWritten(err), fmt.Errorf("update head: %w", err)
 	}
-	return Accepted{Number: t.Number, Digest: digest, Revision: r.Revision, AcceptedAt: r.AcceptedAt}, false, nil
+	return Accepted{Number: t.Number, Digest: digest, Revision: record.Revision, AcceptedAt: record.AcceptedAt}, false, nil
 }
 
-// nothingWritten reports whether a failed put certainly had no effect. Any other error, such as a
-// context's, leaves the outcome open.
+// nothingWritten reports whether err guarantees that a put had no effect. After any other error, such
+// as one of the context, the outcome is unknown.
 func nothingWritten(err error) bool {
 	return errors.Is(err, sageobject.ErrConflict) || errors.Is(err, sageobject.ErrUnavailable) ||
 		errors.Is(err, sageobject.ErrTooLarge) || errors.Is(err, sageobject.ErrNotFound)
 }
 
-// view reads what judges a ticket of that number: the head, the state at the head's revision, and
-// what is remembered of the number.
-func (a *Acceptor) view(ctx context.Context, number uint64) (*view, error) {
-	h, version, err := ReadHead(ctx, a.Store)
+// readSnapshot reads what is needed to check a ticket with that number: the head, the state at its
+// revision, and the summary of an earlier ticket with the number.
+func (a *Acceptor) readSnapshot(ctx context.Context, number uint64) (*snapshot, error) {
+	head, version, err := ReadHead(ctx, a.Store)
 	if err != nil {
 		return nil, err
 	}
-	s, ok, err := a.fromBase(h)
+	state, ok, err := a.fromBaseState(head)
 	if err != nil {
 		return nil, err
 	}
 	if !ok {
-		l, err := Load(ctx, a.Store)
+		loaded, err := Load(ctx, a.Store)
 		if err != nil {
 			return nil, err
 		}
-		h, version, s = l.Head, l.Version, l.State
+		head, version, state = loaded.Head, loaded.Version, loaded.State
 	}
-	v := &view{head: h, version: version, state: s}
-	if r, ok := h.Find(number); ok {
-		v.past, v.known = SummaryOf(r), true
-		return v, nil
+	snap := &snapshot{head: head, version: version, state: state}
+	if r, ok := head.Find(number); ok {
+		snap.summary, snap.found = SummaryOf(r), true
+		return snap, nil
 	}
-	// Read after the head: a record that has left the tail was in its shard before.
-	sh, _, err := readShard(ctx, a.Store, shardOfNumber(number))
+	// Read the shard after the head: a record is written to its shard before it leaves the tail.
+	shard, _, err := readShard(ctx, a.Store, shardOfNumber(number))
 	if err != nil {
 		return nil, err
 	}
-	v.past, v.known = sh.find(number)
-	return v, nil
+	snap.summary, snap.found = shard.find(number)
+	return snap, nil
 }
 
-// fromBase returns the state at the head's revision from the base and the tail, if there is a base
-// that the tail reaches back to.
+// fromBaseState returns the state at the head's revision, computed from BaseState and the tail. ok is
+// false if there is no base state or the tail doesn't reach back to it.
 //
-// A base above the head is that of a ticket accepted since the head was read; the next attempt reads
-// that head. If it stays above, the store was put back to an old copy. A ticket accepted there would
-// get a revision that the nodes passed long ago, and would come into force nowhere.
-func (a *Acceptor) fromBase(h *Head) (s *sageconfig.State, ok bool, err error) {
+// If the base state is newer than the head, a ticket was accepted after the head was read, and the next
+// attempt reads the newer head. If it stays newer, the store was restored from an old copy. Accepting a
+// ticket there would give it a revision that the nodes have already passed, so it would never come into
+// force.
+func (a *Acceptor) fromBaseState(h *Head) (state *sageconfig.State, ok bool, err error) {
 	if a.BaseState == nil {
 		return sageconfig.NewState(), h.Revision == 0, nil
 	}
-	rev, s := a.BaseState()
-	if rev > h.Revision {
-		return nil, false, fmt.Errorf("head at revision %d, this node at %d: %w", h.Revision, rev, sageobject.ErrConflict)
+	revision, state := a.BaseState()
+	if revision > h.Revision {
+		return nil, false, fmt.Errorf("head at revision %d, this node at %d: %w", h.Revision, revision, sageobject.ErrConflict)
 	}
-	rs, ok := h.RecordsSince(rev)
+	records, ok := h.RecordsSince(revision)
 	if !ok {
 		return nil, false, nil
 	}
-	if len(rs) > 0 {
-		s = s.Clone()
-		applyTail(s, rs)
+	if len(records) > 0 {
+		state = state.Clone()
+		applyTail(state, records)
 	}
-	return s, true, nil
+	return state, true, nil
 }
 
-// judge reports why a ticket whose number is not known can't be accepted.
-func judge(v *view, t *sageconfig.Ticket) error {
+// checkAgainst reports why a ticket with an unused number can't be accepted.
+func checkAgainst(snap *snapshot, t *sageconfig.Ticket) error {
 	for i := range t.Changes {
-		th := t.Changes[i].Key
-		if have := v.state.TicketNumber(th); have >= t.Number {
-			return fmt.Errorf("%s holds number %d: %w", th, have, ErrSuperseded)
+		key := t.Changes[i].Key
+		if current := snap.state.TicketNumber(key); current >= t.Number {
+			return fmt.Errorf("%s already has ticket number %d: %w", key, current, ErrSuperseded)
 		}
 	}
-	if t.Number <= v.head.Floor {
-		return fmt.Errorf("numbers up to %d: %w", v.head.Floor, ErrTooOld)
+	if t.Number <= snap.head.Floor {
+		return fmt.Errorf("floor is %d: %w", snap.head.Floor, ErrTooOld)
 	}
-	after := v.state.Clone()
+	after := snap.state.Clone()
 	after.ApplyTicket(t)
 	if err := after.CheckReferences(t); err != nil {
 		return err
@@ -243,10 +248,10 @@
 	if t.Force {
 		return nil
 	}
-	before := v.state.WithoutUpstream()
-	for th := range after.WithoutUpstream() {
-		if !before[th] {
-			return fmt.Errorf("%s (send it with force to accept this): %w", th, sageconfig.ErrNoUpstream)
+	before := snap.state.WithoutUpstream()
+	for key := range after.WithoutUpstream() {
+		if !before[key] {
+			return fmt.Errorf("%s (set force to accept this): %w", key, sageconfig.ErrNoUpstream)
 		}
 	}
 	return nil
--- a/pkg/sageticket/doc.go
+++ b/pkg/sageticket/doc.go
@@ -1,33 +1,33 @@
-// Package sageticket accepts change tickets by one conditional update of one object.
+// Package sageticket accepts change tickets by conditional updates of a single object.
 //
-// The head object ([HeadKey]) holds the revision, which counts accepted tickets, and the tail of the
-// newest ones. [Acceptor.Submit] reads the head, judges the ticket against the state at that
-// revision, and writes the head with the ticket appended on the condition that nobody wrote it
-// meanwhile. A ticket that touches many things is therefore accepted whole or not at all, and
-// operators who race each other are put into one order.
+// The head object ([HeadKey]) holds the revision, which counts accepted tickets, and a tail with the
+// records of the newest tickets. [Acceptor.Submit] reads the head, checks the ticket against the
+// configuration at that revision, and writes the head with the ticket appended, on the condition that
+// the head hasn't changed meanwhile. A ticket is therefore accepted completely or not at all, however
+// many entries it changes, and concurrent submissions are put into one order.
 //
-// A fold ([Acceptor.Compact]) moves the tail into [NumShards] shard objects, keyed by a hash of the thing,
-// and then shortens the tail. Shards are merged by the join of package sageconfig, so that repeated,
-// concurrent and interrupted folds converge.
+// Compaction ([Acceptor.Compact]) copies the tail into [NumShards] shard objects, keyed by a hash of
+// the entry key, and then shortens the tail. Shards are merged by the semilattice join of package
+// sageconfig, so repeated, concurrent and interrupted compactions converge.
 //
-// Shards also remember number, digest and author of past tickets, so that a repeated submission is
-// answered truthfully after its fold. They remember about 16,000 numbers. Below that, a floor in
-// the head refuses any number whose content may have been forgotten, so that a number has one
-// content for good.
+// Shards also keep the number, digest and author of accepted tickets, so that a repeated submission is
+// recognised after its record has left the tail. They keep about 16,000 numbers. The head holds a
+// floor: a number at or below it that is in neither tail nor shards is rejected, because its content
+// may have been dropped. A number thus never gets a second content.
 //
-// References: Shapiro et al., "Conflict-free Replicated Data Types", SSS 2011, section 2, for the
-// join. The read back after a lost answer matches by number and digest, which serve as the
-// tracking id of Azure Cosmos DB's retriable writes.
+// References: Shapiro et al., "Conflict-free Replicated Data Types", SSS 2011, section 2, for the join.
+// After a lost response, the read back matches records by number and digest; these have the role of the
+// tracking id in the retriable writes of Azure Cosmos DB.
 //
 // # Usage
 //
 //	a := &sageticket.Acceptor{Store: st}
-//	acc, err := a.Submit(ctx, t)
+//	accepted, err := a.Submit(ctx, t)
 //	switch {
 //	case errors.Is(err, sageticket.ErrOutcomeUnknown):
 //		// submit the same ticket again
 //	case err != nil:
-//		// refused: nothing of it was applied
+//		// rejected: none of its changes was applied
 //	}
-//	l, err := sageticket.Load(ctx, st) // l.State is that of l.Head.Revision
+//	l, err := sageticket.Load(ctx, st) // l.State is the state at l.Head.Revision
 package sageticket
--- a/pkg/sageticket/example_test.go
+++ b/pkg/sageticket/example_test.go
@@ -19,10 +19,10 @@
 		fmt.Println(err)
 		return
 	}
-	acc, err := a.Submit(ctx, t)
-	fmt.Println(acc.Number, acc.Revision, acc.Repeated, err)
-	acc, err = a.Submit(ctx, t)
-	fmt.Println(acc.Number, acc.Revision, acc.Repeated, err)
+	accepted, err := a.Submit(ctx, t)
+	fmt.Println(accepted.Number, accepted.Revision, accepted.Repeated, err)
+	accepted, err = a.Submit(ctx, t)
+	fmt.Println(accepted.Number, accepted.Revision, accepted.Repeated, err)
 	// Output:
 	// 7 1 false <nil>
 	// 7 1 true <nil>
--- a/pkg/sageticket/head.go
+++ b/pkg/sageticket/head.go
@@ -11,25 +11,27 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// HeadKey is the key of the one object whose conditional update accepts tickets.
+// HeadKey is the key of the object whose conditional updates accept tickets.
 const HeadKey = "config/head"
 
-// Bounds of the head. A watcher receives the whole head with each ticket, so it is kept small; the
-// newest records stay after a fold so that a watcher that was away for some tickets needs no shard.
+// Limits of the head. Watchers receive the complete head with every ticket, so it is kept small.
+// Compaction leaves the newest records in the tail, so that a watcher that missed a few tickets needn't
+// read the shards.
 const (
-	// foldTickets and foldBytes make a fold due.
-	foldTickets = 64
-	foldBytes   = 128 << 10
-	// keepBytes bounds what a fold leaves in the tail.
-	keepBytes = 64 << 10
-	// maxHeadBytes bounds the head; a ticket that would exceed it waits for a fold.
+	// compactAfterTickets and compactAboveBytes are the tail sizes at which compaction is due.
+	compactAfterTickets = 64
+	compactAboveBytes   = 128 << 10
+	// keepTailBytes bounds the size of the tail that a compaction leaves.
+	keepTailBytes = 64 << 10
+	// maxHeadBytes bounds the encoded head. A ticket that would exceed it is accepted after a
+	// compaction.
 	maxHeadBytes = 512 << 10
 )
 
-// DefaultKeepRecords bounds the number of records that a fold leaves in the tail.
+// DefaultKeepRecords is the default of [Acceptor.KeepRecords].
 const DefaultKeepRecords = 32
 
-// Record is one accepted ticket.
+// Record is an accepted ticket with its revision.
 type Record struct {
 	Revision   uint64             `json:"revision"`
 	Digest     string             `json:"digest"`
@@ -37,7 +39,8 @@
 	Ticket     *sageconfig.Ticket `json:"ticket"`
 }
 
-// Check reports a record whose ticket is missing, malformed or not the one of its digest.
+// Check reports a record without revision or ticket, a malformed ticket, or a digest that doesn't match
+// the ticket.
 func (r *Record) Check() error {
 	if r.Revision == 0 || r.Ticket == nil {
 		return fmt.Errorf("record without revision or ticket: %w", ErrInvalidObject)
@@ -46,28 +49,29 @@
 		return fmt.Errorf("record %d: %w", r.Revision, err)
 	}
 	if r.Ticket.Digest() != r.Digest {
-		return fmt.Errorf("record %d has another digest than its ticket: %w", r.Revision, ErrInvalidObject)
+		return fmt.Errorf("digest of record %d doesn't match its ticket: %w", r.Revision, ErrInvalidObject)
 	}
 	return nil
 }
 
-// Head is the value of [HeadKey].
+// Head is the value of the object at [HeadKey].
 type Head struct {
-	// Revision counts the accepted tickets.
+	// Revision is the number of accepted tickets.
 	Revision uint64 `json:"revision"`
-	// Folded: every ticket up to this revision is wholly in the shards.
+	// CompactedRevision is the revision up to which all tickets are completely in the shards.
 	CompactedRevision uint64 `json:"folded"`
-	// Floor: a number up to it whose record is in neither tail nor shards is refused, because its
-	// content may have been forgotten.
+	// Floor is the greatest ticket number whose content may have been dropped. Numbers up to it that
+	// are in neither the tail nor the shards are rejected.
 	Floor uint64 `json:"floor,omitempty"`
-	// Tail holds the newest records without a gap, up to Revision.
+	// Tail holds the records of the newest revisions, without a gap, up to Revision.
 	Tail []Record `json:"tail"`
 }
 
-// First returns the revision of the oldest record in the tail, or Revision+1 if it is empty.
+// FirstTailRevision returns the revision of the oldest record in the tail, or Revision+1 if the tail is
+// empty.
 func (h *Head) FirstTailRevision() uint64 { return h.Revision + 1 - uint64(len(h.Tail)) }
 
-// Find returns the record of that ticket number in the tail.
+// Find returns the record with that ticket number if it is in the tail.
 func (h *Head) Find(number uint64) (*Record, bool) {
 	for i := range h.Tail {
 		if h.Tail[i].Ticket.Number == number {
@@ -77,7 +81,7 @@
 	return nil, false
 }
 
-// Since returns the records above revision, and false if the tail doesn't reach back to it.
+// RecordsSince returns the records after revision, and false if the tail doesn't reach back to it.
 func (h *Head) RecordsSince(revision uint64) ([]Record, bool) {
 	if revision >= h.Revision {
 		return nil, true
@@ -88,14 +92,15 @@
 	return h.Tail[revision+1-h.FirstTailRevision():], true
 }
 
-// Check reports a head whose tail has a gap or doesn't reach back to what was folded.
+// Check reports a malformed record, a gap in the tail, or a tail that lacks records that aren't
+// compacted yet.
 func (h *Head) Check() error {
 	if uint64(len(h.Tail)) > h.Revision || h.CompactedRevision > h.Revision || h.FirstTailRevision() > h.CompactedRevision+1 {
-		return fmt.Errorf("head at revision %d, folded %d, tail of %d: %w", h.Revision, h.CompactedRevision, len(h.Tail), ErrInvalidObject)
+		return fmt.Errorf("inconsistent head: revision %d, compacted revision %d, %d records in the tail: %w", h.Revision, h.CompactedRevision, len(h.Tail), ErrInvalidObject)
 	}
 	for i := range h.Tail {
 		if h.Tail[i].Revision != h.FirstTailRevision()+uint64(i) {
-			return fmt.Errorf("head at revision %d has a gap: %w", h.Revision, ErrInvalidObject)
+			return fmt.Errorf("tail of the head at revision %d has a gap: %w", h.Revision, ErrInvalidObject)
 		}
 		if err := h.Tail[i].Check(); err != nil {
 			return fmt.Errorf("head: %w", err)
@@ -104,50 +109,52 @@
 	return nil
 }
 
-// FoldDue reports whether the tail has grown enough to be folded.
+// CompactionDue reports whether the tail has grown enough to be compacted.
 func (h *Head) CompactionDue() bool {
-	return h.Revision-h.CompactedRevision >= foldTickets || tailBytes(h.Tail) > foldBytes
+	return h.Revision-h.CompactedRevision >= compactAfterTickets || tailBytes(h.Tail) > compactAboveBytes
 }
 
 func tailBytes(tail []Record) int {
-	n := 0
+	size := 0
 	for i := range tail {
-		n += recordBytes(&tail[i])
+		size += recordBytes(&tail[i])
 	}
-	return n
+	return size
 }
 
 func recordBytes(r *Record) int {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic("sageticket: a checked record always encodes: " + err.Error())
+		panic("sageticket: encoding a valid record failed: " + err.Error())
 	}
 	return len(b)
 }
 
-// append returns h with one more record.
+// append returns a copy of h with one more record.
 func (h *Head) append(r Record) *Head {
-	n := *h
-	n.Revision = r.Revision
-	n.Tail = append(append([]Record(nil), h.Tail...), r)
-	return &n
+	next := *h
+	next.Revision = r.Revision
+	next.Tail = append(append([]Record(nil), h.Tail...), r)
+	return &next
 }
 
-// cut returns h after everything up to folded went to the shards, with at most tickets records of it.
-func (h *Head) cut(folded, floor uint64, tickets int) *Head {
-	n := *h
-	n.CompactedRevision = max(h.CompactedRevision, folded)
-	n.Floor = max(h.Floor, floor)
-	keep, bytes := 0, 0
+// truncateTail returns a copy of h that marks all revisions up to compacted as compacted. Its tail
+// keeps every record that isn't compacted, and the newest compacted ones while it has at most
+// maxRecords records and keepTailBytes bytes.
+func (h *Head) truncateTail(compacted, floor uint64, maxRecords int) *Head {
+	next := *h
+	next.CompactedRevision = max(h.CompactedRevision, compacted)
+	next.Floor = max(h.Floor, floor)
+	kept, size := 0, 0
 	for i := len(h.Tail) - 1; i >= 0; i-- {
-		bytes += recordBytes(&h.Tail[i])
-		if h.Tail[i].Revision <= n.CompactedRevision && (keep >= tickets || bytes > keepBytes) {
+		size += recordBytes(&h.Tail[i])
+		if h.Tail[i].Revision <= next.CompactedRevision && (kept >= maxRecords || size > keepTailBytes) {
 			break
 		}
-		keep++
+		kept++
 	}
-	n.Tail = append([]Record(nil), h.Tail[len(h.Tail)-keep:]...)
-	return &n
+	next.Tail = append([]Record(nil), h.Tail[len(h.Tail)-kept:]...)
+	return &next
 }
 
 func (h *Head) encode() ([]byte, error) {
@@ -170,7 +177,8 @@
 	return h, nil
 }
 
-// ReadHead reads the head and its object version; a head that was never written is empty.
+// ReadHead reads the head and its object version. If the head doesn't exist yet, it returns an empty
+// one.
 func ReadHead(ctx context.Context, st sageobject.Store) (*Head, int64, error) {
 	o, err := st.Get(ctx, HeadKey)
 	if errors.Is(err, sageobject.ErrNotFound) {
--- a/pkg/sageticket/load.go
+++ b/pkg/sageticket/load.go
@@ -10,52 +10,52 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// loadAtOnce bounds the shard reads under way, so that a fleet that boots together doesn't spend
-// the store's read rate at one instant.
-const loadAtOnce = 4
+// maxConcurrentReads limits concurrent shard reads, so that a fleet whose nodes start together doesn't
+// exhaust the store's read rate.
+const maxConcurrentReads = 4
 
-// loadTries bounds how often a load starts over because tickets were folded meanwhile.
-const loadTries = 8
+// maxLoadAttempts limits how often a load restarts because of concurrent compactions.
+const maxLoadAttempts = 8
 
-// Loaded is the whole configuration as the store holds it.
+// Loaded is the complete configuration as read from the store.
 type Loaded struct {
 	Head    *Head
 	Version int64
 	State   *sageconfig.State
 }
 
-// Load reads the head and all shards. The state is that of Head.Revision exactly: of each ticket
-// all or nothing.
+// Load reads the head and all shards. The returned state is exactly the state at Head.Revision: every
+// ticket is included completely or not at all.
 //
-// A shard may already hold a part of a ticket that was accepted after the first read of the head
-// and folded since. The head is therefore read again after the shards: any ticket that a shard may
-// hold was accepted before that second read, and the tails of both reads, if they join without a
-// gap, complete it. If there is a gap the load starts over.
+// A shard may already contain part of a ticket that was accepted after the first read of the head and
+// compacted since. Load therefore reads the head again after the shards: every ticket found in a shard
+// was accepted before this second read. If the tails of the two reads join without a gap, they contain
+// the rest of these tickets. Otherwise the load restarts.
 func Load(ctx context.Context, st sageobject.Store) (*Loaded, error) {
-	h, v, err := ReadHead(ctx, st)
+	before, version, err := ReadHead(ctx, st)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	if h.Revision == 0 {
-		return &Loaded{Head: h, Version: v, State: sageconfig.NewState()}, nil
+	if before.Revision == 0 {
+		return &Loaded{Head: before, Version: version, State: sageconfig.NewState()}, nil
 	}
-	for range loadTries {
-		s, err := loadShards(ctx, st)
+	for range maxLoadAttempts {
+		state, err := loadShards(ctx, st)
 		if err != nil {
 			return nil, fmt.Errorf("load: %w", err)
 		}
-		after, v2, err := ReadHead(ctx, st)
+		after, afterVersion, err := ReadHead(ctx, st)
 		if err != nil {
 			return nil, fmt.Errorf("load: %w", err)
 		}
-		if v2 == v || after.FirstTailRevision() <= h.Revision+1 {
-			applyTail(s, h.Tail)
-			applyTail(s, after.Tail)
-			return &Loaded{Head: after, Version: v2, State: s}, nil
+		if afterVersion == version || after.FirstTailRevision() <= before.Revision+1 {
+			applyTail(state, before.Tail)
+			applyTail(state, after.Tail)
+			return &Loaded{Head: after, Version: afterVersion, State: state}, nil
 		}
-		h, v = after, v2
+		before, version = after, afterVersion
 	}
-	return nil, fmt.Errorf("load: tickets kept coming: %w", sageobject.ErrUnavailable)
+	return nil, fmt.Errorf("load: head changed too often: %w", sageobject.ErrUnavailable)
 }
 
 func applyTail(s *sageconfig.State, tail []Record) {
@@ -67,22 +67,22 @@
 func loadShards(ctx context.Context, st sageobject.Store) (*sageconfig.State, error) {
 	var shards [NumShards]*Shard
 	g, gctx := errgroup.WithContext(ctx)
-	g.SetLimit(loadAtOnce)
+	g.SetLimit(maxConcurrentReads)
 	for i := range NumShards {
 		g.Go(func() error {
-			sh, _, err := readShard(gctx, st, i)
-			shards[i] = sh
+			shard, _, err := readShard(gctx, st, i)
+			shards[i] = shard
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	s := sageconfig.NewState()
-	for _, sh := range shards {
-		for _, e := range sh.Entries {
-			s.Apply(e)
+	state := sageconfig.NewState()
+	for _, shard := range shards {
+		for _, e := range shard.Entries {
+			state.Apply(e)
 		}
 	}
-	return s, nil
+	return state, nil
 }
--- a/pkg/sageticket/shard.go
+++ b/pkg/sageticket/shard.go
@@ -18,24 +18,28 @@
 // NumShards is the number of shard objects. It is part of the stored format.
 const NumShards = 64
 
-// DefaultMaxSummariesPerShard bounds the remembered numbers of a shard: about 16,000 over all shards, a week of
-// the 2,100 tickets a day that the design is for.
+// DefaultMaxSummariesPerShard is the default of [Acceptor.MaxSummariesPerShard]. Over all shards it
+// keeps about 16,000 summaries, a week at the 2,100 tickets a day that the system is designed for.
 const DefaultMaxSummariesPerShard = 256
 
-// maxPastText bounds the author and the reason of a remembered ticket in bytes.
-const maxPastText = 120
+// maxSummaryTextBytes bounds the author and the reason in a summary.
+const maxSummaryTextBytes = 120
 
 // ShardKey returns the key of shard i.
 func ShardKey(i int) string { return fmt.Sprintf("config/shard/%02x", i) }
 
-// shardOfThing and shardOfNumber say where an entry and a remembered number are kept.
-func shardOfThing(t sageconfig.EntryKey) int { return int(xxhash.Sum64String(t.String()) % NumShards) }
+// shardOfKey returns the index of the shard that holds an entry.
+func shardOfKey(key sageconfig.EntryKey) int {
+	return int(xxhash.Sum64String(key.String()) % NumShards)
+}
 
+// shardOfNumber returns the index of the shard that holds the summary of a ticket number.
 func shardOfNumber(number uint64) int {
 	return int(xxhash.Sum64(binary.BigEndian.AppendUint64(nil, number)) % NumShards)
 }
 
-// Summary is what is remembered of an accepted ticket after its record left the tail.
+// Summary describes an accepted ticket without its changes. It is kept after the ticket's record has
+// left the tail.
 type Summary struct {
 	Number      uint64    `json:"number"`
 	Digest      string    `json:"digest"`
@@ -46,22 +50,23 @@
 	ChangeCount int       `json:"things"`
 }
 
-// SummaryOf returns what is remembered of r.
+// SummaryOf returns the summary of r.
 func SummaryOf(r *Record) Summary {
 	return Summary{
 		Number: r.Ticket.Number, Digest: r.Digest, Revision: r.Revision, AcceptedAt: r.AcceptedAt,
-		Author: clip(r.Ticket.Author), Reason: clip(r.Ticket.Reason), ChangeCount: len(r.Ticket.Changes),
+		Author: truncate(r.Ticket.Author), Reason: truncate(r.Ticket.Reason), ChangeCount: len(r.Ticket.Changes),
 	}
 }
 
-func clip(s string) string {
-	if len(s) <= maxPastText {
+func truncate(s string) string {
+	if len(s) <= maxSummaryTextBytes {
 		return s
 	}
-	return s[:maxPastText]
+	return s[:maxSummaryTextBytes]
 }
 
-// Shard is the value of one shard object: folded entries and remembered numbers, both ordered.
+// Shard is the value of a shard object: compacted entries ordered by key, and summaries ordered by
+// number.
 type Shard struct {
 	Entries   []sageconfig.Entry `json:"entries"`
 	Summaries []Summary          `json:"past"`
@@ -86,22 +91,22 @@
 	return Summary{}, false
 }
 
-// join merges entries and remembered numbers into s, forgets numbers up to floor, and reports
-// whether s changed.
+// merge adds entries and summaries to s, drops summaries with numbers up to floor, and reports whether
+// s changed.
 //
-// Numbers are forgotten in two steps, first the floor in the head, then the numbers, since the
-// other order lets a crash between the two forget a number that no floor covers: the same number
-// could then be accepted with other content.
-func (s *Shard) join(entries []sageconfig.Entry, past []Summary, floor uint64) bool {
+// Summaries are dropped in two steps: first the floor in the head is raised, then the summaries are
+// deleted. In the other order, a crash between the steps would leave a deleted number above the floor,
+// and the number could be accepted again with other content.
+func (s *Shard) merge(entries []sageconfig.Entry, summaries []Summary, floor uint64) bool {
 	changed := false
-	st := sageconfig.NewState()
+	state := sageconfig.NewState()
 	for _, e := range s.Entries {
-		st.Apply(e)
+		state.Apply(e)
 	}
 	for _, e := range entries {
-		changed = st.Apply(e) || changed
+		changed = state.Apply(e) || changed
 	}
-	for _, p := range past {
+	for _, p := range summaries {
 		if _, ok := s.find(p.Number); !ok {
 			s.Summaries = append(s.Summaries, p)
 			changed = true
@@ -111,30 +116,30 @@
 		return false
 	}
 	s.Entries = s.Entries[:0]
-	for _, e := range st.All() {
+	for _, e := range state.All() {
 		s.Entries = append(s.Entries, e)
 	}
 	sort.Slice(s.Entries, func(i, j int) bool {
 		return s.Entries[i].Change.Key.String() < s.Entries[j].Change.Key.String()
 	})
-	kept := s.Summaries[:0]
+	retained := s.Summaries[:0]
 	for _, p := range s.Summaries {
 		if p.Number > floor {
-			kept = append(kept, p)
+			retained = append(retained, p)
 		}
 	}
-	s.Summaries = kept
+	s.Summaries = retained
 	sort.Slice(s.Summaries, func(i, j int) bool { return s.Summaries[i].Number < s.Summaries[j].Number })
 	return true
 }
 
-// nextFloor returns the floor that the head must have so that the next join forgets what exceeds the
-// bound.
-func (s *Shard) nextFloor(remember int) uint64 {
-	if len(s.Summaries) <= remember {
+// nextFloor returns the floor that allows the next merge to drop the summaries beyond maxSummaries, or
+// 0 if there are none.
+func (s *Shard) nextFloor(maxSummaries int) uint64 {
+	if len(s.Summaries) <= maxSummaries {
 		return 0
 	}
-	return s.Summaries[len(s.Summaries)-remember-1].Number
+	return s.Summaries[len(s.Summaries)-maxSummaries-1].Number
 }
 
 func readShard(ctx context.Context, st sageobject.Store, i int) (*Shard, int64, error) {
--- a/pkg/sageticket/store_test.go
+++ b/pkg/sageticket/store_test.go
@@ -24,22 +24,24 @@
 	os.Exit(m.Run())
 }
 
-// faults decides the fate of store operations, one step each.
-type faults struct {
+// faultyStore is a store in memory that injects faults.
+type faultyStore struct {
 	sageobject.Memory
-	// puts counts the conditional updates of the head and the shards.
+	// puts counts the puts.
 	puts int
-	// lose, down and crash name the put (1 is the first) whose answer is lost after its effect, that
-	// is refused, or at which and after which everything fails. 0 is none.
-	lose, down, crash int
-	// blind makes the reads after a lost answer fail.
-	blind, lost bool
-	// heads holds the values that the head took.
+	// The fields below are numbers of puts, from 1; 0 injects no fault. loseResponse loses the response
+	// after the put took effect, refuse rejects the put, crashFrom fails this put and every later
+	// operation.
+	loseResponse, refuse, crashFrom int
+	// failReadBack makes all operations fail after a lost response; responseLost records that one was
+	// lost.
+	failReadBack, responseLost bool
+	// heads holds the values that were written to the head.
 	heads [][]byte
 }
 
-// Put notes the heads that were written, also when the answer is lost.
-func (f *faults) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
+// Put records the heads that were written, also when the response is lost.
+func (f *faultyStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
 	v, err := f.Memory.Put(ctx, key, value, want)
 	if key == HeadKey && (err == nil || errors.Is(err, sageobject.ErrUnknown)) {
 		f.heads = append(f.heads, value)
@@ -47,21 +49,21 @@
 	return v, err
 }
 
-func newFaults() *faults {
-	f := new(faults)
+func newFaultyStore() *faultyStore {
+	f := new(faultyStore)
 	f.Before = func(op sageobject.Op, _ string) error {
 		if op == sageobject.OpPut {
 			f.puts++
 		}
 		switch {
-		case f.crash > 0 && f.puts >= f.crash, op == sageobject.OpPut && f.puts == f.down, f.blind && f.lost:
+		case f.crashFrom > 0 && f.puts >= f.crashFrom, op == sageobject.OpPut && f.puts == f.refuse, f.failReadBack && f.responseLost:
 			return fmt.Errorf("injected: %w", sageobject.ErrUnavailable)
 		}
 		return nil
 	}
 	f.After = func(op sageobject.Op, _ string) error {
-		if op == sageobject.OpPut && f.puts == f.lose {
-			f.lost = true
+		if op == sageobject.OpPut && f.puts == f.loseResponse {
+			f.responseLost = true
 			return fmt.Errorf("injected: %w", sageobject.ErrUnknown)
 		}
 		return nil
@@ -69,10 +71,12 @@
 	return f
 }
 
-// mend ends all faults.
-func (f *faults) mend() { f.lose, f.down, f.crash, f.blind, f.lost = 0, 0, 0, false, false }
+// clear removes all faults.
+func (f *faultyStore) clear() {
+	f.loseResponse, f.refuse, f.crashFrom, f.failReadBack, f.responseLost = 0, 0, 0, false, false
+}
 
-func dc(name string, in bool) sageconfig.Change {
+func dataCentre(name string, in bool) sageconfig.Change {
 	return sageconfig.Change{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: name},
 		DataCentre: &sageconfig.DataCentre{InService: in},
@@ -88,7 +92,7 @@
 	}
 }
 
-func set(name string, ups ...string) sageconfig.Change {
+func upstreamSet(name string, ups ...string) sageconfig.Change {
 	return sageconfig.Change{
 		Key:         sageconfig.EntryKey{Kind: sageconfig.KindUpstreamSet, Name: name},
 		UpstreamSet: &sageconfig.UpstreamSet{Upstreams: ups},
@@ -106,7 +110,7 @@
 	return &sageconfig.Ticket{Number: number, Changes: changes}
 }
 
-// mustSubmit accepts tickets that have to succeed.
+// mustSubmit submits tickets that must be accepted.
 func mustSubmit(t testing.TB, a *Acceptor, ts ...*sageconfig.Ticket) {
 	t.Helper()
 	for _, tk := range ts {
@@ -115,7 +119,7 @@
 	}
 }
 
-// served has one data centre with one upstream behind one route.
-func served() *sageconfig.Ticket {
-	return ticket(1, dc("derby", true), upstream("e1", "derby"), set("s", "e1"), route("chat", "s"))
+// servedTicket creates a route to one upstream in one data centre.
+func servedTicket() *sageconfig.Ticket {
+	return ticket(1, dataCentre("derby", true), upstream("e1", "derby"), upstreamSet("s", "e1"), route("chat", "s"))
 }
