--- a/pkg/sageclaim/book.go
+++ b/pkg/sageclaim/claim_log.go
@@ -12,20 +12,20 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// State is where the request of a key stands.
+// State is the state of a key.
 type State string
 
 // The states.
 const (
-	// Claimed: a router may be running it, or died while it did.
+	// StateClaimed means that a router may be running the request, or failed while it did.
 	StateClaimed State = "claimed"
-	// Finished: it ended with Outcome.
+	// StateFinished means that the request ended with Outcome.
 	StateFinished State = "finished"
-	// Released: it didn't run; the key is free for the next claim.
+	// StateReleased means that the request didn't run; the next claim of the key can be granted.
 	StateReleased State = "released"
 )
 
-// Record is the present state of a key.
+// Record is the current state of a key.
 type Record struct {
 	Account     string           `json:"account"`
 	Key         string           `json:"key"`
@@ -37,8 +37,8 @@
 	Status      int              `json:"status,omitempty"`
 }
 
-// Unsettled reports whether at now only a person can say if the request ran: its outcome is unknown,
-// or its deadline passed without an outcome.
+// Unresolved reports whether an operator has to decide if the request ran: its outcome is unknown, or
+// its deadline has passed without an outcome.
 func (r *Record) Unresolved(now time.Time) bool {
 	if r.State == StateFinished {
 		return r.Outcome == sagewire.Unknown
@@ -46,125 +46,127 @@
 	return r.State == StateClaimed && now.After(r.Deadline)
 }
 
-type bookKey struct{ account, key string }
+type logKey struct{ account, key string }
 
-// ClaimLog is one claim object, decoded. The zero value is empty.
+// ClaimLog is a decoded claim object. The zero value is empty.
 type ClaimLog struct {
-	records map[bookKey]*Record
-	order   []bookKey
-	encoded []byte
+	records map[logKey]*Record
+	order   []logKey
+	lines   []byte
 }
 
-// maxLines bounds a decompressed object, so that a small malformed one can't fill the memory.
-const maxLines = 4 * sageobject.MaxValueBytes
+// maxDecompressedBytes bounds a decompressed object, so that a small malformed object can't exhaust the
+// memory.
+const maxDecompressedBytes = 4 * sageobject.MaxValueBytes
 
 // DecodeClaimLog decodes and checks a claim object.
 func DecodeClaimLog(value []byte) (*ClaimLog, error) {
-	z, err := gzip.NewReader(bytes.NewReader(value))
+	r, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
 		return nil, fmt.Errorf("decompress claims: %v: %w", err, ErrInvalidEntry)
 	}
-	b, err := io.ReadAll(io.LimitReader(z, maxLines+1))
-	if err != nil || len(b) > maxLines {
-		return nil, fmt.Errorf("decompress claims, %d bytes: %v: %w", len(b), err, ErrInvalidEntry)
+	decompressed, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
+	if err != nil || len(decompressed) > maxDecompressedBytes {
+		return nil, fmt.Errorf("decompress claims, %d bytes: %v: %w", len(decompressed), err, ErrInvalidEntry)
 	}
-	entries, err := decodeEntries(b)
+	entries, err := decodeEntries(decompressed)
 	if err != nil {
 		return nil, fmt.Errorf("decode claims: %w", err)
 	}
-	book := new(ClaimLog)
+	log := new(ClaimLog)
 	for i := range entries {
-		book.Apply(&entries[i])
+		log.Apply(&entries[i])
 	}
-	// Lines without effect stay in the object, so that its bytes only ever grow.
-	book.encoded = b
-	return book, nil
+	// Keep lines that have no effect, so that the object is only ever appended to.
+	log.lines = decompressed
+	return log, nil
 }
 
-// compressors keeps a few compressors, each of which takes about a megabyte, from one commit to the
-// next. A [sync.Pool] loses them at each garbage collection.
-var compressors = make(chan *gzip.Writer, 4)
+// gzipWriters keeps a few idle writers of about a megabyte each. A [sync.Pool] would drop them at
+// garbage collections.
+var gzipWriters = make(chan *gzip.Writer, 4)
 
-func compressor() *gzip.Writer {
+func gzipWriter() *gzip.Writer {
 	select {
-	case z := <-compressors:
-		return z
+	case w := <-gzipWriters:
+		return w
 	default:
 	}
-	z, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
+	w, err := gzip.NewWriterLevel(nil, gzip.BestSpeed)
 	if err != nil {
-		panic("sageclaim: the level is valid: " + err.Error())
+		panic("sageclaim: invalid compression level: " + err.Error())
 	}
-	return z
+	return w
 }
 
-// Encode returns the object: its lines, compressed.
-func (b *ClaimLog) Encode() []byte {
+// Encode returns the compressed object.
+func (log *ClaimLog) Encode() []byte {
 	var buf bytes.Buffer
-	z := compressor()
+	w := gzipWriter()
 	defer func() {
 		select {
-		case compressors <- z:
+		case gzipWriters <- w:
 		default:
 		}
 	}()
-	z.Reset(&buf)
-	if _, err := z.Write(b.encoded); err != nil {
+	w.Reset(&buf)
+	if _, err := w.Write(log.lines); err != nil {
 		panic("sageclaim: writing to memory never fails: " + err.Error())
 	}
-	if err := z.Close(); err != nil {
+	if err := w.Close(); err != nil {
 		panic("sageclaim: writing to memory never fails: " + err.Error())
 	}
 	return buf.Bytes()
 }
 
-// Records returns the state of each key, in the order of their first claims.
-func (b *ClaimLog) Records() []Record {
-	out := make([]Record, 0, len(b.order))
-	for _, k := range b.order {
-		out = append(out, *b.records[k])
+// Records returns the records of all keys in the order of their first claims.
+func (log *ClaimLog) Records() []Record {
+	out := make([]Record, 0, len(log.order))
+	for _, k := range log.order {
+		out = append(out, *log.records[k])
 	}
 	return out
 }
 
-// Record returns the state of a key.
-func (b *ClaimLog) Record(account, key string) (Record, bool) {
-	r, ok := b.records[bookKey{account, key}]
+// Record returns the record of a key.
+func (log *ClaimLog) Record(account, key string) (Record, bool) {
+	r, ok := log.records[logKey{account, key}]
 	if !ok {
 		return Record{}, false
 	}
 	return *r, true
 }
 
-// Apply judges an entry. If it has an effect it is appended and Apply reports true. The same entry a
-// second time has none, so an entry may be sent again while it isn't known to have arrived.
-func (b *ClaimLog) Apply(e *Entry) bool {
-	k := bookKey{e.Account, e.Key}
-	r := b.records[k]
-	if !changes(r, e) {
+// Apply appends e if it has an effect and reports whether it has. Applying an entry twice has no
+// further effect, so an entry can be sent again if it may not have been written.
+func (log *ClaimLog) Apply(e *Entry) bool {
+	k := logKey{e.Account, e.Key}
+	r := log.records[k]
+	if !hasEffect(r, e) {
 		return false
 	}
 	if r == nil {
 		r = &Record{Account: e.Account, Key: e.Key}
-		if b.records == nil {
-			b.records = make(map[bookKey]*Record)
+		if log.records == nil {
+			log.records = make(map[logKey]*Record)
 		}
-		b.records[k] = r
-		b.order = append(b.order, k)
+		log.records[k] = r
+		log.order = append(log.order, k)
 	}
 	r.apply(e)
-	b.encoded = append(b.encoded, e.encode()...)
+	log.lines = append(log.lines, e.encode()...)
 	return true
 }
 
-// changes reports whether e has an effect on r.
+// hasEffect reports whether e changes r; r is nil for a key without claims.
 //
-// It guards against two runs of one key: a claim has an effect only on a free key, and nothing but
-// the word of the claim's own holder, or of a person, frees a key. Time alone never does: the holder
+// It prevents two runs of a key: a claim is granted only if the key is free, and only a release by the
+// claim's own holder or an operator's resolution frees a key. The deadline alone doesn't: the holder
 // may be paused and send the request later.
-func changes(r *Record, e *Entry) bool {
+func hasEffect(r *Record, e *Entry) bool {
 	if e.Op == OpClaim {
-		// A released claim stays as a mark, so that its own late copy doesn't claim again.
+		// A released record keeps its claim ID, so that a delayed copy of that claim isn't granted
+		// again.
 		return r == nil || (r.State == StateReleased && r.ClaimID != e.ClaimID)
 	}
 	if r == nil || r.ClaimID != e.ClaimID {
@@ -198,7 +200,8 @@
 	}
 }
 
-// Check reports a record that contradicts itself, wrapped around [ErrInvalidEntry].
+// Check reports a missing field, or a state and outcome that don't match, wrapped around
+// [ErrInvalidEntry].
 func (r *Record) Check() error {
 	if r.Account == "" || r.Key == "" || r.ClaimID == "" {
 		return fmt.Errorf("record without account, key or claim_id: %w", ErrInvalidEntry)
--- a/pkg/sageclaim/committer.go
+++ b/pkg/sageclaim/committer.go
@@ -11,29 +11,31 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// Errors of a commit. After both, the caller may say "not run", since only a granted claim is run.
+// Errors of a commit. After any of them, a request whose claim was being committed has not run, since
+// only granted claims run.
 var (
-	// ErrStore: the store is down; the entry wasn't written.
+	// ErrStoreUnavailable reports that the store is unavailable and the entry wasn't written.
 	ErrStoreUnavailable = errors.New("claim store unavailable")
-	// ErrUnsettled: the entry may or may not be written, or be written later. A claim must be
-	// released, see [Committer.Commit].
-	ErrOutcomeUnknown = errors.New("claim not settled")
-	// ErrFull: the object can't take the claim, or the claim was released before.
+	// ErrOutcomeUnknown reports that the entry may have been written or may be written later. A claim
+	// must then be released, see [Committer.Commit].
+	ErrOutcomeUnknown = errors.New("outcome of the claim unknown")
+	// ErrClaimNotTaken reports that the object is full, or that this claim was released before.
 	ErrClaimNotTaken = errors.New("claim not taken")
-	// ErrLate: the claim's deadline passed before it was written.
-	ErrDeadlinePassed = errors.New("claim came after its deadline")
-	// ErrNoClaim: the key of a finish, release or settlement has no claim.
-	ErrNoClaim = errors.New("no claim of that key")
+	// ErrDeadlinePassed reports that the claim's deadline passed before the claim was written.
+	ErrDeadlinePassed = errors.New("claim arrived after its deadline")
+	// ErrNoClaim reports a finish, release or settle entry for a key without a claim.
+	ErrNoClaim = errors.New("no claim for this key")
 )
 
-// maxObject is the size at which an object takes no more claims; the rest is left for finishes.
-const maxObject = sageobject.MaxValueBytes * 3 / 4
+// maxBytesForClaims is the size of the lines beyond which an object takes no more claims; the rest is
+// reserved for outcomes.
+const maxBytesForClaims = sageobject.MaxValueBytes * 3 / 4
 
-// maxConflicts bounds the conditional updates of one commit that lose against another committer.
+// maxConflicts limits the conditional updates of one commit.
 const maxConflicts = 32
 
-// retryPause lies between two tries to settle an update whose answer was lost.
-const retryPause = 10 * time.Millisecond
+// retryInterval is the wait between an update whose response was lost and the read back.
+const retryInterval = 10 * time.Millisecond
 
 // Stats counts what a committer did.
 type Stats struct {
@@ -41,38 +43,37 @@
 	Gets      int64
 	Puts      int64
 	Conflicts int64
-	// Lost counts lost answers to updates, and ReadBack how many of them were found to have taken
-	// effect by reading back.
+	// LostResponses counts updates whose response was lost, ConfirmedByReadBack those of them that the
+	// read back found to have taken effect.
 	LostResponses       int64
 	ConfirmedByReadBack int64
 	BytesWritten        int64
 }
 
-// Committer appends entries to claim objects by group commit. Exported fields are set before first
-// use.
+// Committer appends entries to claim objects by group commit. Set the exported fields before first use.
 type Committer struct {
 	Store sageobject.Store
-	// Window is how long entries are collected for one update.
+	// BatchWindow is the minimum interval between updates of an object; entries collected meanwhile
+	// share one update.
 	BatchWindow time.Duration
-	// CommitTimeout bounds one commit: an update whose answer stays lost for longer is given up as
-	// unsettled.
+	// CommitTimeout limits one commit, including the retries after lost responses; 0 means 2 s.
 	CommitTimeout time.Duration
-	// MaxCached bounds the decoded objects kept in memory; 0 means 64.
+	// MaxCachedObjects limits the decoded objects kept in memory; 0 means 64.
 	MaxCachedObjects int
-	// NoReadBack gives up at once when an answer is lost. It exists for the comparison in
-	// docs/design/at_most_once.md.
+	// NoReadBack returns [ErrOutcomeUnknown] immediately after a lost response. It exists for the
+	// comparison in docs/design/at_most_once.md.
 	NoReadBack bool
 
 	running sync.WaitGroup
 
-	mu     sync.Mutex
-	queues map[string]*queue
-	cache  map[string]*cached
-	uses   int64
-	stats  Stats
+	mu       sync.Mutex
+	queues   map[string]*queue
+	cache    map[string]*cachedObject
+	useCount int64
+	stats    Stats
 }
 
-// queue holds the entries that wait for one object.
+// queue holds the entries that wait for a commit to one object.
 type queue struct {
 	waiting []*pending
 }
@@ -84,16 +85,16 @@
 	err   error
 }
 
-// cached is an object as it was last seen.
-type cached struct {
-	book    *ClaimLog
+// cachedObject is the last known content of an object.
+type cachedObject struct {
+	log     *ClaimLog
 	version int64
-	used    int64
-	// stale says that the store may have a newer version.
+	lastUse int64
+	// stale reports that the store may have a newer version.
 	stale bool
 }
 
-// Wait returns when no commit is under way.
+// Wait waits until no commit is in progress.
 func (c *Committer) Wait() { c.running.Wait() }
 
 // Stats returns the counts so far.
@@ -103,11 +104,11 @@
 	return c.stats
 }
 
-// Do appends an entry to an object and returns the key's record after it. A claim is granted exactly
-// if the record's ClaimID is the entry's and its State is Claimed.
+// Commit appends an entry to an object and returns the key's record after it. A claim is granted if and
+// only if the record has the entry's ClaimID and the state [StateClaimed].
 //
-// If ctx ends first, or the error wraps [ErrOutcomeUnknown], the entry may still be written later. A
-// claim given up so must not be run, and must be released by an [OpRelease].
+// If ctx ends first, or if the error wraps [ErrOutcomeUnknown], the entry may still be written later. A
+// claim abandoned like this must not be run, and must be released with [OpRelease].
 func (c *Committer) Commit(ctx context.Context, object string, e Entry) (Record, error) {
 	if err := e.Check(); err != nil {
 		return Record{}, err
@@ -137,9 +138,9 @@
 	c.running.Go(func() { c.run(object) })
 }
 
-// run commits until no entry waits for the object. The first entry is committed at once; those that
-// come within the window after that wait for its end. So few entries wait for nothing, and many make
-// no more than one update a window.
+// run commits batches until no entry waits for the object. The first entry is committed immediately;
+// entries that arrive within BatchWindow after that are committed together at its end. Single entries
+// thus see no delay, and under load there is at most one update per window.
 func (c *Committer) run(object string) {
 	for {
 		c.mu.Lock()
@@ -153,7 +154,7 @@
 		}
 		c.mu.Unlock()
 		next := time.Now().Add(c.BatchWindow)
-		c.commit(object, batch)
+		c.commitBatch(object, batch)
 		time.Sleep(time.Until(next))
 	}
 }
@@ -165,105 +166,108 @@
 	return 2 * time.Second
 }
 
-// commit settles every entry of a batch.
-func (c *Committer) commit(object string, batch []*pending) {
+// commitBatch commits a batch and reports the result to every waiting caller.
+func (c *Committer) commitBatch(object string, batch []*pending) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout())
 	defer cancel()
-	batch = dropLate(batch, time.Now())
-	book, err := c.append(ctx, object, batch)
+	batch = rejectExpired(batch, time.Now())
+	log, err := c.appendBatch(ctx, object, batch)
 	for _, p := range batch {
 		switch {
 		case err != nil:
 			p.err = err
 		default:
-			p.settle(book)
+			p.resolve(log)
 		}
 		close(p.done)
 	}
 }
 
-// dropLate answers claims that nobody waits for any more. A committer that was paused would else
-// claim keys that nobody runs.
-func dropLate(batch []*pending, now time.Time) []*pending {
-	kept := batch[:0]
+// rejectExpired fails claims whose deadline has passed and returns the other entries. Without it, a
+// committer that was paused would claim keys whose requests nobody runs any more.
+func rejectExpired(batch []*pending, now time.Time) []*pending {
+	live := batch[:0]
 	for _, p := range batch {
 		if p.entry.Op == OpClaim && now.After(p.entry.Deadline) {
 			p.err = ErrDeadlinePassed
 			close(p.done)
 			continue
 		}
-		kept = append(kept, p)
+		live = append(live, p)
 	}
-	return kept
+	return live
 }
 
-func (p *pending) settle(book *ClaimLog) {
-	rec, ok := book.Record(p.entry.Account, p.entry.Key)
+// resolve sets the result of an entry from the log after the commit.
+func (p *pending) resolve(log *ClaimLog) {
+	rec, ok := log.Record(p.entry.Account, p.entry.Key)
 	switch {
 	case p.entry.Op == OpClaim && (!ok || rec.State == StateReleased):
 		p.err = fmt.Errorf("claim: %w", ErrClaimNotTaken)
 	case !ok:
-		p.err = fmt.Errorf("%s of a key without a claim: %w", p.entry.Op, ErrNoClaim)
+		p.err = fmt.Errorf("%s for a key without a claim: %w", p.entry.Op, ErrNoClaim)
 	}
 	p.rec = rec
 }
 
-// append writes what of the batch has an effect, and returns the object as it stands then.
+// appendBatch writes the entries of the batch that have an effect and returns the resulting log.
 //
-// It guards against lost answers in both directions. Taking a lost answer for a failure would leave
-// a claim that nobody runs and that refuses each repeat; taking it for a success could run a key
-// that another router won. So the object is read back, and entries found there by their own ids
-// count as written. Entries not found may still be on their way, therefore the update is repeated
-// with the same expected version until one of the two has taken effect.
-func (c *Committer) append(ctx context.Context, object string, batch []*pending) (*ClaimLog, error) {
-	lost := false
+// If the response is lost, neither outcome may be assumed: assuming failure could leave a claim that
+// nobody runs and that rejects every repeat, and assuming success could run a key that another router
+// has claimed. So the object is read back, and entries found by their own ids count as written. An
+// update whose entries are missing may still take effect; it is repeated with the same expected version
+// until one of the two has taken effect.
+func (c *Committer) appendBatch(ctx context.Context, object string, batch []*pending) (*ClaimLog, error) {
+	responseLost := false
 	for range maxConflicts {
-		cur, err := c.load(ctx, object)
+		current, err := c.load(ctx, object)
 		if err != nil {
-			return nil, unsettledIf(lost, err)
+			return nil, commitError(responseLost, err)
 		}
-		next, changed := extend(cur.book, batch)
+		next, changed := applyBatch(current.log, batch)
 		if !changed {
-			if lost {
-				c.count(func(s *Stats) { s.ConfirmedByReadBack++ })
+			if responseLost {
+				c.updateStats(func(s *Stats) { s.ConfirmedByReadBack++ })
 			}
-			return cur.book, nil
+			return current.log, nil
 		}
 		value := next.Encode()
-		c.count(func(s *Stats) { s.Puts++; s.BytesWritten += int64(len(value)) })
-		v, err := c.Store.Put(ctx, object, value, cur.version)
+		c.updateStats(func(s *Stats) { s.Puts++; s.BytesWritten += int64(len(value)) })
+		v, err := c.Store.Put(ctx, object, value, current.version)
 		switch {
 		case err == nil:
-			c.keep(object, &cached{book: next, version: v})
+			c.cacheObject(object, &cachedObject{log: next, version: v})
 			return next, nil
 		case errors.Is(err, sageobject.ErrConflict):
-			c.count(func(s *Stats) { s.Conflicts++ })
-			c.forget(object)
+			c.updateStats(func(s *Stats) { s.Conflicts++ })
+			c.markStale(object)
 		case errors.Is(err, sageobject.ErrUnavailable), errors.Is(err, sageobject.ErrTooLarge):
-			return nil, unsettledIf(lost, err)
+			return nil, commitError(responseLost, err)
 		default:
-			c.count(func(s *Stats) { s.LostResponses++ })
-			c.forget(object)
-			lost = true
+			c.updateStats(func(s *Stats) { s.LostResponses++ })
+			c.markStale(object)
+			responseLost = true
 			if c.NoReadBack {
-				return nil, unsettledIf(true, err)
+				return nil, commitError(true, err)
 			}
-			if !sleep(ctx, retryPause) {
-				return nil, unsettledIf(true, err)
+			if !sleep(ctx, retryInterval) {
+				return nil, commitError(true, err)
 			}
 		}
 	}
-	return nil, unsettledIf(true, sageobject.ErrConflict)
+	return nil, commitError(true, sageobject.ErrConflict)
 }
 
-// unsettledIf names an error by whether an update may have taken effect before it.
-func unsettledIf(lost bool, err error) error {
-	if lost {
+// commitError wraps err in [ErrOutcomeUnknown] if an earlier update may have taken effect, and in
+// [ErrStoreUnavailable] otherwise.
+func commitError(responseLost bool, err error) error {
+	if responseLost {
 		return fmt.Errorf("commit claims: %v: %w", err, ErrOutcomeUnknown)
 	}
 	return fmt.Errorf("commit claims: %v: %w", err, ErrStoreUnavailable)
 }
 
+// sleep waits for d and reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -275,12 +279,12 @@
 	}
 }
 
-// extend returns the book with the batch applied, and whether anything changed.
-func extend(book *ClaimLog, batch []*pending) (*ClaimLog, bool) {
-	next := book.clone()
+// applyBatch returns a copy of log with the batch applied, and whether anything changed.
+func applyBatch(log *ClaimLog, batch []*pending) (*ClaimLog, bool) {
+	next := log.clone()
 	changed := false
 	for _, p := range batch {
-		if p.entry.Op == OpClaim && len(next.encoded) > maxObject {
+		if p.entry.Op == OpClaim && len(next.lines) > maxBytesForClaims {
 			continue
 		}
 		if next.Apply(&p.entry) {
@@ -290,23 +294,23 @@
 	return next, changed
 }
 
-func (b *ClaimLog) clone() *ClaimLog {
-	n := &ClaimLog{records: make(map[bookKey]*Record, len(b.records)+1)}
-	for k, r := range b.records {
-		c := *r
-		n.records[k] = &c
+func (log *ClaimLog) clone() *ClaimLog {
+	copied := &ClaimLog{records: make(map[logKey]*Record, len(log.records)+1)}
+	for k, r := range log.records {
+		record := *r
+		copied.records[k] = &record
 	}
-	n.order = append(n.order, b.order...)
-	n.encoded = append(n.encoded, b.encoded...)
-	return n
+	copied.order = append(copied.order, log.order...)
+	copied.lines = append(copied.lines, log.lines...)
+	return copied
 }
 
-// load returns the object from memory or from the store.
-func (c *Committer) load(ctx context.Context, object string) (*cached, error) {
+// load returns the object from the cache or, if it is absent or stale there, from the store.
+func (c *Committer) load(ctx context.Context, object string) (*cachedObject, error) {
 	c.mu.Lock()
 	if e, ok := c.cache[object]; ok && !e.stale {
-		c.uses++
-		e.used = c.uses
+		c.useCount++
+		e.lastUse = c.useCount
 		c.mu.Unlock()
 		return e, nil
 	}
@@ -314,21 +318,21 @@
 	c.mu.Unlock()
 	o, err := c.Store.Get(ctx, object)
 	if errors.Is(err, sageobject.ErrNotFound) {
-		return &cached{book: new(ClaimLog), version: sageobject.NoVersion}, nil
+		return &cachedObject{log: new(ClaimLog), version: sageobject.NoVersion}, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("read claims: %w", err)
 	}
-	book, err := DecodeClaimLog(o.Value)
+	log, err := DecodeClaimLog(o.Value)
 	if err != nil {
 		return nil, fmt.Errorf("read claims: %w", err)
 	}
-	e := &cached{book: book, version: o.Version}
-	c.keep(object, e)
+	e := &cachedObject{log: log, version: o.Version}
+	c.cacheObject(object, e)
 	return e, nil
 }
 
-// Cached returns the record of a key as this node saw it last, without a call to the store.
+// CachedRecord returns the record of a key from the cache, without a call to the store.
 func (c *Committer) CachedRecord(object, account, key string) (Record, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -336,14 +340,15 @@
 	if !ok {
 		return Record{}, false
 	}
-	return e.book.Record(account, key)
+	return e.log.Record(account, key)
 }
 
-// Refresh makes the next commit of an object read it from the store.
-func (c *Committer) Invalidate(object string) { c.forget(object) }
+// Invalidate makes the next commit to an object read it from the store.
+func (c *Committer) Invalidate(object string) { c.markStale(object) }
 
-// keep remembers an object and drops the one unused for longest beyond the bound.
-func (c *Committer) keep(object string, e *cached) {
+// cacheObject puts an object into the cache and evicts the least recently used one if the cache is
+// full.
+func (c *Committer) cacheObject(object string, e *cachedObject) {
 	limit := c.MaxCachedObjects
 	if limit <= 0 {
 		limit = 64
@@ -351,25 +356,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cache == nil {
-		c.cache = make(map[string]*cached)
+		c.cache = make(map[string]*cachedObject)
 	}
-	c.uses++
-	e.used = c.uses
+	c.useCount++
+	e.lastUse = c.useCount
 	c.cache[object] = e
 	if len(c.cache) <= limit {
 		return
 	}
-	oldest := object
+	leastUsed := object
 	for k, o := range c.cache {
-		if o.used < c.cache[oldest].used {
-			oldest = k
+		if o.lastUse < c.cache[leastUsed].lastUse {
+			leastUsed = k
 		}
 	}
-	delete(c.cache, oldest)
+	delete(c.cache, leastUsed)
 }
 
-// forget makes the next load read the object from the store; [Committer.CachedRecord] still knows it.
-func (c *Committer) forget(object string) {
+// markStale makes the next load read the object from the store. [Committer.CachedRecord] still returns
+// its records.
+func (c *Committer) markStale(object string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e, ok := c.cache[object]; ok {
@@ -377,7 +383,7 @@
 	}
 }
 
-func (c *Committer) count(f func(*Stats)) {
+func (c *Committer) updateStats(f func(*Stats)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(&c.stats)
--- a/pkg/sageclaim/committer_test.go
+++ b/pkg/sageclaim/committer_test.go
@@ -19,8 +19,8 @@
 
 const testObject = "claims/x"
 
-// The store is asked for each booking by itself and can't keep up. Entries that come together share
-// one update.
+// Separate updates for every booking would exceed the capacity of the store. Concurrent entries must
+// share updates.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
@@ -43,16 +43,17 @@
 	})
 }
 
-// lossy fails the n-th put as the pattern says: '.' works, 'l' takes effect and loses the answer,
-// 'd' is lost before it has an effect, 'u' is refused.
-func lossy(pattern string) *sageobject.Memory {
-	n := -1
+// newFaultyStore returns a store whose n-th put is decided by the n-th byte of pattern: '.' succeeds,
+// 'l' takes effect but its response is lost, 'd' is lost before it takes effect, 'u' is rejected as
+// unavailable.
+func newFaultyStore(pattern string) *sageobject.Memory {
+	put := -1
 	var mu sync.Mutex
-	at := func(op sageobject.Op) byte {
+	faultOf := func(op sageobject.Op) byte {
 		mu.Lock()
 		defer mu.Unlock()
-		if op == sageobject.OpPut && n < len(pattern) && n >= 0 {
-			return pattern[n]
+		if op == sageobject.OpPut && put < len(pattern) && put >= 0 {
+			return pattern[put]
 		}
 		return '.'
 	}
@@ -60,10 +61,10 @@
 		Before: func(op sageobject.Op, _ string) error {
 			if op == sageobject.OpPut {
 				mu.Lock()
-				n++
+				put++
 				mu.Unlock()
 			}
-			switch at(op) {
+			switch faultOf(op) {
 			case 'd':
 				return sageobject.ErrUnknown
 			case 'u':
@@ -72,7 +73,7 @@
 			return nil
 		},
 		After: func(op sageobject.Op, _ string) error {
-			if at(op) == 'l' {
+			if faultOf(op) == 'l' {
 				return sageobject.ErrUnknown
 			}
 			return nil
@@ -80,9 +81,10 @@
 	}
 }
 
-// A booking is refused for ever: the store took its claim, the answer was lost, and the router told
-// "not run" and left the claim behind. Reading back finds the claim by its own id.
-func TestLostAnswers(t *testing.T) {
+// If the response to a claim's update were treated as a failure although the update took effect, the
+// claim would stay without a run and every repeat of the booking would be rejected. The read back must
+// find the claim by its own id.
+func TestLostResponses(t *testing.T) {
 	for _, tt := range []struct {
 		pattern string
 		err     error
@@ -93,7 +95,7 @@
 	} {
 		t.Run(tt.pattern[:min(3, len(tt.pattern))], func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &Committer{Store: lossy(tt.pattern), BatchWindow: time.Millisecond, CommitTimeout: 200 * time.Millisecond}
+				c := &Committer{Store: newFaultyStore(tt.pattern), BatchWindow: time.Millisecond, CommitTimeout: 200 * time.Millisecond}
 				defer c.Wait()
 				r, err := c.Commit(t.Context(), testObject, claim("k", "a"))
 				if tt.err != nil {
@@ -108,55 +110,56 @@
 	}
 }
 
-// delayed holds back the first put and lets it arrive after the caller was told that its answer is
-// lost, at the instant that release is closed.
-type delayed struct {
+// delayedStore reports the outcome of the first put as unknown and delays the put until release is
+// closed. result receives the error of the delayed put.
+type delayedStore struct {
 	sageobject.Store
 	once    sync.Once
 	release chan struct{}
-	late    chan error
+	result  chan error
 }
 
-func (d *delayed) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
-	lost := false
+func (d *delayedStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
+	first := false
 	d.once.Do(func() {
-		lost = true
+		first = true
 		go func() {
 			<-d.release
 			_, err := d.Store.Put(context.Background(), key, value, want)
-			d.late <- err
+			d.result <- err
 		}()
 	})
-	if lost {
+	if first {
 		return 0, sageobject.ErrUnknown
 	}
 	return d.Store.Put(ctx, key, value, want)
 }
 
-// A key is run twice: the claim's update is on its way, its answer counts as lost, the object read
-// back doesn't show it, the key goes to another router, and then the update arrives and overwrites.
-// The repeated update with the same expected version makes the late one fail.
+// A key would run twice if an update of a claim, whose response counts as lost and which the read back
+// doesn't find, took effect after another router claimed the key. The repeated update with the same
+// expected version must make the late one fail.
 func TestLateUpdateHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mem := &sageobject.Memory{}
-		d := &delayed{Store: mem, release: make(chan struct{}), late: make(chan error, 1)}
-		first, second := &Committer{Store: d}, &Committer{Store: mem}
-		defer first.Wait()
-		defer second.Wait()
-		r, err := first.Commit(t.Context(), testObject, claim("k", "a"))
+		d := &delayedStore{Store: mem, release: make(chan struct{}), result: make(chan error, 1)}
+		delayed, other := &Committer{Store: d}, &Committer{Store: mem}
+		defer delayed.Wait()
+		defer other.Wait()
+		r, err := delayed.Commit(t.Context(), testObject, claim("k", "a"))
 		require.NoError(t, err)
 		assert.Equal(t, "a", r.ClaimID)
-		_, err = first.Commit(t.Context(), testObject, ended(OpRelease, "k", "a", ""))
+		_, err = delayed.Commit(t.Context(), testObject, followUp(OpRelease, "k", "a", ""))
 		require.NoError(t, err)
-		r, err = second.Commit(t.Context(), testObject, claim("k", "b"))
+		r, err = other.Commit(t.Context(), testObject, claim("k", "b"))
 		require.NoError(t, err)
 		require.Equal(t, "b", r.ClaimID)
 		close(d.release)
-		require.ErrorIs(t, <-d.late, sageobject.ErrConflict)
+		require.ErrorIs(t, <-d.result, sageobject.ErrConflict)
 	})
 }
 
-// Two routers own one object for a while. The conditional update decides between them.
+// Two routers may commit to the same object for a while. The conditional update must grant each key
+// once.
 func TestTwoCommitters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
@@ -183,9 +186,9 @@
 	})
 }
 
-// A paused node wakes up with claims in its queue whose callers were refused long ago; written now,
-// they would block their keys.
-func TestLateClaimIsDropped(t *testing.T) {
+// A node that was paused has claims in its queue whose callers were rejected long ago. If they were
+// written, they would block their keys.
+func TestExpiredClaimIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
 		c := &Committer{Store: st}
@@ -206,15 +209,15 @@
 		_, err := c.Commit(t.Context(), testObject, claim("k", "a"))
 		require.NoError(t, err)
 		big := claim("big", "b")
-		big.Fingerprint = strings.Repeat("f", maxObject)
+		big.Fingerprint = strings.Repeat("f", maxBytesForClaims)
 		_, err = c.Commit(t.Context(), testObject, big)
 		require.NoError(t, err)
 		_, err = c.Commit(t.Context(), testObject, claim("more", "c"))
 		require.ErrorIs(t, err, ErrClaimNotTaken)
-		r, err := c.Commit(t.Context(), testObject, ended(OpFinish, "k", "a", "complete"))
+		r, err := c.Commit(t.Context(), testObject, followUp(OpFinish, "k", "a", "complete"))
 		require.NoError(t, err)
-		assert.Equal(t, StateFinished, r.State, "outcomes still fit")
-		_, err = c.Commit(t.Context(), testObject, ended(OpRelease, "none", "a", ""))
+		assert.Equal(t, StateFinished, r.State, "a full object still takes outcomes")
+		_, err = c.Commit(t.Context(), testObject, followUp(OpRelease, "none", "a", ""))
 		require.ErrorIs(t, err, ErrNoClaim)
 	})
 }
@@ -225,7 +228,7 @@
 	id  string
 }
 
-// claimModel is one key as a register: the holder's id, "" if free.
+// claimModel models a key as a register that holds the id of its claim, or "" if the key is free.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
@@ -242,7 +245,7 @@
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
 		in, _ := input.(claimOp)
-		got, _ := output.(string)
+		result, _ := output.(string)
 		holder, _ := state.(string)
 		if in.op == OpRelease {
 			if holder == in.id {
@@ -251,22 +254,22 @@
 			return true, holder
 		}
 		switch {
-		case got == "?":
-			return true, holder // not settled; its release follows in the history
+		case result == "?":
+			return true, holder // outcome unknown; its release follows in the history
 		case holder == "":
-			return got == in.id, in.id
+			return result == in.id, in.id
 		}
-		return got == holder, holder
+		return result == holder, holder
 	},
 }
 
-// Claims and releases through three committers, with lost answers and lost updates, look as if each
-// had happened at one instant between its start and its end.
+// Claims and releases through three committers, with lost responses and lost updates, must be
+// linearizable.
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			pattern := strings.Repeat(".l.d..ul", 50)[seed%8:]
-			st := lossy(pattern)
+			st := newFaultyStore(pattern)
 			var mu sync.Mutex
 			var history []porcupine.Operation
 			var clock atomic.Int64
@@ -301,7 +304,7 @@
 						if granted {
 							record(client, claimOp{OpRelease, key, id}, func() string {
 								for {
-									if _, err := c.Commit(t.Context(), testObject, ended(OpRelease, key, id, "")); err == nil {
+									if _, err := c.Commit(t.Context(), testObject, followUp(OpRelease, key, id, "")); err == nil {
 										return ""
 									}
 								}
--- a/pkg/sageclaim/entry.go
+++ b/pkg/sageclaim/entry.go
@@ -11,10 +11,10 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrInvalidEntry reports a malformed line of a claim object.
+// ErrInvalidEntry reports a malformed entry, record or claim object.
 var ErrInvalidEntry = errors.New("malformed entry")
 
-// Op is what an entry says about a key.
+// Op is the operation of an entry.
 type Op string
 
 // The operations.
@@ -23,28 +23,30 @@
 	OpClaim Op = "claim"
 	// OpFinish records the outcome of the claimed request.
 	OpFinish Op = "finish"
-	// OpRelease frees the key: the claimed request is known not to have run.
+	// OpRelease frees the key because the claimed request has certainly not run.
 	OpRelease Op = "release"
-	// OpResolve is a person's word on a request whose outcome was unknown: complete or not_run.
+	// OpResolve records an operator's decision on a request whose outcome was unknown: complete or
+	// not_run.
 	OpResolve Op = "settle"
 )
 
-// Entry is one line of a claim object.
+// Entry is a line of a claim object.
 type Entry struct {
 	Op      Op     `json:"op"`
 	Account string `json:"account"`
 	Key     string `json:"key"`
-	// ClaimID names the claim; it is fresh for each arrival of a request.
+	// ClaimID identifies the claim. Every arrival of a request gets a new one.
 	ClaimID string `json:"claim_id"`
-	// Fingerprint and Deadline stand in claims: nothing is sent for the claim after Deadline.
+	// Fingerprint and Deadline are set in claims. After Deadline, the request isn't sent for this
+	// claim.
 	Fingerprint string    `json:"fingerprint,omitempty"`
 	Deadline    time.Time `json:"deadline,omitzero"`
-	// Outcome and Status stand in finishes and settlements.
+	// Outcome and Status are set in finish and settle entries.
 	Outcome sagewire.Outcome `json:"outcome,omitempty"`
 	Status  int              `json:"status,omitempty"`
 }
 
-// Check reports a missing or misplaced field, wrapped around [ErrInvalidEntry].
+// Check reports a missing field or an invalid outcome, wrapped around [ErrInvalidEntry].
 func (e *Entry) Check() error {
 	if e.Account == "" || e.Key == "" || e.ClaimID == "" {
 		return fmt.Errorf("%s without account, key or claim_id: %w", e.Op, ErrInvalidEntry)
@@ -69,22 +71,22 @@
 	return nil
 }
 
-// encode returns the entry as a line.
+// encode returns the entry as a line of JSON.
 func (e *Entry) encode() []byte {
 	b, err := json.Marshal(e)
 	if err != nil {
-		panic("sageclaim: an entry always encodes: " + err.Error())
+		panic("sageclaim: encoding an entry failed: " + err.Error())
 	}
 	return append(b, '\n')
 }
 
-// decodeEntries reads the lines of an object.
+// decodeEntries decodes and checks the lines of an object.
 func decodeEntries(b []byte) ([]Entry, error) {
 	var entries []Entry
 	for n := 1; len(b) > 0; n++ {
 		line, rest, ok := bytes.Cut(b, []byte("\n"))
 		if !ok {
-			return nil, fmt.Errorf("line %d is cut: %w", n, ErrInvalidEntry)
+			return nil, fmt.Errorf("line %d is truncated: %w", n, ErrInvalidEntry)
 		}
 		var e Entry
 		if err := json.Unmarshal(line, &e); err != nil {
--- a/pkg/sageclaim/key_test.go
+++ b/pkg/sageclaim/key_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// A booking is made twice: its claim was deleted with its bucket, and a late repeat finds the key
-// free. The key's own age refuses the repeat, well before the object goes.
+// A repeat that arrives after its claim was deleted with the bucket would find the key free and run the
+// booking again. The key's age must cause a rejection well before the object is deleted.
 func TestRulesCheck(t *testing.T) {
 	r := testRules()
 	created := time.UnixMilli(1_764_700_000_123)
--- a/pkg/sageclaim/main_test.go
+++ b/pkg/sageclaim/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the same verdict.
+// TestMain fixes the seed of the property tests, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "200", "rapid.nofailfile": "true"} {
--- a/pkg/sageclaim/rules.go
+++ b/pkg/sageclaim/rules.go
@@ -9,29 +9,32 @@
 	"time"
 )
 
-// minuteLayout names a minute.
+// minuteLayout is the time layout of the minute in object keys.
 const minuteLayout = "200601021504"
 
-// Prefix is the prefix of the claim objects' keys.
+// Prefix is the common prefix of the keys of all claim objects.
 const Prefix = "claims/"
 
-// Rules say where a key's claim stands and how long. They are the same on every node; changing
-// Bucket or Shards needs a pause as long as Retention without repeats.
+// Rules determine the object that holds a key's claim and how long the key is valid. They must be the
+// same on every node. After a change of Bucket or Shards, no key may be repeated for the length of
+// Retention.
 type Rules struct {
-	// Bucket is the span of creation times whose claims share objects.
+	// Bucket is the length of the interval of creation times whose claims share objects.
 	Bucket time.Duration
-	// Shards is the number of objects of a bucket.
+	// Shards is the number of objects per bucket.
 	Shards int
-	// Retention is how long after its creation a key is accepted.
+	// Retention is how long a key is accepted after its creation.
 	Retention time.Duration
-	// MaxAhead is how far in the future, by this node's clock, a key may have been created.
+	// MaxAhead is how far a key's creation time may be ahead of this node's clock.
 	MaxAhead time.Duration
 }
 
-// Check reports whether a key can be accepted at now.
+// Check reports a key that can't be accepted at now, because it is past its retention deadline or its
+// creation time is too far ahead.
 //
-// It guards against running a key whose claim may have been deleted. Objects are deleted only
-// [DeleteMargin] after the retention deadline, so that nodes whose clocks differ by less agree.
+// The retention check prevents running a key whose claim may have been deleted. Objects are deleted
+// only [DeleteMargin] after the retention deadline, so nodes whose clocks differ by less than that
+// agree.
 func (r *Rules) Check(k Key, now time.Time) error {
 	if now.After(r.RetainUntil(k)) {
 		return fmt.Errorf("created %s, accepted until %s: %w", k.CreatedAt.UTC().Format(time.RFC3339), r.RetainUntil(k).UTC().Format(time.RFC3339), ErrKeyExpired)
@@ -42,28 +45,29 @@
 	return nil
 }
 
-// DeleteMargin is how long after the last retention deadline in it an object is kept.
+// DeleteMargin is how long an object is kept after the latest retention deadline of its keys.
 const DeleteMargin = 10 * time.Minute
 
 // RetainUntil returns the retention deadline of a key.
 func (r *Rules) RetainUntil(k Key) time.Time { return k.CreatedAt.Add(r.Retention) }
 
-// BucketOf returns the start of the bucket that holds t.
+// BucketStart returns the start of the bucket that contains t.
 func (r *Rules) BucketStart(t time.Time) time.Time { return t.Truncate(r.Bucket) }
 
-// ObjectAt returns the key of a bucket's object.
+// BucketObjectKey returns the object key of a shard of a bucket.
 func (r *Rules) BucketObjectKey(bucket time.Time, shard int) string {
 	b := bucket.UTC()
 	return fmt.Sprintf("%s%s/%013d-%02d", Prefix, b.Format(minuteLayout), b.UnixMilli(), shard)
 }
 
-// Object returns the key of the object that holds a claim.
+// ObjectKey returns the key of the object that holds the claim of k.
 func (r *Rules) ObjectKey(account string, k Key) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + k.Text))
 	return r.BucketObjectKey(r.BucketStart(k.CreatedAt), int(binary.BigEndian.Uint32(sum[:])%uint32(r.Shards)))
 }
 
-// Fingerprint tells requests apart that bear the same key.
+// Fingerprint returns a short hash of a request. It distinguishes different requests that use the same
+// key.
 func Fingerprint(method, path string, body []byte) string {
 	h := sha256.New()
 	_, _ = io.WriteString(h, method+"\x00"+path+"\x00")
@@ -72,10 +76,10 @@
 }
 
 // MinutePrefix returns the prefix of the claim objects whose buckets start in the minute of t. A list
-// of one minute stays small however many bookings there are.
+// of one minute stays small, however many claims there are in total.
 func (r *Rules) MinutePrefix(t time.Time) string { return Prefix + t.UTC().Format(minuteLayout) + "/" }
 
-// BucketOfObject reads the start of the bucket from an object's key.
+// ParseBucketStart parses the start of the bucket from the key of a claim object.
 func (r *Rules) ParseBucketStart(object string) (time.Time, error) {
 	var minute, shard int
 	var millis int64
