--- a/pkg/sageclaim/committer.go
+++ b/pkg/sageclaim/committer.go
@@ -53,10 +53,11 @@
 // Committer appends entries to claim objects by group commit. Set the exported fields before first use.
 type Committer struct {
 	Store sageobject.Store
-	// BatchWindow is the minimum interval between updates of an object; entries collected meanwhile
-	// share one update.
+	// BatchWindow is the minimum time between the starts of two commits to an object; entries that
+	// arrive meanwhile share the next commit.
 	BatchWindow time.Duration
-	// CommitTimeout limits one commit, including the retries after lost responses; 0 means 2 s.
+	// CommitTimeout limits one commit, including the retries after lost responses; 0 means 2 s. If the
+	// outcome is still unknown then, the commit fails with [ErrOutcomeUnknown].
 	CommitTimeout time.Duration
 	// MaxCachedObjects limits the decoded objects kept in memory; 0 means 64.
 	MaxCachedObjects int
--- a/pkg/sageclaim/committer_test.go
+++ b/pkg/sageclaim/committer_test.go
@@ -163,14 +163,14 @@
 func TestTwoCommitters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := &sageobject.Memory{}
-		cs := []*Committer{{Store: st, BatchWindow: time.Millisecond}, {Store: st, BatchWindow: time.Millisecond}}
+		committers := []*Committer{{Store: st, BatchWindow: time.Millisecond}, {Store: st, BatchWindow: time.Millisecond}}
 		var wg sync.WaitGroup
 		granted := make([]atomic.Int64, 20)
 		for i := range 200 {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i/10) * time.Millisecond)
 				id := fmt.Sprint("c", i)
-				r, err := cs[i%2].Commit(t.Context(), testObject, claim(fmt.Sprint(i%20), id))
+				r, err := committers[i%2].Commit(t.Context(), testObject, claim(fmt.Sprint(i%20), id))
 				assert.NoError(t, err)
 				if r.ClaimID == id && r.State == StateClaimed {
 					granted[i%20].Add(1)
@@ -178,8 +178,8 @@
 			})
 		}
 		wg.Wait()
-		cs[0].Wait()
-		cs[1].Wait()
+		committers[0].Wait()
+		committers[1].Wait()
 		for i := range granted {
 			assert.EqualValues(t, 1, granted[i].Load(), "grants of key %d", i)
 		}
@@ -280,9 +280,9 @@
 				history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: clock.Add(1)})
 				mu.Unlock()
 			}
-			cs := make([]*Committer, 3)
-			for i := range cs {
-				cs[i] = &Committer{Store: st, BatchWindow: time.Millisecond}
+			committers := make([]*Committer, 3)
+			for i := range committers {
+				committers[i] = &Committer{Store: st, BatchWindow: time.Millisecond}
 			}
 			var wg sync.WaitGroup
 			for client := range 12 {
@@ -290,7 +290,7 @@
 					for n := range 6 {
 						time.Sleep(time.Duration((client*7+n*5+seed)%9) * time.Millisecond)
 						key, id := fmt.Sprint("k", (client+n)%3), fmt.Sprint(client, "-", n)
-						c := cs[(client+n)%3]
+						c := committers[(client+n)%3]
 						granted := false
 						record(client, claimOp{OpClaim, key, id}, func() string {
 							c.Invalidate(testObject)
@@ -314,7 +314,7 @@
 				})
 			}
 			wg.Wait()
-			for _, c := range cs {
+			for _, c := range committers {
 				c.Wait()
 			}
 			assert.True(t, porcupine.CheckOperations(claimModel, history), "seed %d: %d operations", seed, len(history))
--- a/pkg/sageticket/accept_test.go
+++ b/pkg/sageticket/accept_test.go
@@ -83,11 +83,11 @@
 	require.NoError(t, err)
 	assert.Equal(t, uint64(2), accepted.Revision)
 
-	store.clear()
+	store.clearFaults()
 	store.loseResponse, store.failReadBack = store.puts+1, true
 	_, err = a.Submit(ctx, ticket(3, dataCentre("york", true)))
 	assert.ErrorIs(t, err, ErrOutcomeUnknown, "the read back fails too")
-	store.clear()
+	store.clearFaults()
 	accepted, err = a.Submit(ctx, ticket(3, dataCentre("york", true)))
 	require.NoError(t, err)
 	assert.True(t, accepted.Repeated)
@@ -126,7 +126,7 @@
 		_, err := a.Submit(ctx, ticket(2, dataCentre("leeds", true)))
 		assert.ErrorIs(t, err, ErrNotAccepted)
 		assert.LessOrEqual(t, store.Calls()["get"]-calls["get"], int64(2*NumShards), "no retries against a store that is out")
-		store.clear()
+		store.clearFaults()
 		l, err := Load(ctx, store)
 		require.NoError(t, err)
 		assert.Equal(t, uint64(1), l.Head.Revision)
--- a/pkg/sageticket/property_test.go
+++ b/pkg/sageticket/property_test.go
@@ -25,7 +25,7 @@
 
 func drawTicket(t *rapid.T) *sageconfig.Ticket {
 	tk := &sageconfig.Ticket{Number: rapid.Uint64Range(1, 300).Draw(t, "number")}
-	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 3, rapid.ID[string]).Draw(t, "things")
+	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 3, rapid.ID[string]).Draw(t, "keys")
 	for _, n := range names {
 		tk.Changes = append(tk.Changes, dataCentre(n, rapid.Bool().Draw(t, "in")))
 	}
@@ -91,7 +91,7 @@
 
 // check verifies the invariants after every step, without faults.
 func (m *stateMachine) check(t *rapid.T) {
-	m.store.clear()
+	m.store.clearFaults()
 	l, err := Load(ctx, m.store)
 	require.NoError(t, err)
 	for _, b := range m.store.heads {
@@ -204,7 +204,7 @@
 				store.crashFrom = store.puts + crashAt
 			}
 			_ = a.Compact(ctx)
-			store.clear()
+			store.clearFaults()
 			_, err := a.Submit(ctx, ticket(sameShard[0], dataCentre("other", true)))
 			require.True(t, errors.Is(err, ErrContentMismatch) || errors.Is(err, ErrTooOld), "crash at put %d: %v", crashAt, err)
 			rejectedAsTooOld = rejectedAsTooOld || errors.Is(err, ErrTooOld)
--- a/pkg/sageticket/store_test.go
+++ b/pkg/sageticket/store_test.go
@@ -71,8 +71,8 @@
 	return f
 }
 
-// clear removes all faults.
-func (f *faultyStore) clear() {
+// clearFaults removes all faults.
+func (f *faultyStore) clearFaults() {
 	f.loseResponse, f.refuse, f.crashFrom, f.failReadBack, f.responseLost = 0, 0, 0, false, false
 }
 
