--- a/internal/sageentry/account.go
+++ b/internal/sageentry/account.go
@@ -8,8 +8,8 @@
 	"sagestand.example/sagestand/pkg/sageconfig"
 )
 
-// accounts finds client accounts by the hash of their key. The index belongs to one state of the
-// configuration and is built anew when that changes.
+// accounts finds client accounts by the hash of their key. The index belongs to one configuration state
+// and is rebuilt when the state is replaced.
 type accounts struct {
 	current atomic.Pointer[accountIndex]
 }
@@ -19,7 +19,7 @@
 	byKey map[string]string
 }
 
-// find returns the name of the account that holds the key.
+// find returns the name of the account with the given key.
 func (a *accounts) find(s *sageconfig.State, key string) (string, bool) {
 	if key == "" {
 		return "", false
--- a/internal/sageentry/decode.go
+++ b/internal/sageentry/decode.go
@@ -19,27 +19,28 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// maxTag bounds headers that name a chat, a context or a key.
-const maxTag = 256
+// maxTagBytes limits the headers that identify a chat, a context or an idempotency key.
+const maxTagBytes = 256
 
-// chatBody is what the system reads of a chat completion request; the upstream reads the rest.
+// chatBody holds the fields of a chat completion request that this system reads. The upstream reads the
+// rest.
 type chatBody struct {
 	Model    string            `json:"model"`
 	Messages []json.RawMessage `json:"messages"`
 	Stream   bool              `json:"stream"`
 }
 
-// decodeCommon fills what chats and service calls share. The body is read last.
+// decodeCommon sets the fields that chats and service calls have in common. The body is read last.
 func (s *Service) decodeCommon(w http.ResponseWriter, r *http.Request, req *Request) *sagewire.Refusal {
 	h := r.Header
 	req.ID = uuid.NewString()
 	req.ArrivedAt = time.Now()
-	req.Method, req.Path, req.Header = r.Method, r.URL.RequestURI(), passedHeader(h)
+	req.Method, req.Path, req.Header = r.Method, r.URL.RequestURI(), forwardedHeader(h)
 	req.IdempotencyKey, req.ChatID, req.Context = h.Get(sagewire.HeaderIdempotencyKey), h.Get(sagewire.HeaderChat), h.Get(sagewire.HeaderContext)
 	req.PlacementToken = h.Get(sagewire.HeaderPlacement)
 	for _, tag := range []string{req.IdempotencyKey, req.ChatID, req.Context} {
-		if len(tag) > maxTag {
-			return sagewire.Refuse(sagewire.ReasonBadRequest, fmt.Sprintf("a header naming a key, chat or context has %d bytes, at most %d", len(tag), maxTag), time.Time{})
+		if len(tag) > maxTagBytes {
+			return sagewire.Refuse(sagewire.ReasonBadRequest, fmt.Sprintf("a header naming a key, chat or context has %d bytes, at most %d", len(tag), maxTagBytes), time.Time{})
 		}
 	}
 	p, err := sagewire.ParsePriority(h.Get(sagewire.HeaderPriority))
@@ -53,7 +54,8 @@
 	return s.readBody(w, r, req)
 }
 
-// decodeDeadline reads the caller's deadline; none or a later one means the latest allowed.
+// decodeDeadline sets the deadline from the caller's header. Without one, or with a later one, the
+// latest allowed deadline applies.
 func (s *Service) decodeDeadline(v string, req *Request) *sagewire.Refusal {
 	latest := req.ArrivedAt.Add(millis(s.Limits.DeadlineMillis))
 	req.Deadline = latest
@@ -73,10 +75,8 @@
 	return nil
 }
 
-// readBody reads the whole body within its limits of size and time.
-//
-// It guards against callers that send slowly or without end: they would hold a connection and its
-// memory for as long as they like. The read deadline ends the wait, and the limit the size.
+// readBody reads the whole body within the limits of size and time. Without them, callers that send
+// slowly or without end would hold a connection and its memory indefinitely.
 func (s *Service) readBody(w http.ResponseWriter, r *http.Request, req *Request) *sagewire.Refusal {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(req.ArrivedAt.Add(millis(s.Limits.BodyMillis)))
@@ -108,17 +108,17 @@
 	req.Route, req.Kind, req.Stream = c.Model, sageconfig.RouteChat, c.Stream
 	req.Idempotent = req.IdempotencyKey == ""
 	if req.Context == "" {
-		req.Context = tag(c.Messages[:1])
+		req.Context = hashMessages(c.Messages[:1])
 	}
 	if req.ChatID == "" {
-		// The first messages of a chat come again with each of its requests.
-		req.ChatID = tag(c.Messages[:min(2, len(c.Messages))])
+		// Every request of a chat starts with the same first messages.
+		req.ChatID = hashMessages(c.Messages[:min(2, len(c.Messages))])
 	}
 	return nil
 }
 
-// tag names a list of messages by its hash.
-func tag(messages []json.RawMessage) string {
+// hashMessages identifies a list of messages by its hash.
+func hashMessages(messages []json.RawMessage) string {
 	d := xxhash.New()
 	for _, m := range messages {
 		_, _ = d.Write(m)
@@ -126,25 +126,25 @@
 	return strconv.FormatUint(d.Sum64(), 36)
 }
 
-// ownHeaders are meant for this system and not passed on.
-var ownHeaders = map[string]bool{
+// internalHeaders are meant for this system and are not forwarded to upstreams.
+var internalHeaders = map[string]bool{
 	"Authorization":          true,
 	sagewire.HeaderPlacement: true,
 	sagewire.HeaderContext:   true,
 }
 
-// passedHeader returns what an upstream gets of the caller's headers.
-func passedHeader(h http.Header) http.Header {
+// forwardedHeader returns the caller's headers that are forwarded to an upstream.
+func forwardedHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
-		if !ownHeaders[k] {
+		if !internalHeaders[k] {
 			out[k] = v
 		}
 	}
 	return out
 }
 
-// bearer returns the caller's key.
+// bearer returns the caller's API key.
 func bearer(h http.Header) string {
 	key, _ := strings.CutPrefix(h.Get("Authorization"), "Bearer ")
 	return key
--- a/internal/sageentry/doc.go
+++ b/internal/sageentry/doc.go
@@ -1,14 +1,15 @@
-// Package sageentry is the callers' HTTP interface and the way of a request through a node.
+// Package sageentry implements the HTTP interface for callers and the processing of a request within a
+// node.
 //
-// A request passes these steps, each a service found by name: configuration, admission, claim (only
-// if it must not run twice), placement, dispatch, record. Whatever happens, it ends with exactly one
-// outcome in the header Sagestand-Outcome, and unless that is "complete" with a
-// [sagewire.Refusal] as its body. A request that is given up is answered at once.
+// A request passes through these steps: configuration, admission, claim (only if the request must not
+// run twice), placement, dispatch and record. Each step is a service that is looked up by name. Every
+// request ends with exactly one outcome in the header Sagestand-Outcome. Unless the outcome is
+// "complete", the body is a [sagewire.Refusal]. A request that can't be served is refused immediately.
 //
-// Two kinds of request are told apart. An idempotent one (a chat, a GET or HEAD, a route marked
-// idempotent) may be tried at several upstreams. Any other one is sent to an upstream at most once:
-// another attempt follows only on proof that the earlier one did not run. With an Idempotency-Key,
-// also the caller's own repeats, through any node, run at most once.
+// There are two kinds of request. An idempotent one (a chat without Idempotency-Key, a GET or HEAD, a
+// route marked idempotent) may be tried at several upstreams. Any other request is sent to at most one
+// upstream, unless it is proven that the earlier attempt did not run. With an Idempotency-Key, repeats
+// by the caller run at most once too, whichever node receives them.
 //
 // # Usage
 //
--- a/internal/sageentry/fuzz_test.go
+++ b/internal/sageentry/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodeChat: whatever a caller sends, decoding ends with a request that has a route, or with a
-// refusal that can be sent.
+// FuzzDecodeChat checks that any input is decoded to a request with a route and a chat ID, or to a
+// valid refusal.
 func FuzzDecodeChat(f *testing.F) {
 	f.Add([]byte(chatBodyText))
 	f.Add([]byte(`{"model":"m","messages":[null,{}],"stream":true}`))
--- a/internal/sageentry/handler_test.go
+++ b/internal/sageentry/handler_test.go
@@ -21,18 +21,18 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// fakeSteps plays every step behind the entry: results are given out in turn, one an attempt.
+// fakeSteps implements every step behind the entry. Each attempt gets the next of results.
 type fakeSteps struct {
-	state   *sageconfig.State
-	serving *sagewire.Refusal
-	results []sagedispatch.Result
-	claim   *sagewire.Refusal
-	held    *sagedispatch.Answer
-
-	attempts []*sagedispatch.Attempt
-	finished []sagewire.Outcome
-	seen     []Observation
-	done     int
+	state        *sageconfig.State
+	serving      *sagewire.Refusal
+	results      []sagedispatch.Result
+	claimRefusal *sagewire.Refusal
+	storedAnswer *sagedispatch.Answer
+
+	attempts     []*sagedispatch.Attempt
+	finished     []sagewire.Outcome
+	observations []Observation
+	released     int
 }
 
 func (f *fakeSteps) State() *sageconfig.State                  { return f.state }
@@ -42,7 +42,7 @@
 func (f *fakeSteps) Allow(now time.Time, _ *Request, _ []string, _ bool) (time.Time, bool) {
 	return now, true
 }
-func (f *fakeSteps) Record(o Observation) { f.seen = append(f.seen, o) }
+func (f *fakeSteps) Record(o Observation) { f.observations = append(f.observations, o) }
 func (f *fakeSteps) Locate(now time.Time, _ sagelocate.Query) (sagelocate.Answer, *sagewire.Refusal) {
 	return sagelocate.Answer{ValidUntil: now}, nil
 }
@@ -57,8 +57,8 @@
 }
 
 func (f *fakeSteps) Claim(context.Context, *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
-	if f.claim != nil {
-		return nil, f.held, f.claim
+	if f.claimRefusal != nil {
+		return nil, f.storedAnswer, f.claimRefusal
 	}
 	return &Claim{}, nil, nil
 }
@@ -68,7 +68,7 @@
 		return nil, sagewire.Refuse(sagewire.ReasonNoUpstream, "none left", time.Now().Add(time.Second))
 	}
 	name := string(rune('a' + len(tried)))
-	return &Pick{Upstream: name, Address: name, Release: func(*sagedispatch.Result) { f.done++ }}, nil
+	return &Pick{Upstream: name, Address: name, Release: func(*sagedispatch.Result) { f.released++ }}, nil
 }
 
 func (f *fakeSteps) Do(_ context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
@@ -122,12 +122,12 @@
 		{"no messages", "POST", "/v1/chat/completions", `{"model":"m"}`, nil, 400, sagewire.ReasonBadRequest},
 		{"too large", "POST", "/v1/chat/completions", strings.Repeat("x", 65), nil, 413, sagewire.ReasonTooLarge},
 		{"wrong key", "POST", "/v1/chat/completions", chatBodyText, []string{"Authorization", "Bearer no"}, 401, sagewire.ReasonUnauthorized},
-		{"priority", "POST", "/v1/chat/completions", chatBodyText, []string{sagewire.HeaderPriority, "soon"}, 400, sagewire.ReasonBadRequest},
-		{"deadline", "POST", "/v1/chat/completions", chatBodyText, []string{sagewire.HeaderDeadline, "soon"}, 400, sagewire.ReasonBadRequest},
+		{"invalid priority", "POST", "/v1/chat/completions", chatBodyText, []string{sagewire.HeaderPriority, "soon"}, 400, sagewire.ReasonBadRequest},
+		{"invalid deadline", "POST", "/v1/chat/completions", chatBodyText, []string{sagewire.HeaderDeadline, "soon"}, 400, sagewire.ReasonBadRequest},
 		{"deadline passed", "POST", "/v1/chat/completions", chatBodyText, []string{sagewire.HeaderDeadline, "2020-01-01T00:00:00Z"}, 504, sagewire.ReasonDeadline},
 		{"long key", "POST", "/v1/services/orders/x", "", []string{sagewire.HeaderIdempotencyKey, strings.Repeat("k", 257)}, 400, sagewire.ReasonBadRequest},
-		{"no route", "POST", "/v1/services/none/x", "", nil, 404, sagewire.ReasonNoRoute},
-		{"no path", "GET", "/elsewhere", "", nil, 404, sagewire.ReasonNoRoute},
+		{"unknown route", "POST", "/v1/services/none/x", "", nil, 404, sagewire.ReasonNoRoute},
+		{"unknown path", "GET", "/elsewhere", "", nil, 404, sagewire.ReasonNoRoute},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -144,7 +144,8 @@
 	}
 }
 
-// Staff repeat a booking without a key after an unknown outcome: the refusal says what that may do.
+// Without an idempotency key, repeating a booking after an unknown outcome may run it twice. The
+// refusal must say so.
 func TestUnknownWithoutKeyWarnsOfRepeat(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		f := &fakeSteps{results: []sagedispatch.Result{{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}}}
@@ -158,37 +159,37 @@
 func TestAttempts(t *testing.T) {
 	notRun := sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamRefused}
 	unknown := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}
-	cut := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost, Started: true}
+	partial := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost, Started: true}
 	complete := sagedispatch.Result{Outcome: sagewire.Complete}
 	type results = []sagedispatch.Result
 	tests := []struct {
-		name    string
-		path    string
-		key     string
-		results results
-		tries   int
-		outcome sagewire.Outcome
-		status  int
+		name     string
+		path     string
+		key      string
+		results  results
+		attempts int
+		outcome  sagewire.Outcome
+		status   int
 	}{
-		{"chat goes on after unknown", "/v1/chat/completions", "", results{unknown, complete}, 2, sagewire.Complete, 200},
-		{"chat stops after a started answer", "/v1/chat/completions", "", results{cut, complete}, 1, sagewire.Unknown, 200},
+		{"chat retries after unknown", "/v1/chat/completions", "", results{unknown, complete}, 2, sagewire.Complete, 200},
+		{"chat stops after a started answer", "/v1/chat/completions", "", results{partial, complete}, 1, sagewire.Unknown, 200},
 		{"chat with key stops after unknown", "/v1/chat/completions", "k", results{unknown, complete}, 1, sagewire.Unknown, 502},
-		{"booking goes on after not run", "/v1/services/orders/x", "k", results{notRun, complete}, 2, sagewire.Complete, 200},
+		{"booking retries after not run", "/v1/services/orders/x", "k", results{notRun, complete}, 2, sagewire.Complete, 200},
 		{"booking stops after unknown", "/v1/services/orders/x", "k", results{unknown, complete}, 1, sagewire.Unknown, 502},
 		{"booking without key stops after unknown", "/v1/services/orders/x", "", results{unknown, complete}, 1, sagewire.Unknown, 502},
-		{"none left after not run", "/v1/services/orders/x", "k", results{notRun, notRun}, 2, sagewire.NotRun, 503},
-		// An earlier attempt may have run, so the last word must not be "not run".
-		{"none left after unknown", "/v1/chat/completions", "", results{unknown}, 1, sagewire.Unknown, 502},
+		{"no upstream left after not run", "/v1/services/orders/x", "k", results{notRun, notRun}, 2, sagewire.NotRun, 503},
+		// An earlier attempt may have run, so the final outcome must not be "not run".
+		{"no upstream left after unknown", "/v1/chat/completions", "", results{unknown}, 1, sagewire.Unknown, 502},
 		{"not run after unknown", "/v1/chat/completions", "", results{unknown, notRun}, 2, sagewire.Unknown, 502},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := &fakeSteps{results: tt.results}
 			w := call(testService(f), "POST", tt.path, chatBodyText, sagewire.HeaderIdempotencyKey, tt.key)
-			assert.Len(t, f.attempts, tt.tries)
-			assert.Equal(t, tt.tries, f.done, "each allotment is given back")
-			require.Len(t, f.seen, 1)
-			assert.Equal(t, tt.outcome, f.seen[0].Outcome)
+			assert.Len(t, f.attempts, tt.attempts)
+			assert.Equal(t, tt.attempts, f.released, "each allotment unit is released")
+			require.Len(t, f.observations, 1)
+			assert.Equal(t, tt.outcome, f.observations[0].Outcome)
 			assert.Equal(t, tt.status, w.Code)
 			if tt.key != "" {
 				assert.Equal(t, []sagewire.Outcome{tt.outcome}, f.finished)
@@ -197,15 +198,15 @@
 			for _, a := range f.attempts {
 				ids[a.RequestID] = true
 			}
-			assert.Len(t, ids, tt.tries, "each attempt has an id of its own")
+			assert.Len(t, ids, tt.attempts, "each attempt has its own request id")
 		})
 	}
 }
 
 func TestRepeatGetsStoredAnswer(t *testing.T) {
 	f := &fakeSteps{
-		claim: &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: sagewire.ReasonKeyInUse},
-		held:  &sagedispatch.Answer{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
+		claimRefusal: &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: sagewire.ReasonKeyInUse},
+		storedAnswer: &sagedispatch.Answer{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
 	}
 	w := call(testService(f), "POST", "/v1/services/orders/x", "", sagewire.HeaderIdempotencyKey, "k")
 	assert.Equal(t, 201, w.Code)
--- a/internal/sageentry/refuse.go
+++ b/internal/sageentry/refuse.go
@@ -10,17 +10,18 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// callerHeaders are set for the answer of an upstream and must not stand on a refusal.
-var callerHeaders = []string{sagewire.HeaderPlacement, sagewire.HeaderUpstream}
+// upstreamResponseHeaders are set before an attempt, for the upstream's response, and are removed from
+// a refusal.
+var upstreamResponseHeaders = []string{sagewire.HeaderPlacement, sagewire.HeaderUpstream}
 
-// refuse answers with a refusal and records it.
+// refuse responds with a refusal and records it.
 func (s *Service) refuse(w http.ResponseWriter, req *Request, ref *sagewire.Refusal, attempts int) {
-	for _, name := range callerHeaders {
+	for _, name := range upstreamResponseHeaders {
 		w.Header().Del(name)
 	}
 	writeRefusal(w, req.ID, ref)
 	s.Log.Info("Request refused.", "request_id", req.ID, "account", req.Account, "outcome", ref.Outcome, "reason", ref.Reason, "detail", ref.Detail)
-	s.Recorder.Record(observation(req, ref.Outcome, ref.Reason, attempts))
+	s.Recorder.Record(newObservation(req, ref.Outcome, ref.Reason, attempts))
 }
 
 // writeRefusal writes the status, headers and body of a refusal.
@@ -38,30 +39,31 @@
 	_ = json.NewEncoder(w).Encode(&out)
 }
 
-// retryAfter returns the whole seconds until at, rounded up, at least 1.
+// retryAfter returns the number of seconds until at, rounded up, at least 1.
 func retryAfter(now, at time.Time) int {
 	d := at.Sub(now)
 	return max(1, int((d+time.Second-1)/time.Second))
 }
 
-// refuseClaim answers a request whose key is claimed: with the stored answer while it is held.
-func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, held *sagedispatch.Answer, ref *sagewire.Refusal) {
-	if held == nil || ref.Outcome != sagewire.AlreadyRun {
+// refuseClaim responds to a request whose key is already claimed, with the stored response if there is
+// one.
+func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, storedAnswer *sagedispatch.Answer, ref *sagewire.Refusal) {
+	if storedAnswer == nil || ref.Outcome != sagewire.AlreadyRun {
 		s.refuse(w, req, ref, 0)
 		return
 	}
 	h := w.Header()
-	for k, v := range held.Header {
+	for k, v := range storedAnswer.Header {
 		h[k] = v
 	}
 	h.Set(sagewire.HeaderOutcome, string(sagewire.AlreadyRun))
-	h.Set("Content-Length", strconv.Itoa(len(held.Body)))
-	w.WriteHeader(held.Status)
-	_, _ = w.Write(held.Body)
-	s.Recorder.Record(observation(req, sagewire.AlreadyRun, ref.Reason, 0))
+	h.Set("Content-Length", strconv.Itoa(len(storedAnswer.Body)))
+	w.WriteHeader(storedAnswer.Status)
+	_, _ = w.Write(storedAnswer.Body)
+	s.Recorder.Record(newObservation(req, sagewire.AlreadyRun, ref.Reason, 0))
 }
 
-func observation(req *Request, o sagewire.Outcome, reason sagewire.Reason, attempts int) Observation {
+func newObservation(req *Request, o sagewire.Outcome, reason sagewire.Reason, attempts int) Observation {
 	return Observation{
 		Account: req.Account, Route: req.Route, Priority: req.Priority, Outcome: o, Reason: reason,
 		ArrivedAt: req.ArrivedAt, EndedAt: time.Now(), Deadline: req.Deadline, Attempts: attempts,
--- a/internal/sageentry/serve.go
+++ b/internal/sageentry/serve.go
@@ -11,10 +11,11 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// retryLater is when a caller may come back after a failure without a better estimate.
-const retryLater = time.Second
+// defaultRetryDelay is how long a caller should wait before it retries after a failure, if there is no
+// better estimate.
+const defaultRetryDelay = time.Second
 
-// finishTimeout bounds the record of an outcome after the answer.
+// finishTimeout limits the time for recording an outcome after the response.
 const finishTimeout = 2 * time.Second
 
 func (s *Service) chat(w http.ResponseWriter, r *http.Request) {
@@ -35,8 +36,8 @@
 	s.serve(w, r, req)
 }
 
-// decode runs the common and the special part of decoding, and names the account.
-func (s *Service) decode(w http.ResponseWriter, r *http.Request, req *Request, special func() *sagewire.Refusal) *sagewire.Refusal {
+// decode runs the common decoding and decodeKind, and identifies the account.
+func (s *Service) decode(w http.ResponseWriter, r *http.Request, req *Request, decodeKind func() *sagewire.Refusal) *sagewire.Refusal {
 	if ref := s.decodeCommon(w, r, req); ref != nil {
 		return ref
 	}
@@ -48,7 +49,7 @@
 		return sagewire.Refuse(sagewire.ReasonUnauthorized, "no client account has this key", time.Time{})
 	}
 	req.Account = account
-	return special()
+	return decodeKind()
 }
 
 // decodeService reads the route of a service call.
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// serve takes a decoded request through admission, claim and attempts.
+// serve passes a decoded request through admission, claim and attempts.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request, req *Request) {
 	w.Header().Set(sagewire.HeaderRequestID, req.ID)
 	if ref := s.Config.Serving(time.Now(), req.Idempotent); ref != nil {
@@ -81,19 +82,19 @@
 		return
 	}
 	defer release()
-	claim, held, ref := s.claim(ctx, req)
+	claim, storedAnswer, ref := s.claim(ctx, req)
 	if ref != nil {
-		s.refuseClaim(w, req, held, ref)
+		s.refuseClaim(w, req, storedAnswer, ref)
 		return
 	}
-	res, pick, attempts := s.attempts(ctx, w, req)
+	res, pick, attempts := s.runAttempts(ctx, w, req)
 	if claim != nil {
 		s.finish(ctx, claim, &res)
 	}
-	s.end(w, req, &res, pick, attempts)
+	s.respond(w, req, &res, pick, attempts)
 }
 
-// claim claims the key of a request that must not run twice.
+// claim claims the idempotency key of a request that must not run twice.
 func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
 	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil, nil
@@ -101,25 +102,26 @@
 	return s.Claims.Claim(ctx, req)
 }
 
-// finish records the outcome of a claimed request, also when its caller has left meanwhile.
+// finish records the outcome of a claimed request, even if its caller has disconnected.
 func (s *Service) finish(ctx context.Context, c *Claim, res *sagedispatch.Result) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
 	defer cancel()
 	s.Claims.Finish(ctx, c, res)
 }
 
-// attempts tries upstreams until an answer came, nothing more may be tried or nobody waits.
+// runAttempts tries upstreams until one has responded, no further attempt is allowed or the caller has
+// left.
 //
-// A second attempt of a request that may run only once would double a booking. It is made only
-// after a result that proves that the first did not run.
-func (s *Service) attempts(ctx context.Context, w http.ResponseWriter, req *Request) (res sagedispatch.Result, pick *Pick, n int) {
+// A second attempt of a request that must run only once could duplicate a booking. It is made only
+// after a result that proves that the first attempt did not run.
+func (s *Service) runAttempts(ctx context.Context, w http.ResponseWriter, req *Request) (res sagedispatch.Result, pick *Pick, n int) {
 	var tried []string
-	var lost *sagedispatch.Result
+	var lastUnknown *sagedispatch.Result
 	s.Retries.RecordFirstAttempt(time.Now())
 	for {
 		p, ref := s.Placement.Pick(ctx, req, tried)
 		if ref != nil {
-			return truthful(noPick(res, ref, n), lost), pick, n
+			return finalResult(resultWithoutPick(res, ref, n), lastUnknown), pick, n
 		}
 		n++
 		pick = p
@@ -127,21 +129,21 @@
 			w.Header().Set(sagewire.HeaderPlacement, p.PlacementToken)
 		}
 		w.Header().Set(sagewire.HeaderUpstream, p.Upstream)
-		res = s.Dispatch.Do(ctx, w, attempt(req, p, n))
+		res = s.Dispatch.Do(ctx, w, newAttempt(req, p, n))
 		p.Release(&res)
 		tried = append(tried, p.Upstream)
-		if !s.again(ctx, req, &res, tried) {
-			return truthful(res, lost), pick, n
+		if !s.awaitRetry(ctx, req, &res, tried) {
+			return finalResult(res, lastUnknown), pick, n
 		}
 		if res.Outcome == sagewire.Unknown {
-			l := res
-			lost = &l
+			resCopy := res
+			lastUnknown = &resCopy
 		}
 	}
 }
 
-// again reports whether one more attempt may follow a result, after waiting for its instant.
-func (s *Service) again(ctx context.Context, req *Request, res *sagedispatch.Result, tried []string) bool {
+// awaitRetry reports whether another attempt may follow res, after waiting until the instant for it.
+func (s *Service) awaitRetry(ctx context.Context, req *Request, res *sagedispatch.Result, tried []string) bool {
 	if res.Outcome == sagewire.Complete || res.Started || res.CallerGone || ctx.Err() != nil {
 		return false
 	}
@@ -149,35 +151,36 @@
 		return false
 	}
 	now := time.Now()
-	at, ok := s.Retries.Allow(now, req, tried, res.Outcome == sagewire.NotRun)
+	retryAt, ok := s.Retries.Allow(now, req, tried, res.Outcome == sagewire.NotRun)
 	if !ok {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(at.Sub(now)):
+	case <-time.After(retryAt.Sub(now)):
 		return true
 	}
 }
 
-// truthful returns what may be said at the end of all attempts.
+// finalResult returns the result to report after all attempts.
 //
-// It guards against a false "not run": the last upstream may have refused while an earlier one took
-// the request and its answer was lost. The request may have run, so its outcome is unknown.
-func truthful(last sagedispatch.Result, lost *sagedispatch.Result) sagedispatch.Result {
-	if last.Outcome != sagewire.NotRun || lost == nil {
+// It prevents a false "not run": the last upstream may have refused a request that an earlier one
+// accepted without its response arriving. The request may have run, so its outcome is unknown.
+func finalResult(last sagedispatch.Result, lastUnknown *sagedispatch.Result) sagedispatch.Result {
+	if last.Outcome != sagewire.NotRun || lastUnknown == nil {
 		return last
 	}
-	out := *lost
+	out := *lastUnknown
 	if out.RetryAt.IsZero() {
 		out.RetryAt = last.RetryAt
 	}
 	return out
 }
 
-// noPick is the result when no upstream was left: that of the last attempt, if there was one.
-func noPick(last sagedispatch.Result, ref *sagewire.Refusal, n int) sagedispatch.Result {
+// resultWithoutPick returns the result when no upstream was left to try: that of the last attempt, if
+// there was one.
+func resultWithoutPick(last sagedispatch.Result, ref *sagewire.Refusal, n int) sagedispatch.Result {
 	if n == 0 {
 		return sagedispatch.Result{Outcome: ref.Outcome, Reason: ref.Reason, Detail: ref.Detail, RetryAt: ref.RetryAt}
 	}
@@ -187,8 +190,8 @@
 	return last
 }
 
-// attempt makes the n-th attempt of a request at the picked upstream.
-func attempt(req *Request, p *Pick, n int) *sagedispatch.Attempt {
+// newAttempt returns the n-th attempt of a request, at the picked upstream.
+func newAttempt(req *Request, p *Pick, n int) *sagedispatch.Attempt {
 	return &sagedispatch.Attempt{
 		RequestID: req.ID + "-" + strconv.Itoa(n),
 		Address:   p.Address,
@@ -205,20 +208,20 @@
 	}
 }
 
-// end tells the caller a refusal if nothing was told yet, and records the outcome.
-func (s *Service) end(w http.ResponseWriter, req *Request, res *sagedispatch.Result, pick *Pick, attempts int) {
+// respond sends a refusal if no response was started, and records the outcome.
+func (s *Service) respond(w http.ResponseWriter, req *Request, res *sagedispatch.Result, pick *Pick, attempts int) {
 	if res.Outcome != sagewire.Complete && !res.Started {
 		ref := res.Refusal(req.ID)
 		if ref.Outcome == sagewire.Unknown && !req.Idempotent && req.IdempotencyKey == "" {
 			ref.Detail += "; it was sent once and has no " + sagewire.HeaderIdempotencyKey + ", so sending it again may run it twice"
 		}
 		if attempts > 0 && ref.RetryAt.IsZero() && ref.Outcome == sagewire.NotRun {
-			ref.RetryAt = time.Now().Add(retryLater)
+			ref.RetryAt = time.Now().Add(defaultRetryDelay)
 		}
 		s.refuse(w, req, ref, attempts)
 		return
 	}
-	o := observation(req, res.Outcome, res.Reason, attempts)
+	o := newObservation(req, res.Outcome, res.Reason, attempts)
 	o.FirstByteAt, o.PromptTokens, o.CachedTokens = res.FirstByteAt, res.PromptTokens, res.CachedTokens
 	if pick != nil {
 		o.Upstream = pick.Upstream
--- a/internal/sageentry/server.go
+++ b/internal/sageentry/server.go
@@ -17,10 +17,10 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// idleTimeout is how long an idle connection of a caller is kept.
+// idleTimeout is how long an idle connection of a caller is kept open.
 const idleTimeout = 2 * time.Minute
 
-// Service serves callers. Its exported fields are set before Run.
+// Service serves callers. Its exported fields must be set before Run.
 type Service struct {
 	Listener  net.Listener
 	Config    Config
@@ -40,10 +40,10 @@
 	inFlight atomic.Int64
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (s *Service) InFlight() int64 { return s.inFlight.Load() }
 
-// Handler returns the callers' HTTP interface.
+// Handler returns the HTTP interface for callers.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", s.chat)
@@ -59,7 +59,7 @@
 	})
 }
 
-// locate tells a caller which entry addresses to use.
+// locate responds with the entry addresses that a caller should use.
 func (s *Service) locate(w http.ResponseWriter, r *http.Request) {
 	id := uuid.NewString()
 	now := time.Now()
@@ -82,23 +82,24 @@
 	_ = json.NewEncoder(w).Encode(&a)
 }
 
-// Run serves until ctx ends, then stops gracefully: it announces that the node leaves, serves on
-// while kept locate answers may still name it, and lets running requests finish until the deadline.
+// Run serves until ctx ends, then stops gracefully: it announces that the node is leaving, keeps
+// serving while locate responses that callers have kept may still name the node, and lets running
+// requests finish until the stop deadline.
 func (s *Service) Run(ctx context.Context) error {
-	base, cut := context.WithCancel(context.Background())
-	defer cut()
+	baseCtx, cancelRequests := context.WithCancel(context.Background())
+	defer cancelRequests()
 	srv := &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: millis(s.Limits.HeaderMillis),
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
 		IdleTimeout:       idleTimeout,
-		BaseContext:       func(net.Listener) context.Context { return base },
+		BaseContext:       func(net.Listener) context.Context { return baseCtx },
 	}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		<-ctx.Done()
-		s.stop(srv, cut)
+		s.stop(srv, cancelRequests)
 	}()
 	s.Log.Info("Listening.", "address", s.Listener.Addr())
 	if err := srv.Serve(s.Listener); err != http.ErrServerClosed {
@@ -108,25 +109,26 @@
 	return nil
 }
 
-// stop is the graceful stop. Requests that still run at its deadline are cut, and the log says so.
-func (s *Service) stop(srv *http.Server, cut context.CancelFunc) {
+// stop performs the graceful stop. It aborts the requests that still run at the deadline and logs their
+// number.
+func (s *Service) stop(srv *http.Server, cancelRequests context.CancelFunc) {
 	now := time.Now()
-	by := now.Add(millis(s.Stop.WithinMillis))
-	until := s.Leaver.Leave(now)
-	s.Log.Info("Leaving.", "serve_until", until, "stop_by", by, "in_flight", s.InFlight())
-	time.Sleep(time.Until(until))
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	stopBy := now.Add(millis(s.Stop.WithinMillis))
+	serveUntil := s.Leaver.Leave(now)
+	s.Log.Info("Leaving.", "serve_until", serveUntil, "stop_by", stopBy, "in_flight", s.InFlight())
+	time.Sleep(time.Until(serveUntil))
+	ctx, cancel := context.WithDeadline(context.Background(), stopBy)
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	if err == nil {
 		s.Log.Info("All requests finished.")
 		return
 	}
-	s.Log.Warn("Cutting requests at the stop deadline.", "in_flight", s.InFlight(), "stop_by", by)
-	cut()
-	last, cancelLast := context.WithTimeout(context.Background(), time.Second)
-	defer cancelLast()
-	if err := srv.Shutdown(last); err != nil {
+	s.Log.Warn("Cutting requests at the stop deadline.", "in_flight", s.InFlight(), "stop_by", stopBy)
+	cancelRequests()
+	finalCtx, cancelFinal := context.WithTimeout(context.Background(), time.Second)
+	defer cancelFinal()
+	if err := srv.Shutdown(finalCtx); err != nil {
 		_ = srv.Close()
 	}
 }
--- a/internal/sageentry/steps.go
+++ b/internal/sageentry/steps.go
@@ -17,14 +17,14 @@
 	Account string
 	Route   string
 	Kind    sageconfig.RouteKind
-	// Idempotent says that the request may be sent to an upstream more than once.
+	// Idempotent reports whether the request may be sent to an upstream more than once.
 	Idempotent bool
-	// Key is the caller's idempotency key; empty if it gave none.
+	// IdempotencyKey is the caller's idempotency key; empty if it sent none.
 	IdempotencyKey string
-	// ChatID and Context name the returning chat and the context it shares with others.
+	// ChatID identifies the returning chat, Context the context that it shares with other chats.
 	ChatID  string
 	Context string
-	// Token is the placement token that the caller brought.
+	// PlacementToken is the placement token that the caller sent.
 	PlacementToken string
 	Priority       sagewire.Priority
 	Deadline       time.Time
@@ -39,16 +39,17 @@
 
 // Config is the configuration in force on this node.
 type Config interface {
-	// State is never nil once Serving allows requests; it is replaced as a whole.
+	// State is never nil once Serving allows requests. A change replaces the whole state.
 	State() *sageconfig.State
 	Revision() uint64
-	// Serving says why this node may not serve such a request now, or nil.
+	// Serving returns why this node may not serve such a request now, or nil.
 	Serving(now time.Time, idempotent bool) *sagewire.Refusal
 }
 
-// Admission decides which requests go on, and when.
+// Admission decides which requests may proceed, and when.
 type Admission interface {
-	// Admit returns with a refusal at once, or when the request may go on.
+	// Admit returns a refusal, or waits until the request may proceed and returns the function to call
+	// at its end.
 	Admit(ctx context.Context, r *Request) (release func(), ref *sagewire.Refusal)
 }
 
@@ -56,16 +57,16 @@
 type Claim struct {
 	ID             string
 	IdempotencyKey string
-	// Token is the claim service's own.
+	// Token is opaque data of the claim service.
 	Token any
 }
 
-// Claims makes requests with an idempotency key run at most once.
+// Claims ensures that a request with an idempotency key runs at most once.
 type Claims interface {
-	// Claim returns the claim, or why the request may not run. A refusal with outcome already_run
-	// may come with the stored answer.
+	// Claim returns the claim, or why the request may not run. A refusal with outcome already_run may
+	// come with the stored response.
 	Claim(ctx context.Context, r *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal)
-	// Finish records the end of a claimed request.
+	// Finish records the result of a claimed request.
 	Finish(ctx context.Context, c *Claim, res *sagedispatch.Result)
 }
 
@@ -74,44 +75,47 @@
 	Upstream string
 	Address  string
 	Engine   bool
-	// Token is the placement token for the caller to bring along next time; may be empty.
+	// PlacementToken is the placement token that the caller should send with its next request; may be
+	// empty.
 	PlacementToken string
-	// Done gives the allotment back.
+	// Release returns the unit of the in-flight allotment.
 	Release func(res *sagedispatch.Result)
 }
 
 // Placement chooses upstreams.
 type Placement interface {
-	// Pick chooses an upstream outside tried and takes one unit of its in-flight allotment.
+	// Pick chooses an upstream that is not in tried and takes one unit of its in-flight allotment.
 	Pick(ctx context.Context, r *Request, tried []string) (*Pick, *sagewire.Refusal)
 }
 
-// Retries bounds the attempts beyond the first.
+// Retries limits the attempts beyond the first.
 type Retries interface {
-	// First notes the first attempt of a request.
+	// RecordFirstAttempt counts the first attempt of a request.
 	RecordFirstAttempt(now time.Time)
-	// Allow reports whether one more attempt may be made after those at the upstreams tried, and
-	// from which instant on, and counts it. NotRun says that the last attempt did not execute.
-	Allow(now time.Time, r *Request, tried []string, notRun bool) (at time.Time, ok bool)
+	// Allow reports whether another attempt may be made after those at the upstreams in tried, and the
+	// earliest instant for it. An allowed attempt is counted. notRun means that the last attempt did
+	// not execute.
+	Allow(now time.Time, r *Request, tried []string, notRun bool) (retryAt time.Time, ok bool)
 }
 
-// Dispatch is one exchange with one upstream.
+// Dispatch performs one exchange with one upstream.
 type Dispatch interface {
 	Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result
 }
 
-// Locator answers where a caller should connect.
+// Locator returns the addresses to which a caller should connect.
 type Locator interface {
 	Locate(now time.Time, q sagelocate.Query) (sagelocate.Answer, *sagewire.Refusal)
 }
 
-// Leaver announces that this node stops.
+// Leaver announces that this node is stopping.
 type Leaver interface {
-	// Leave returns the instant until which callers may still come by answers given earlier.
+	// Leave returns the instant until which locate responses given earlier may still send callers to
+	// this node.
 	Leave(now time.Time) (serveUntil time.Time)
 }
 
-// Observation is the end of one request, for the reports.
+// Observation describes a finished request for the burn reports.
 type Observation struct {
 	Account     string
 	Route       string
@@ -129,7 +133,7 @@
 	CachedTokens int
 }
 
-// Recorder takes the end of every request.
+// Recorder records every finished request.
 type Recorder interface {
 	Record(o Observation)
 }
