--- a/internal/sageadmission/doc.go
+++ b/internal/sageadmission/doc.go
@@ -1,17 +1,17 @@
-// Package sageadmission is the service "admission" of a node: it lets requests go on, wait or be
-// refused by the fair shares of package sagefair.
+// Package sageadmission implements the service "admission" of a node: it admits, queues or refuses
+// requests according to the fair shares of package sagefair.
 //
-// Each upstream set has a scheduler of its own, so that a full set holds up nobody else. Its slots
-// are the units of the in-flight allotments that this node holds at the set's upstreams; requests
-// that wait make the load service ask for more.
+// Each upstream set has its own scheduler, so that a set at capacity doesn't delay requests for other
+// sets. The slots of a scheduler are the units of the in-flight allotments that this node holds at the
+// set's upstreams. While requests wait, the load service asks for more units.
 //
 // # Usage
 //
-//	s := &sageadmission.Service{Config: conf, Load: load, InFlight: 2000, Queued: 2000}
+//	s := &sageadmission.Service{Config: conf, Load: load, MaxInFlight: 2000, MaxQueued: 2000}
 //	kernel.Register("admission", s)
 //	release, ref := s.Admit(ctx, request)
 //	if ref != nil {
-//		... // refused, at once
+//		... // refused
 //	}
 //	defer release()
 package sageadmission
--- a/internal/sageadmission/service.go
+++ b/internal/sageadmission/service.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	// refresh is how often slots are read anew while requests wait.
-	refresh = 20 * time.Millisecond
-	// noUnits is how long a set may be without units before its requests are refused at once.
-	noUnits = 15 * time.Second
-	// forget is how long an unused scheduler is kept.
-	forget = time.Minute
+	// slotRefreshInterval is how often the number of slots is updated while requests wait.
+	slotRefreshInterval = 20 * time.Millisecond
+	// noUnitsTimeout is how long requests wait for a set that has no units. After that they are refused
+	// immediately.
+	noUnitsTimeout = 15 * time.Second
+	// poolIdleTimeout is how long an unused scheduler is kept.
+	poolIdleTimeout = time.Minute
 )
 
-// Load says how many requests this node may have in flight.
+// Load provides the number of requests that this node may have in flight.
 type Load interface {
-	// Slots returns the units held at the upstreams; queued requests wait for more.
+	// Slots returns the number of units held at the upstreams. A positive queued makes it ask for more.
 	Slots(upstreams []string, queued int) int
 }
 
-// Service implements [sageentry.Admission]. Its exported fields are set before Run.
+// Service implements [sageentry.Admission]. Its exported fields must be set before Run.
 type Service struct {
 	Config sageentry.Config
 	Load   Load
-	// InFlight bounds the requests in flight of each upstream set, Queued those that wait.
+	// MaxInFlight and MaxQueued limit the requests in flight and waiting, for each upstream set.
 	MaxInFlight int
 	MaxQueued   int
 
@@ -45,17 +46,17 @@
 type pool struct {
 	sagefair.Scheduler
 
-	upstreams []string
-	waiting   map[*sagefair.Item]chan struct{}
-	lacking   time.Time // since when the set is without units; zero if it has some
-	used      time.Time
-	read      time.Time
-	slots     int
+	upstreams    []string
+	waiting      map[*sagefair.Item]chan struct{}
+	noUnitsSince time.Time // zero while the set has units
+	lastUsed     time.Time
+	slotsReadAt  time.Time
+	slots        int
 }
 
-// Run reads slots anew while requests wait, and forgets what is not used, until ctx ends.
+// Run updates the slots while requests wait and removes unused schedulers, until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	t := time.NewTicker(refresh)
+	t := time.NewTicker(slotRefreshInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -73,25 +74,25 @@
 	for name, p := range s.pools {
 		if len(p.waiting) > 0 {
 			s.refresh(now, p)
-		} else if p.Running() == 0 && now.Sub(p.used) > forget {
+		} else if p.Running() == 0 && now.Sub(p.lastUsed) > poolIdleTimeout {
 			delete(s.pools, name)
 		}
 	}
 }
 
-// refresh sets the slots of a pool to the units held now.
+// refresh sets the slots of a pool to the number of units held now.
 func (s *Service) refresh(now time.Time, p *pool) {
-	p.read = now
+	p.slotsReadAt = now
 	p.slots = min(s.Load.Slots(p.upstreams, len(p.waiting)), s.MaxInFlight)
 	if p.slots > 0 {
-		p.lacking = time.Time{}
-	} else if p.lacking.IsZero() {
-		p.lacking = now
+		p.noUnitsSince = time.Time{}
+	} else if p.noUnitsSince.IsZero() {
+		p.noUnitsSince = now
 	}
 	p.wake(p.SetSlots(now, p.slots))
 }
 
-// wake tells those who wait for the items.
+// wake notifies the goroutines that wait for the items.
 func (p *pool) wake(items []*sagefair.Item) {
 	for _, it := range items {
 		if c := p.waiting[it]; c != nil {
@@ -103,27 +104,27 @@
 
 // Admit implements [sageentry.Admission].
 func (s *Service) Admit(ctx context.Context, r *sageentry.Request) (release func(), ref *sagewire.Refusal) {
-	weight, set, upstreams := s.shares(r)
+	weight, set, upstreams := s.resolveShare(r)
 	if len(upstreams) == 0 {
-		return func() {}, nil // placement says why nothing can serve it
+		return func() {}, nil // placement reports why nothing can serve it
 	}
 	var p *pool
 	var it *sagefair.Item
-	var turn chan struct{}
+	var decided chan struct{}
 	for {
-		if ref := s.units(ctx, set, upstreams); ref != nil {
+		if ref := s.awaitUnits(ctx, set, upstreams); ref != nil {
 			return nil, ref
 		}
-		var again bool
-		if p, it, turn, again = s.offer(r, weight, set, upstreams); !again {
+		var retry bool
+		if p, it, decided, retry = s.offer(r, weight, set, upstreams); !retry {
 			break
 		}
 	}
-	if turn != nil {
+	if decided != nil {
 		select {
-		case <-turn:
+		case <-decided:
 		case <-ctx.Done():
-			if ref := s.left(p, it); ref != nil {
+			if ref := s.withdraw(p, it); ref != nil {
 				return nil, ref
 			}
 		}
@@ -132,11 +133,11 @@
 		return nil, refusal(it)
 	}
 	var once sync.Once
-	return func() { once.Do(func() { s.done(p, it) }) }, nil
+	return func() { once.Do(func() { s.releaseSlot(p, it) }) }, nil
 }
 
-// shares returns the weight of the request's account, and the upstream set that it goes to.
-func (s *Service) shares(r *sageentry.Request) (weight float64, set string, upstreams []string) {
+// resolveShare returns the weight of the request's account and the upstream set to which it is routed.
+func (s *Service) resolveShare(r *sageentry.Request) (weight float64, set string, upstreams []string) {
 	st, weight := s.Config.State(), 1
 	if st == nil {
 		return weight, "", nil
@@ -156,17 +157,18 @@
 	return weight, set, upstreams
 }
 
-// offer offers the request; turn is not nil if it has to wait. It reports again when the set's units
-// ran out since they were waited for.
-func (s *Service) offer(r *sageentry.Request, weight float64, set string, upstreams []string) (p *pool, it *sagefair.Item, turn chan struct{}, again bool) {
+// offer submits the request to the scheduler of its upstream set. decided is not nil if the request has
+// to wait; it is closed when the request is started or refused. retry is true if the set has run out of
+// units since awaitUnits returned.
+func (s *Service) offer(r *sageentry.Request, weight float64, set string, upstreams []string) (p *pool, it *sagefair.Item, decided chan struct{}, retry bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	p = s.pool(now, set, upstreams)
-	if now.Sub(p.read) > refresh {
+	p = s.poolFor(now, set, upstreams)
+	if now.Sub(p.slotsReadAt) > slotRefreshInterval {
 		s.refresh(now, p)
 	}
-	if !p.decided(now) {
+	if !p.canDecide(now) {
 		return nil, nil, nil, true
 	}
 	it, others := p.Offer(now, sagefair.Request{Account: r.Account, Weight: weight, Priority: r.Priority, Deadline: r.Deadline})
@@ -174,45 +176,46 @@
 	if it.State != sagefair.Waiting {
 		return p, it, nil, false
 	}
-	turn = make(chan struct{})
-	p.waiting[it] = turn
-	return p, it, turn, false
+	decided = make(chan struct{})
+	p.waiting[it] = decided
+	return p, it, decided, false
 }
 
-// pool returns the scheduler of an upstream set; mu is held.
-func (s *Service) pool(now time.Time, set string, upstreams []string) *pool {
+// poolFor returns the scheduler of an upstream set. mu must be held.
+func (s *Service) poolFor(now time.Time, set string, upstreams []string) *pool {
 	if s.pools == nil {
 		s.pools = make(map[string]*pool)
 	}
 	p := s.pools[set]
 	if p == nil {
-		p = &pool{waiting: make(map[*sagefair.Item]chan struct{}), lacking: now}
+		p = &pool{waiting: make(map[*sagefair.Item]chan struct{}), noUnitsSince: now}
 		p.MaxQueue = s.MaxQueued
 		s.pools[set] = p
 	}
-	p.upstreams, p.used = upstreams, now
+	p.upstreams, p.lastUsed = upstreams, now
 	return p
 }
 
-// decided reports whether the pool can judge a request: it has units, or has lacked them for long.
-func (p *pool) decided(now time.Time) bool {
-	return p.slots > 0 || now.Sub(p.lacking) > noUnits
+// canDecide reports whether the pool can admit or refuse a request: it has units, or has had none for
+// noUnitsTimeout.
+func (p *pool) canDecide(now time.Time) bool {
+	return p.slots > 0 || now.Sub(p.noUnitsSince) > noUnitsTimeout
 }
 
-// units waits while a set has no units but may soon have some.
+// awaitUnits waits while a set has no units but may soon have some.
 //
-// It guards against an outage at each change: a node that has just started, a set that a ticket has
-// just brought, and every set whose homes have just died hold no unit for the seconds that a new home
-// must wait. Refusing at once would turn each of these into refusals of all requests.
-func (s *Service) units(ctx context.Context, set string, upstreams []string) *sagewire.Refusal {
+// Without it, each of these changes would refuse all requests of a set: a node has just started, a
+// ticket has just added the set, or the coordinators of its upstreams have just died. The node then
+// holds no units for the seconds that a new coordinator must wait before it grants any.
+func (s *Service) awaitUnits(ctx context.Context, set string, upstreams []string) *sagewire.Refusal {
 	for {
 		s.mu.Lock()
 		now := time.Now()
-		p := s.pool(now, set, upstreams)
+		p := s.poolFor(now, set, upstreams)
 		if p.slots == 0 {
 			s.refresh(now, p)
 		}
-		ready := p.decided(now)
+		ready := p.canDecide(now)
 		s.mu.Unlock()
 		if ready {
 			return nil
@@ -220,14 +223,14 @@
 		select {
 		case <-ctx.Done():
 			return sagewire.Refuse(sagewire.ReasonOverloaded, "no in-flight allotment yet", now.Add(time.Second))
-		case <-time.After(refresh):
+		case <-time.After(slotRefreshInterval):
 		}
 	}
 }
 
-// left takes a request out of the queue whose deadline passed or whose caller left; nil means that
-// it got its slot or its refusal at that moment.
-func (s *Service) left(p *pool, it *sagefair.Item) *sagewire.Refusal {
+// withdraw removes a request from the queue after its deadline has passed or its caller has left. It
+// returns nil if the request was started or refused in the meantime.
+func (s *Service) withdraw(p *pool, it *sagefair.Item) *sagewire.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if it.State != sagefair.Waiting {
@@ -239,15 +242,15 @@
 	return sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed in the queue", now.Add(time.Second))
 }
 
-func (s *Service) done(p *pool, it *sagefair.Item) {
+func (s *Service) releaseSlot(p *pool, it *sagefair.Item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	p.used = now
+	p.lastUsed = now
 	p.wake(p.Done(now, it))
 }
 
-// Export adds the number of waiting requests by class to a set of metrics.
+// Export adds the number of waiting requests of each class to a set of metrics.
 func (s *Service) Export(set *metrics.Set) {
 	for c := range sagewire.Priority(sagewire.NumPriorities) {
 		set.NewGauge(fmt.Sprintf("sagestand_queued{priority=%q}", c), func() float64 {
@@ -262,13 +265,13 @@
 	}
 }
 
-// details say to a person what the reasons of the scheduler mean.
-var details = map[sagewire.Reason]string{
+// reasonDetails explains the reasons of the scheduler to people.
+var reasonDetails = map[sagewire.Reason]string{
 	sagewire.ReasonAccountLimit: "the client account has as many requests waiting as its share allows",
 	sagewire.ReasonOverloaded:   "no in-flight allotment is free and the queue is full",
 	sagewire.ReasonDeadline:     "the request could not start before its deadline",
 }
 
 func refusal(it *sagefair.Item) *sagewire.Refusal {
-	return sagewire.Refuse(it.Reason, details[it.Reason], it.RetryAt)
+	return sagewire.Refuse(it.Reason, reasonDetails[it.Reason], it.RetryAt)
 }
--- a/internal/sageadmission/service_test.go
+++ b/internal/sageadmission/service_test.go
@@ -14,7 +14,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// fakeLoad gives out a number of slots and is at the same time the configuration.
+// fakeLoad provides a fixed number of slots and the configuration.
 type fakeLoad struct {
 	state *sageconfig.State
 	slots atomic.Int64
@@ -39,8 +39,8 @@
 	return &sageentry.Request{Account: account, Route: "assist", Kind: sageconfig.RouteChat, Priority: sagewire.Normal, Deadline: time.Now().Add(time.Minute)}
 }
 
-// Story: callers of a node that has just started are refused although it gets its first units
-// seconds later, and those that wait in the queue are never told that slots came.
+// A node that has just started gets its first units seconds later. Callers must not be refused in the
+// meantime, and queued requests must be started when units are added.
 func TestWaitsForUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newService(0)
@@ -62,10 +62,10 @@
 		require.Len(t, admitted, 1)
 		f.slots.Store(2)
 		time.Sleep(time.Second)
-		require.Len(t, admitted, 2, "the allotment has grown")
+		require.Len(t, admitted, 2, "a larger allotment starts another request")
 		(<-admitted)()
 		time.Sleep(time.Second)
-		require.Len(t, admitted, 2, "an ended request makes room for the next")
+		require.Len(t, admitted, 2, "a finished request frees its slot for the next")
 		cancel()
 	})
 }
@@ -83,7 +83,7 @@
 		release()
 		release()
 		_, ref = s.Admit(t.Context(), request("a"))
-		require.Nil(t, ref, "the slot is free, once")
+		require.Nil(t, ref, "the slot is free, although it was released twice")
 		late := request("a")
 		late.Deadline = time.Now()
 		_, ref = s.Admit(t.Context(), late)
--- a/internal/sageadmission/units_test.go
+++ b/internal/sageadmission/units_test.go
@@ -10,9 +10,9 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// A set has units; then the router that grants them dies, and until its successor may grant, there
-// are none. A caller was refused "overloaded" at once, though nothing was in flight; seen when a trace
-// was replayed while homes changed. It must wait for the successor, but not without end.
+// The router that grants the units of a set dies, and no units exist until its successor may grant.
+// Requests in that time were refused as overloaded although nothing was in flight. They must wait for
+// the successor, up to noUnitsTimeout.
 func TestTemporaryLossOfUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newService(1)
@@ -36,10 +36,10 @@
 		start = time.Now()
 		_, ref = s.Admit(t.Context(), request("a"))
 		require.Equal(t, sagewire.ReasonOverloaded, ref.Reason)
-		require.Less(t, time.Since(start), noUnits+time.Second, "given up before the caller's deadline")
+		require.Less(t, time.Since(start), noUnitsTimeout+time.Second, "refused before the caller's deadline")
 		start = time.Now()
 		_, ref = s.Admit(t.Context(), request("a"))
 		require.Equal(t, sagewire.ReasonOverloaded, ref.Reason)
-		require.Zero(t, time.Since(start), "from then on at once")
+		require.Zero(t, time.Since(start), "later requests are refused immediately")
 	})
 }
