--- a/pkg/sagefair/account.go
+++ b/pkg/sagefair/account.go
@@ -7,19 +7,19 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// account is the state of one client account with requests or a tag ahead of virtual time.
+// account is the state of a client account that has requests or a start tag ahead of virtual time.
 type account struct {
-	name    string
-	weight  float64
-	tag     float64 // start tag of its next request, in seconds of slot time by weight
-	queues  [sagewire.NumPriorities]queue
-	pos     [sagewire.NumPriorities]int // index in the class heaps, while its queue is not empty
-	waiting int
-	running int
-	idle    time.Time // when its last request ended
+	name      string
+	weight    float64
+	startTag  float64 // of its next request, in seconds of slot time divided by weight
+	queues    [sagewire.NumPriorities]queue
+	heapIndex [sagewire.NumPriorities]int // index in the heap of each class in which it has waiting requests
+	waiting   int
+	running   int
+	idleSince time.Time // when its last request ended
 }
 
-// queue is a first-in first-out queue of items; canceled ones stay until they come first.
+// queue is a first-in first-out queue of items. Canceled items are removed when they reach the front.
 type queue struct {
 	items []*Item
 	head  int
@@ -31,10 +31,10 @@
 	q.live++
 }
 
-// front returns the first waiting item, dropping canceled ones before it.
+// front returns the first waiting item and removes the canceled ones before it.
 func (q *queue) front() *Item {
 	for q.head < len(q.items) && q.items[q.head].State != Waiting {
-		q.drop()
+		q.popFront()
 	}
 	if q.head == len(q.items) {
 		return nil
@@ -42,8 +42,8 @@
 	return q.items[q.head]
 }
 
-// drop removes the first item and returns memory once half of the slice is used up.
-func (q *queue) drop() {
+// popFront removes the first item. It compacts the slice once half of it is unused.
+func (q *queue) popFront() {
 	q.items[q.head] = nil
 	q.head++
 	if q.head*2 >= len(q.items) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// class is the heap of the accounts that have requests of one priority waiting, by start tag.
+// class is a heap, ordered by start tag, of the accounts that have waiting requests of one priority.
 type class struct {
 	priority sagewire.Priority
 	accounts []*account
@@ -62,17 +62,17 @@
 func (c *class) Len() int { return len(c.accounts) }
 func (c *class) Less(i, j int) bool {
 	a, b := c.accounts[i], c.accounts[j]
-	return a.tag < b.tag || a.tag == b.tag && a.name < b.name
+	return a.startTag < b.startTag || a.startTag == b.startTag && a.name < b.name
 }
 func (c *class) Swap(i, j int) {
 	c.accounts[i], c.accounts[j] = c.accounts[j], c.accounts[i]
-	c.accounts[i].pos[c.priority], c.accounts[j].pos[c.priority] = i, j
+	c.accounts[i].heapIndex[c.priority], c.accounts[j].heapIndex[c.priority] = i, j
 }
 
 // Push implements [heap.Interface].
 func (c *class) Push(x any) {
 	a := x.(*account)
-	a.pos[c.priority] = len(c.accounts)
+	a.heapIndex[c.priority] = len(c.accounts)
 	c.accounts = append(c.accounts, a)
 }
 
@@ -92,11 +92,11 @@
 	return c.accounts[0]
 }
 
-// fix restores the order of every class after the account's tag has changed.
-func (s *Scheduler) fix(a *account) {
+// fixHeaps restores the heap order of every class after the account's start tag has changed.
+func (s *Scheduler) fixHeaps(a *account) {
 	for p := range s.classes {
 		if a.queues[p].live > 0 {
-			heap.Fix(&s.classes[p], a.pos[p])
+			heap.Fix(&s.classes[p], a.heapIndex[p])
 		}
 	}
 }
--- a/pkg/sagefair/item.go
+++ b/pkg/sagefair/item.go
@@ -6,19 +6,19 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Request is what the scheduler has to know of a request.
+// Request describes a request to the scheduler.
 type Request struct {
 	Account string
-	// Weight is the account's part relative to others; at most 0 counts as 1.
+	// Weight is the relative share of the account; 0 or less counts as 1.
 	Weight   float64
 	Priority sagewire.Priority
 	Deadline time.Time
 }
 
-// State is where an item stands.
+// State is the state of an item.
 type State int
 
-// The states. Running and Refused are final as far as the scheduler's answer goes.
+// The states. The scheduler has decided on an item once it is Running or Refused.
 const (
 	Waiting State = iota
 	Running
@@ -26,17 +26,17 @@
 	Ended
 )
 
-// Item is an offered request.
+// Item is a request that was offered to the scheduler.
 type Item struct {
 	Request Request
 	State   State
-	// Reason and RetryAt are set if Refused.
+	// Reason and RetryAt are set if State is Refused.
 	Reason  sagewire.Reason
 	RetryAt time.Time
 
-	account *account
-	started time.Time
-	charged time.Duration
+	account     *account
+	started     time.Time
+	chargedTime time.Duration
 }
 
 func refused(r Request, reason sagewire.Reason, at time.Time) *Item {
--- a/pkg/sagefair/pick.go
+++ b/pkg/sagefair/pick.go
@@ -6,12 +6,12 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// fill starts waiting items while slots are free. It returns them and those that were refused
-// because their deadline has passed.
-func (s *Scheduler) fill(now time.Time) []*Item {
+// startWaiting starts waiting items while slots are free. It returns them, and the items that it
+// refused because their deadline has passed.
+func (s *Scheduler) startWaiting(now time.Time) []*Item {
 	var out []*Item
 	for s.waiting > 0 && s.running < s.slots {
-		p, ok := s.next()
+		p, ok := s.nextClass()
 		if !ok {
 			break
 		}
@@ -24,73 +24,72 @@
 		}
 		s.dequeue(now, it, Running)
 		s.start(now, it)
-		s.count(p)
+		s.recordStart(p)
 		out = append(out, it)
 	}
-	s.sweep(now)
+	s.evictIdleAccounts(now)
 	return out
 }
 
-// next returns the class whose first account goes next.
-func (s *Scheduler) next() (sagewire.Priority, bool) {
+// nextClass returns the class of which a request is started next.
+func (s *Scheduler) nextClass() (sagewire.Priority, bool) {
 	urgent, normal, bulk := s.classes[sagewire.Urgent].first(), s.classes[sagewire.Normal].first(), s.classes[sagewire.Bulk].first()
 	switch {
-	case bulk != nil && s.passed[sagewire.Bulk] >= BulkEvery-1:
+	case bulk != nil && s.skipped[sagewire.Bulk] >= BulkEvery-1:
 		return sagewire.Bulk, true
-	case normal != nil && s.passed[sagewire.Normal] >= NormalEvery-1:
+	case normal != nil && s.skipped[sagewire.Normal] >= NormalEvery-1:
 		return sagewire.Normal, true
-	case urgent != nil && (normal == nil || urgent.tag <= normal.tag+s.slack()):
+	case urgent != nil && (normal == nil || urgent.startTag <= normal.startTag+s.slackSeconds()):
 		return sagewire.Urgent, true
 	case normal != nil:
 		return sagewire.Normal, true
-	case bulk != nil && s.free(sagewire.Bulk):
+	case bulk != nil && s.hasFreeSlot(sagewire.Bulk):
 		return sagewire.Bulk, true
 	}
 	return 0, false
 }
 
-// count notes a start of class p for the classes that were passed over.
-func (s *Scheduler) count(p sagewire.Priority) {
-	for c := range s.passed {
+// recordStart counts a start of class p for the waiting classes that were skipped.
+func (s *Scheduler) recordStart(p sagewire.Priority) {
+	for c := range s.skipped {
 		if s.byClass[c] > 0 && sagewire.Priority(c) != p {
-			s.passed[c]++
+			s.skipped[c]++
 		} else {
-			s.passed[c] = 0
+			s.skipped[c] = 0
 		}
 	}
 }
 
-// free reports whether a slot is free for a class. Bulk leaves every eighth slot to the others:
-// a long reconciliation would hold it for as long as it runs, and urgent requests can't wait
-// for that.
-func (s *Scheduler) free(p sagewire.Priority) bool {
+// hasFreeSlot reports whether a slot is free for a class. Bulk requests leave every eighth slot free: a
+// long reconciliation would hold it for as long as it runs, and urgent requests can't wait for that.
+func (s *Scheduler) hasFreeSlot(p sagewire.Priority) bool {
 	if p == sagewire.Bulk {
 		return s.running < s.slots-s.slots/8
 	}
 	return s.running < s.slots
 }
 
-func (s *Scheduler) slack() float64 {
+func (s *Scheduler) slackSeconds() float64 {
 	if s.UrgentSlack > 0 {
 		return s.UrgentSlack.Seconds()
 	}
 	return DefaultUrgentSlack.Seconds()
 }
 
-// learnWeight is the weight of one request in the moving mean of the service time.
-const learnWeight = 0.02
+// serviceTimeWeight is the weight of one request in the moving mean of the service time.
+const serviceTimeWeight = 0.02
 
-func (s *Scheduler) learn(d time.Duration) {
-	if s.service == 0 {
-		s.service = d
+func (s *Scheduler) recordServiceTime(d time.Duration) {
+	if s.meanServiceTime == 0 {
+		s.meanServiceTime = d
 		return
 	}
-	s.service += time.Duration(learnWeight * float64(d-s.service))
+	s.meanServiceTime += time.Duration(serviceTimeWeight * float64(d-s.meanServiceTime))
 }
 
 func (s *Scheduler) serviceTime() time.Duration {
-	if s.service > 0 {
-		return s.service
+	if s.meanServiceTime > 0 {
+		return s.meanServiceTime
 	}
 	return DefaultServiceTime
 }
--- a/pkg/sagefair/scheduler.go
+++ b/pkg/sagefair/scheduler.go
@@ -7,7 +7,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Starts after which a waiting class gets one although a higher one waits too.
+// A waiting class gets at least one of this many starts, even if higher classes wait too.
 const (
 	NormalEvery = 4
 	BulkEvery   = 16
@@ -17,35 +17,35 @@
 const (
 	DefaultMaxQueue    = 1024
 	DefaultUrgentSlack = 2 * time.Second
-	// DefaultServiceTime is the service time that is assumed before one was seen.
+	// DefaultServiceTime is the service time assumed before one was measured.
 	DefaultServiceTime = 200 * time.Millisecond
 )
 
 // Scheduler admits requests to a number of slots.
 type Scheduler struct {
-	// MaxQueue is the number of waiting requests at which accounts may queue only one each; at
-	// twice the number nobody may. Zero means [DefaultMaxQueue].
+	// MaxQueue is the number of waiting requests from which on an account may queue only one. From
+	// twice that number on, no account may queue any. Zero means [DefaultMaxQueue].
 	MaxQueue int
-	// Slack is the slot time by unit of weight that an account may be ahead of others and still
-	// have its urgent requests go first. Zero means [DefaultUrgentSlack].
+	// UrgentSlack is how far an account may be ahead of others, in slot time divided by weight, and
+	// still have its urgent requests served first. Zero means [DefaultUrgentSlack].
 	UrgentSlack time.Duration
 
-	slots    int
-	running  int
-	waiting  int
-	weights  float64 // sum over accounts with waiting requests
-	virtual  float64
-	service  time.Duration // moving mean of the time that a request holds its slot
-	accounts map[string]*account
-	active   int // accounts with requests
-	unswept  int // calls since the last sweep
-	byClass  [sagewire.NumPriorities]int
-	classes  [sagewire.NumPriorities]class
-	passed   [sagewire.NumPriorities]int // starts of other classes while this one waited
+	slots           int
+	running         int
+	waiting         int
+	waitingWeight   float64 // sum of the weights of accounts with waiting requests
+	virtualTime     float64
+	meanServiceTime time.Duration // moving mean of the time for which a request holds its slot
+	accounts        map[string]*account
+	activeAccounts  int // accounts with waiting or running requests
+	callsSinceSweep int // calls of evictIdleAccounts since its last scan
+	byClass         [sagewire.NumPriorities]int
+	classes         [sagewire.NumPriorities]class
+	skipped         [sagewire.NumPriorities]int // starts of other classes while this one waited
 }
 
-// Offer takes a new request. The returned item runs, waits or is refused; others are waiting items
-// that start now or have missed their deadline.
+// Offer submits a new request. The returned item is running, waiting or refused. others are waiting
+// items that were started, or refused because their deadline has passed.
 func (s *Scheduler) Offer(now time.Time, r Request) (it *Item, others []*Item) {
 	if !now.Before(r.Deadline) {
 		return refused(r, sagewire.ReasonDeadline, time.Time{}), nil
@@ -56,17 +56,17 @@
 	if r.Weight <= 0 {
 		r.Weight = 1
 	}
-	if s.waiting == 0 && s.free(r.Priority) {
+	if s.waiting == 0 && s.hasFreeSlot(r.Priority) {
 		it := &Item{Request: r, account: s.account(r)}
 		s.start(now, it)
 		return it, nil
 	}
-	if it := s.judge(now, r); it != nil {
+	if it := s.earlyRefusal(now, r); it != nil {
 		return it, nil
 	}
 	it = &Item{Request: r, account: s.account(r)}
 	s.enqueue(it)
-	for _, o := range s.fill(now) {
+	for _, o := range s.startWaiting(now) {
 		if o != it {
 			others = append(others, o)
 		}
@@ -74,8 +74,8 @@
 	return it, others
 }
 
-// Done reports the end of a running item and returns the items that this lets start or that have
-// missed their deadline.
+// Done reports the end of a running item. It returns the waiting items that were started, or refused
+// because their deadline has passed.
 func (s *Scheduler) Done(now time.Time, it *Item) []*Item {
 	if it.State != Running {
 		return nil
@@ -83,31 +83,31 @@
 	it.State = Ended
 	s.running--
 	d := now.Sub(it.started)
-	s.learn(d)
+	s.recordServiceTime(d)
 	a := it.account
 	a.running--
-	a.tag += (d - it.charged).Seconds() / a.weight
-	s.fix(a)
+	a.startTag += (d - it.chargedTime).Seconds() / a.weight
+	s.fixHeaps(a)
 	if a.running == 0 && a.waiting == 0 {
-		s.active--
-		a.idle = now
+		s.activeAccounts--
+		a.idleSince = now
 	}
-	return s.fill(now)
+	return s.startWaiting(now)
 }
 
 // Cancel withdraws a waiting item whose caller has left.
 func (s *Scheduler) Cancel(now time.Time, it *Item) {
 	if it.State == Waiting {
 		s.dequeue(now, it, Ended)
-		s.sweep(now)
+		s.evictIdleAccounts(now)
 	}
 }
 
-// SetSlots changes the number of slots and returns the items that this lets start or that have
-// missed their deadline. Running items are not stopped.
+// SetSlots changes the number of slots. It returns the waiting items that were started, or refused
+// because their deadline has passed. Running items are not stopped.
 func (s *Scheduler) SetSlots(now time.Time, n int) []*Item {
 	s.slots = n
-	return s.fill(now)
+	return s.startWaiting(now)
 }
 
 // Running returns the number of running items.
@@ -116,10 +116,10 @@
 // Queued returns the number of waiting items of a class.
 func (s *Scheduler) Queued(p sagewire.Priority) int { return s.byClass[p] }
 
-// Accounts returns the number of accounts that hold state.
+// Accounts returns the number of accounts for which state is kept.
 func (s *Scheduler) Accounts() int { return len(s.accounts) }
 
-// account returns the state of the request's account; a new one starts at virtual time.
+// account returns the state of the request's account. A new account starts at virtual time.
 func (s *Scheduler) account(r Request) *account {
 	a := s.accounts[r.Account]
 	if a == nil {
@@ -129,15 +129,15 @@
 				s.classes[p].priority = sagewire.Priority(p)
 			}
 		}
-		a = &account{name: r.Account, tag: s.virtual}
+		a = &account{name: r.Account, startTag: s.virtualTime}
 		s.accounts[r.Account] = a
 	}
 	if a.running == 0 && a.waiting == 0 {
-		s.active++
-		a.tag = max(a.tag, s.virtual)
+		s.activeAccounts++
+		a.startTag = max(a.startTag, s.virtualTime)
 	}
 	if a.waiting > 0 {
-		s.weights += r.Weight - a.weight
+		s.waitingWeight += r.Weight - a.weight
 	}
 	a.weight = r.Weight
 	return a
@@ -145,18 +145,18 @@
 
 func (s *Scheduler) start(now time.Time, it *Item) {
 	a := it.account
-	s.virtual = max(s.virtual, a.tag)
-	it.State, it.started, it.charged = Running, now, s.serviceTime()
-	a.tag += it.charged.Seconds() / a.weight
+	s.virtualTime = max(s.virtualTime, a.startTag)
+	it.State, it.started, it.chargedTime = Running, now, s.serviceTime()
+	a.startTag += it.chargedTime.Seconds() / a.weight
 	a.running++
 	s.running++
-	s.fix(a)
+	s.fixHeaps(a)
 }
 
 func (s *Scheduler) enqueue(it *Item) {
 	a, p := it.account, it.Request.Priority
 	if a.waiting == 0 {
-		s.weights += a.weight
+		s.waitingWeight += a.weight
 	}
 	a.queues[p].push(it)
 	a.waiting++
@@ -167,7 +167,8 @@
 	}
 }
 
-// dequeue takes a waiting item out; it stays in the slice of its queue until it comes first.
+// dequeue removes a waiting item from the counters. It stays in the slice of its queue until it reaches
+// the front.
 func (s *Scheduler) dequeue(now time.Time, it *Item, to State) {
 	a, p := it.account, it.Request.Priority
 	it.State = to
@@ -178,38 +179,38 @@
 	s.waiting--
 	s.byClass[p]--
 	if q.live == 0 {
-		heap.Remove(&s.classes[p], a.pos[p])
+		heap.Remove(&s.classes[p], a.heapIndex[p])
 	}
 	if s.waiting == 0 {
-		s.weights = 0 // no error of rounding builds up
+		s.waitingWeight = 0 // so that rounding errors don't accumulate
 	} else if a.waiting == 0 {
-		s.weights -= a.weight
+		s.waitingWeight -= a.weight
 	}
 	if a.waiting == 0 {
 		if a.running == 0 && to != Running {
-			s.active--
-			a.idle = now
+			s.activeAccounts--
+			a.idleSince = now
 		}
 	}
 }
 
-// sweep forgets idle accounts that virtual time has passed, or that have sent nothing for as long
-// as their lead is in slot time: virtual time stands while no account is backlogged. It looks at
-// all accounts once in as many calls as there are accounts.
-func (s *Scheduler) sweep(now time.Time) {
+// evictIdleAccounts removes idle accounts whose start tag virtual time has passed, or that have been
+// idle for as long as the slot time they are ahead, since virtual time doesn't advance while no account
+// is backlogged. It scans all accounts once in as many calls as there are accounts.
+func (s *Scheduler) evictIdleAccounts(now time.Time) {
 	if s.running == 0 && s.waiting == 0 {
-		s.accounts, s.virtual = nil, 0
+		s.accounts, s.virtualTime = nil, 0
 		return
 	}
-	if s.unswept++; s.unswept < len(s.accounts) || len(s.accounts) < 2*s.active+64 {
+	if s.callsSinceSweep++; s.callsSinceSweep < len(s.accounts) || len(s.accounts) < 2*s.activeAccounts+64 {
 		return
 	}
-	s.unswept = 0
+	s.callsSinceSweep = 0
 	for n, a := range s.accounts {
 		if a.running > 0 || a.waiting > 0 {
 			continue
 		}
-		if (a.tag-s.virtual)*a.weight <= now.Sub(a.idle).Seconds() {
+		if (a.startTag-s.virtualTime)*a.weight <= now.Sub(a.idleSince).Seconds() {
 			delete(s.accounts, n)
 		}
 	}
--- a/pkg/sagefair/scheduler_test.go
+++ b/pkg/sagefair/scheduler_test.go
@@ -32,29 +32,29 @@
 	return Request{Account: account, Weight: 1, Priority: p, Deadline: start.Add(time.Hour)}
 }
 
-// bench drives a scheduler whose requests take 100 ms each, and counts starts.
-type bench struct {
-	s       Scheduler
-	now     time.Time
-	running []*Item
-	starts  map[string]int
-	order   []sagewire.Priority
-	took    time.Duration
+// driver runs a scheduler whose requests take 100 ms each by default, and counts their starts.
+type driver struct {
+	s           Scheduler
+	now         time.Time
+	running     []*Item
+	starts      map[string]int
+	order       []sagewire.Priority
+	serviceTime time.Duration
 }
 
-func newBench(slots int) *bench {
-	b := &bench{now: start, took: 100 * time.Millisecond, starts: map[string]int{}}
+func newDriver(slots int) *driver {
+	b := &driver{now: start, serviceTime: 100 * time.Millisecond, starts: map[string]int{}}
 	b.s.SetSlots(start, slots)
 	return b
 }
 
-func (b *bench) offer(r Request) *Item {
+func (b *driver) offer(r Request) *Item {
 	it, others := b.s.Offer(b.now, r)
-	b.take(append(others, it)...)
+	b.recordStarts(append(others, it)...)
 	return it
 }
 
-func (b *bench) take(items ...*Item) {
+func (b *driver) recordStarts(items ...*Item) {
 	for _, it := range items {
 		if it.State == Running {
 			b.running = append(b.running, it)
@@ -64,17 +64,17 @@
 	}
 }
 
-// end ends the oldest running request.
-func (b *bench) end() {
-	b.now = b.now.Add(b.took)
+// endOldest ends the request that has been running longest.
+func (b *driver) endOldest() {
+	b.now = b.now.Add(b.serviceTime)
 	it := b.running[0]
 	b.running = b.running[1:]
-	b.take(b.s.Done(b.now, it)...)
+	b.recordStarts(b.s.Done(b.now, it)...)
 }
 
 func TestInvariantsUnderRandomRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.IntRange(1, 9).Draw(t, "slots"))
+		b := newDriver(rapid.IntRange(1, 9).Draw(t, "slots"))
 		b.s.MaxQueue = 20
 		var waiting []*Item
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -86,7 +86,7 @@
 				}
 			case 2:
 				if len(b.running) > 0 {
-					b.end()
+					b.endOldest()
 				}
 			default:
 				if len(waiting) > 0 {
@@ -103,20 +103,20 @@
 			require.LessOrEqual(t, b.s.Running(), b.s.slots)
 			require.Equal(t, n, b.s.waiting)
 			require.LessOrEqual(t, n, 2*20)
-			require.True(t, n == 0 || b.s.Running() > 0, "work waits while every slot is free")
+			require.True(t, n == 0 || b.s.Running() > 0, "requests wait although every slot is free")
 		}
 		for len(b.running) > 0 {
-			b.end()
+			b.endOldest()
 		}
-		require.Zero(t, b.s.waiting, "everything that waited got its turn")
+		require.Zero(t, b.s.waiting, "every waiting request was started or refused")
 		require.Zero(t, b.s.Accounts(), "an idle scheduler holds no state")
 	})
 }
 
-// Story: one account sends a hundred requests at once, marked urgent, and others' normal requests
-// wait behind all of them. The surge may get ahead by the slack, then shares are equal.
+// One account sends hundreds of requests at once, marked urgent. The normal requests of others must not
+// wait behind all of them: the surge may get ahead by the slack, then the shares are equal.
 func TestSurgingAccountGetsItsShare(t *testing.T) {
-	b := newBench(4)
+	b := newDriver(4)
 	b.s.UrgentSlack = second
 	for range 400 {
 		b.offer(request("surge", sagewire.Urgent))
@@ -124,13 +124,13 @@
 	}
 	b.starts = map[string]int{}
 	for range 200 {
-		b.end()
+		b.endOldest()
 	}
 	require.InDelta(t, 100, b.starts["calm"], 12, "half of the starts, less the slack")
 }
 
 func TestWeightsDivideTheSlots(t *testing.T) {
-	b := newBench(4)
+	b := newDriver(4)
 	b.s.MaxQueue = 4000
 	for range 400 {
 		r := request("heavy", sagewire.Normal)
@@ -140,15 +140,15 @@
 	}
 	b.starts = map[string]int{}
 	for range 200 {
-		b.end()
+		b.endOldest()
 	}
 	require.InDelta(t, 150, b.starts["heavy"], 4)
 }
 
-// Story: an account whose requests take long gets as many of them as others get short ones, and so
-// most of the slots. Shares are of slot time, known only at the end.
+// If shares counted requests, an account with long requests would get most of the slots. Shares are of
+// slot time, which is known only when a request ends.
 func TestSharesCountSlotTime(t *testing.T) {
-	b := newBench(1)
+	b := newDriver(1)
 	b.s.MaxQueue = 4000
 	for range 400 {
 		b.offer(request("long", sagewire.Normal))
@@ -156,19 +156,19 @@
 	}
 	b.starts = map[string]int{}
 	for range 220 {
-		b.took = 10 * time.Millisecond
+		b.serviceTime = 10 * time.Millisecond
 		if b.running[0].Request.Account == "long" {
-			b.took = 100 * time.Millisecond
+			b.serviceTime = 100 * time.Millisecond
 		}
-		b.end()
+		b.endOldest()
 	}
 	require.InDelta(t, 20, b.starts["long"], 6)
 }
 
-// Story: one account sends thousands of requests within a moment. They fill the queue, and the
-// first request of every other account is refused.
+// One account sends 1,000 requests at once. They must not fill the queue, or the first request of every
+// other account is refused.
 func TestSurgeDoesNotFillQueue(t *testing.T) {
-	b := newBench(4)
+	b := newDriver(4)
 	b.s.MaxQueue = 40
 	for range 1000 {
 		b.offer(request("surge", sagewire.Normal))
@@ -178,10 +178,10 @@
 	}
 }
 
-// Story: a stream of urgent questions never lets an audit start, and it is reported as hung. While
-// lower classes wait, every fourth start is normal and every sixteenth bulk, and no later.
+// A steady stream of urgent requests must not keep bulk requests from starting. While lower classes
+// wait, at least every fourth start must be normal and every sixteenth bulk.
 func TestNoClassStarves(t *testing.T) {
-	b := newBench(2)
+	b := newDriver(2)
 	b.s.UrgentSlack = time.Hour
 	for range 100 {
 		for p := range sagewire.NumPriorities {
@@ -190,7 +190,7 @@
 	}
 	b.order = nil
 	for range 160 {
-		b.end()
+		b.endOldest()
 	}
 	gap := [sagewire.NumPriorities]int{}
 	for _, p := range b.order {
@@ -198,14 +198,14 @@
 			gap[c]++
 		}
 		gap[p] = 0
-		require.Less(t, gap[sagewire.Normal], NormalEvery+1, "one more when bulk has its turn")
+		require.Less(t, gap[sagewire.Normal], NormalEvery+1, "one more when a bulk request is due")
 		require.Less(t, gap[sagewire.Bulk], BulkEvery)
 	}
 }
 
-// Story: audits fill every slot, and a fitter on a doorstep waits for one to end.
+// Bulk requests must not fill every slot, or an urgent request waits until one of them ends.
 func TestBulkLeavesSlotsToUrgent(t *testing.T) {
-	b := newBench(8)
+	b := newDriver(8)
 	for range 20 {
 		b.offer(request("audit", sagewire.Bulk))
 	}
@@ -213,54 +213,54 @@
 	require.Equal(t, Running, b.offer(request("fitter", sagewire.Urgent)).State)
 }
 
-// Story: a caller is told to come back at an instant, does so, and is refused again. At the instant
-// given, while its account has sent nothing more, the request is taken.
+// A caller that retries at the RetryAt of its refusal must not be refused again, if its account has
+// sent nothing in between.
 func TestRetryAtIsAccurate(t *testing.T) {
-	b := newBench(2)
+	b := newDriver(2)
 	b.s.MaxQueue = 16
 	var ref *Item
 	for ref == nil || ref.State != Refused {
 		ref = b.offer(request("a", sagewire.Normal))
 	}
 	require.Equal(t, sagewire.ReasonAccountLimit, ref.Reason)
-	require.Equal(t, Waiting, b.offer(request("b", sagewire.Normal)).State, "there is room for others")
+	require.Equal(t, Waiting, b.offer(request("b", sagewire.Normal)).State, "other accounts may still queue")
 	for b.now.Before(ref.RetryAt) {
-		b.end()
+		b.endOldest()
 	}
 	require.NotEqual(t, Refused, b.offer(request("a", sagewire.Normal)).State)
 }
 
 func TestRefusedOnOffer(t *testing.T) {
-	b := newBench(1)
+	b := newDriver(1)
 	for range 10 {
 		b.offer(request("a", sagewire.Normal))
 	}
 	r := request("b", sagewire.Normal)
-	r.Deadline = b.now.Add(b.took)
+	r.Deadline = b.now.Add(b.serviceTime)
 	it := b.offer(r)
-	require.Equal(t, sagewire.ReasonDeadline, it.Reason, "it could not start in time")
+	require.Equal(t, sagewire.ReasonDeadline, it.Reason, "it can't start in time")
 	require.True(t, it.RetryAt.After(b.now))
 	r.Deadline = b.now
-	require.True(t, b.offer(r).RetryAt.IsZero(), "asking again with a deadline that has passed never helps")
+	require.True(t, b.offer(r).RetryAt.IsZero(), "a request whose deadline has passed can't succeed later")
 	b.s.SetSlots(b.now, 0)
 	require.Equal(t, sagewire.ReasonOverloaded, b.offer(request("c", sagewire.Urgent)).Reason)
 }
 
 func TestExpiredItemsAreRefused(t *testing.T) {
-	b := newBench(1)
+	b := newDriver(1)
 	b.offer(request("a", sagewire.Normal))
 	r := request("a", sagewire.Normal)
 	r.Deadline = b.now.Add(second)
 	it := b.offer(r)
 	require.Equal(t, Waiting, it.State)
 	b.now = b.now.Add(second)
-	b.end()
+	b.endOldest()
 	require.Equal(t, Refused, it.State)
 	require.Equal(t, sagewire.ReasonDeadline, it.Reason)
 }
 
 func BenchmarkRefuse(b *testing.B) {
-	d := newBench(8)
+	d := newDriver(8)
 	for i := range 4000 {
 		d.offer(request(fmt.Sprint("a", i%1000), sagewire.Normal))
 	}
@@ -274,15 +274,15 @@
 }
 
 func BenchmarkOfferDone(b *testing.B) {
-	d := newBench(8)
-	d.took = time.Microsecond
+	d := newDriver(8)
+	d.serviceTime = time.Microsecond
 	d.s.MaxQueue = 100000
 	for i := range 32000 {
 		d.offer(request(fmt.Sprint("a", i), sagewire.Normal))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		d.end()
+		d.endOldest()
 		d.offer(request(fmt.Sprint("a", i%32000), sagewire.Normal))
 		d.order = d.order[:0]
 	}
@@ -294,7 +294,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		d := newBench(8)
+		d := newDriver(8)
 		d.s.MaxQueue = 100000
 		for i := range 32000 {
 			d.offer(request(fmt.Sprint("account-", i), sagewire.Normal))
@@ -306,19 +306,19 @@
 	}
 }
 
-// Story: 32,000 accounts call once each in a burst; their state must go when they are served.
+// 32,000 accounts send one request each in a burst. Their state must be removed once they are served.
 func TestIdleAccountsAreEvicted(t *testing.T) {
-	b := newBench(64)
-	b.took = time.Millisecond
+	b := newDriver(64)
+	b.serviceTime = time.Millisecond
 	peak := 0
 	for i := range 32000 {
 		b.offer(request(fmt.Sprint("a", i), sagewire.Normal))
 		if i >= 64 {
-			b.end()
+			b.endOldest()
 		}
 		peak = max(peak, b.s.Accounts())
 	}
-	require.Less(t, peak, 1000, "accounts with state at once")
+	require.Less(t, peak, 1000, "accounts with state at the same time")
 }
 
 func ExampleScheduler() {
