--- a/pkg/sageburn/burn_test.go
+++ b/pkg/sageburn/burn_test.go
@@ -49,7 +49,7 @@
 			record(b, "trentvale", epoch, 1, tt.outcome, tt.reason, tt.millis)
 			var got Count
 			for _, s := range b.Snapshot(epoch).Series {
-				got = s.over(Windows[0], epoch)
+				got = s.countWithin(Windows[0], epoch)
 			}
 			assert.Equal(t, tt.want, got)
 		})
@@ -58,17 +58,17 @@
 
 func TestAlerts(t *testing.T) {
 	tests := []struct {
-		name string
-		play func(b *Tracker)
-		want Alert
+		name  string
+		setup func(b *Tracker)
+		want  Alert
 	}{
-		{"quiet", func(b *Tracker) { record(b, "a", epoch, 100, sagewire.Complete, "", 5) }, AlertNone},
+		{"no burn", func(b *Tracker) { record(b, "a", epoch, 100, sagewire.Complete, "", 5) }, AlertNone},
 		{"fast burn", func(b *Tracker) {
 			record(b, "a", epoch, 80, sagewire.Complete, "", 5)
 			record(b, "a", epoch, 20, sagewire.Unknown, "", 5)
 		}, AlertPage},
-		// An outage that ended an hour ago must not wake anybody: the short windows are clean.
-		{"over an hour ago", func(b *Tracker) {
+		// An outage that ended an hour ago must not page: the short windows have no bad requests.
+		{"outage ended an hour ago", func(b *Tracker) {
 			record(b, "a", epoch.Add(-61*time.Minute), 20, sagewire.Unknown, "", 5)
 			record(b, "a", epoch, 80, sagewire.Complete, "", 5)
 		}, AlertTicket},
@@ -83,7 +83,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := &Tracker{Objectives: objectives}
-			tt.play(b)
+			tt.setup(b)
 			lines := Report(b.Snapshot(epoch), objectives, epoch)
 			require.Len(t, lines, 1)
 			assert.Equal(t, tt.want, lines[0].Alert)
@@ -106,8 +106,8 @@
 	assert.InDelta(t, 500, lines[0].P95Millis, 50)
 }
 
-// A node of another version sends a histogram of another shape. Adding it up would take any amount
-// of memory or mix up its counts, so the whole snapshot is refused and its node named as missing.
+// A node of another version sends a histogram with other parameters. Adding it could take any amount of
+// memory or falsify the counts, so the whole snapshot must be rejected.
 func TestMismatchedHistogramIsRejected(t *testing.T) {
 	b := &Tracker{Objectives: objectives}
 	record(b, "a", epoch, 1, sagewire.Complete, "", 300)
@@ -135,7 +135,7 @@
 	s := b.Snapshot(epoch).Series
 	assert.Len(t, s, MaxSeries+1)
 	assert.Equal(t, OtherAccounts, s[0].Account)
-	assert.Equal(t, Count{Total: 10}, s[0].over(Windows[0], epoch))
+	assert.Equal(t, Count{Total: 10}, s[0].countWithin(Windows[0], epoch))
 }
 
 func TestObjectiveCheck(t *testing.T) {
@@ -146,11 +146,11 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	book := &Tracker{Objectives: objectives}
+	tracker := &Tracker{Objectives: objectives}
 	r := Request{Account: "haller", Priority: sagewire.Urgent, Outcome: sagewire.Complete, ArrivedAt: epoch, FirstByteAt: epoch.Add(time.Millisecond), EndedAt: epoch.Add(time.Millisecond)}
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Record(r)
+		tracker.Record(r)
 	}
 }
 
--- a/pkg/sageburn/doc.go
+++ b/pkg/sageburn/doc.go
@@ -1,17 +1,19 @@
-// Package sageburn measures service levels: for each client account and priority it counts good and
-// bad requests over several windows, and says how fast the error budget burns.
+// Package sageburn measures service levels. For each client account and priority it counts good and bad
+// requests over several windows, and computes how fast the error budget is used up (the burn rate).
 //
-// A request is good if it ended complete (or truthfully already run) and its first byte came within
-// the objective's latency. Refusals and unknown outcomes are bad, except those that the caller alone
-// caused (see [Fault]). The burn rate of a window is the bad part of its requests divided by the part
-// that the objective allows; at 1 the budget is spent exactly over the objective's period.
+// A request is good if it ended complete (or correctly as already run) and its first byte arrived
+// within the latency of the objective. Refusals and unknown outcomes are bad, except those that the
+// caller alone caused (see [Fault]). The burn rate of a window is the fraction of bad requests divided
+// by the fraction that the objective allows. At a rate of 1 the budget lasts exactly for the period of
+// the objective.
 //
-// Alerts look at pairs of windows, a long one that shows that it matters and a short one that shows
-// that it still goes on. Reference: Beyer, Murphy, Rensin, Kawahara, Thorne (eds.), "The Site
+// An alert requires a high rate in two windows: the long one shows that the burn is significant, the
+// short one that it continues. Reference: Beyer, Murphy, Rensin, Kawahara, Thorne (eds.), "The Site
 // Reliability Workbook", O'Reilly 2018, chapter 5 (multiwindow, multi-burn-rate alerts).
 //
-// Counts are kept in slots of wall-clock time, so that the snapshots of many nodes add up. They are
-// lost with their node: VMs keep nothing, and a window reaches back no further than the nodes do.
+// Counts are kept in slots of wall-clock time, so that the snapshots of several nodes can be added.
+// They are lost with their node, since VMs have no persistent storage: a window covers no more time
+// than the nodes have been running.
 //
 // # Usage
 //
--- a/pkg/sageburn/latency.go
+++ b/pkg/sageburn/latency.go
@@ -8,10 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidLatency reports a histogram of another shape than this package's.
+// ErrInvalidLatency reports a histogram with other parameters than those of this package.
 var ErrInvalidLatency = errors.New("malformed latency histogram")
 
-// Shape of the latency histograms: milliseconds up to a minute, to a tenth of the value.
+// Parameters of the latency histograms: milliseconds up to one minute, accurate to a tenth of the
+// value.
 const (
 	lowestMillis  = 1
 	highestMillis = 60_000
@@ -22,17 +23,17 @@
 	return hdrhistogram.New(lowestMillis, highestMillis, latencyDigits)
 }
 
-// latencyCounts is the number of counters of a histogram of this shape.
+// latencyCounts is the number of counters of such a histogram.
 var latencyCounts = len(newLatency().Export().Counts)
 
-// recordLatency counts one latency; those beyond the shape count at its ends.
+// recordLatency records a latency, limited to the range of the histogram.
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	ms := min(max(int64(d/time.Millisecond), lowestMillis), highestMillis)
-	_ = h.RecordValue(ms) // it fails only outside the shape
+	_ = h.RecordValue(ms) // fails only for values out of range
 }
 
-// checkLatency reports a snapshot of another shape: importing one from a faulty peer could take any
-// amount of memory.
+// checkLatency rejects a snapshot with other parameters. Importing one from a faulty peer could
+// allocate any amount of memory.
 func checkLatency(s *hdrhistogram.Snapshot) error {
 	if s == nil {
 		return nil
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// addLatency returns the sum of two snapshots of this shape; nil counts as empty.
+// addLatency returns the sum of two valid snapshots; nil counts as empty.
 func addLatency(a, b *hdrhistogram.Snapshot) *hdrhistogram.Snapshot {
 	if a == nil || b == nil {
 		if a == nil {
--- a/pkg/sageburn/objective.go
+++ b/pkg/sageburn/objective.go
@@ -12,20 +12,21 @@
 // ErrInvalidObjective reports an objective that can't be measured.
 var ErrInvalidObjective = errors.New("malformed objective")
 
-// AnyAccount as the account of an objective stands for each account without one of its own.
+// AnyAccount is the account of an objective for all accounts that have none of their own.
 const AnyAccount = "*"
 
-// Objective is a service level of an account and priority.
+// Objective is the service level of an account and priority.
 type Objective struct {
 	Account  string            `json:"account"`
 	Priority sagewire.Priority `json:"priority"`
-	// LatencyMillis is the latest first byte of a good answer, counted from the request's arrival.
+	// LatencyMillis is the maximum time from the arrival of a request to the first byte of a good
+	// response.
 	LatencyMillis int `json:"latency_millis"`
-	// Target is the part of requests that must be good, above 0 and below 1.
+	// Target is the fraction of requests that must be good, above 0 and below 1.
 	Target float64 `json:"target"`
 }
 
-// Check reports a missing account or a value out of range, wrapped around [ErrInvalidObjective].
+// Check reports a missing account or a value out of range. Its error wraps [ErrInvalidObjective].
 func (o *Objective) Check() error {
 	if o.Account == "" {
 		return fmt.Errorf("objective without account: %w", ErrInvalidObjective)
@@ -36,9 +37,10 @@
 	return nil
 }
 
-// find returns the objective of an account and priority.
-func find(objectives []Objective, account string, p sagewire.Priority) (Objective, bool) {
-	var any Objective
+// findObjective returns the objective of an account and priority, or that of [AnyAccount] if it has
+// none of its own.
+func findObjective(objectives []Objective, account string, p sagewire.Priority) (Objective, bool) {
+	var fallback Objective
 	ok := false
 	for _, o := range objectives {
 		if o.Priority != p {
@@ -48,13 +50,13 @@
 			return o, true
 		}
 		if o.Account == AnyAccount {
-			any, ok = o, true
+			fallback, ok = o, true
 		}
 	}
-	return any, ok
+	return fallback, ok
 }
 
-// Request is the end of one request as far as service levels look at it.
+// Request describes a finished request.
 type Request struct {
 	Account     string
 	Priority    sagewire.Priority
@@ -65,20 +67,20 @@
 	EndedAt     time.Time
 }
 
-// Fault says who caused an end that is not a whole answer.
+// Fault identifies who caused a request to end without a complete response.
 type Fault int
 
 // The faults.
 const (
-	// FaultNone: the request ended with its whole answer.
+	// FaultNone: the request ended with its complete response.
 	FaultNone Fault = iota
-	// FaultCaller: the request couldn't be served as it was; it counts neither as good nor as bad.
+	// FaultCaller: the request as sent could not be served; it counts neither as good nor as bad.
 	FaultCaller
-	// FaultService: it counts as bad.
+	// FaultService: the system failed to serve the request; it counts as bad.
 	FaultService
 )
 
-// FaultOf returns who caused the end of a request.
+// FaultOf returns who caused a request to end with the given outcome and reason.
 func FaultOf(o sagewire.Outcome, r sagewire.Reason) Fault {
 	switch o {
 	case sagewire.Complete, sagewire.AlreadyRun:
@@ -94,8 +96,8 @@
 	return FaultService
 }
 
-// good reports whether a request without fault met the objective's latency.
-func (o *Objective) good(r *Request) bool {
+// meetsLatency reports whether a request with a complete response met the latency of the objective.
+func (o *Objective) meetsLatency(r *Request) bool {
 	at := r.FirstByteAt
 	if at.IsZero() {
 		at = r.EndedAt
--- a/pkg/sageburn/report.go
+++ b/pkg/sageburn/report.go
@@ -8,7 +8,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Alert is what a burn rate asks of the people on call.
+// Alert is how the people on call are notified of a burn rate.
 type Alert string
 
 // The alerts.
@@ -18,14 +18,14 @@
 	AlertPage   Alert = "page"
 )
 
-// Window is a length of time over which burn is measured, at the resolution of a level.
+// Window is a period over which the burn rate is measured, at the resolution of a level.
 type Window struct {
 	Name   string
 	Length time.Duration
 	level  int
 }
 
-// Windows are the windows of a report, from short to long.
+// Windows are the windows of a report, shortest first.
 var Windows = [...]Window{
 	{Name: "5m", Length: 5 * time.Minute, level: 0},
 	{Name: "30m", Length: 30 * time.Minute, level: 0},
@@ -41,18 +41,19 @@
 	alert       Alert
 }
 
-// rules are those of the reference, for a period of 30 days; the first that holds counts.
+// rules are those of the reference in the package comment, for a period of 30 days. The first match
+// applies.
 var rules = [...]rule{
 	{short: 0, long: 2, rate: 14.4, alert: AlertPage},
 	{short: 1, long: 3, rate: 6, alert: AlertPage},
 	{short: 3, long: 4, rate: 1, alert: AlertTicket},
 }
 
-// Burn is the burn of one window.
+// Burn is the burn rate of one window.
 type Burn struct {
 	Window string `json:"window"`
 	Count
-	// Rate is the burn rate; 1 spends the budget exactly over the objective's period.
+	// Rate is the burn rate; at 1 the budget lasts exactly for the period of the objective.
 	Rate float64 `json:"rate"`
 }
 
@@ -63,24 +64,24 @@
 	Objective Objective         `json:"objective"`
 	Burns     []Burn            `json:"burns"`
 	Alert     Alert             `json:"alert,omitempty"`
-	// P50Millis and P95Millis are these quantiles of the time to the first byte since the nodes' start,
-	// to a tenth of their value; 0 if there was none.
+	// P50Millis and P95Millis are quantiles of the time to the first byte since the nodes started,
+	// accurate to a tenth of their value; 0 if no first byte was recorded.
 	P50Millis int `json:"p50_millis"`
 	P95Millis int `json:"p95_millis"`
 }
 
-// Report works out a line for each account and priority of a snapshot that has an objective.
+// Report returns a line for each account and priority in the snapshot that has an objective.
 func Report(s Snapshot, objectives []Objective, now time.Time) []Line {
 	var lines []Line
 	for i := range s.Series {
 		x := &s.Series[i]
-		o, ok := find(objectives, x.Account, x.Priority)
+		o, ok := findObjective(objectives, x.Account, x.Priority)
 		if !ok {
 			continue
 		}
 		l := Line{Account: x.Account, Priority: x.Priority, Objective: o, P50Millis: x.quantile(0.5), P95Millis: x.quantile(0.95)}
 		for _, w := range Windows {
-			c := x.over(w, now)
+			c := x.countWithin(w, now)
 			l.Burns = append(l.Burns, Burn{Window: w.Name, Count: c, Rate: rate(c, o.Target)})
 		}
 		l.Alert = alert(l.Burns)
@@ -89,8 +90,8 @@
 	return lines
 }
 
-// over adds up the slots of a window that ends at now.
-func (s *Series) over(w Window, now time.Time) Count {
+// countWithin returns the sum of the slots of a window that ends at now.
+func (s *Series) countWithin(w Window, now time.Time) Count {
 	l := levels[w.level]
 	newest := l.slot(now)
 	oldest := newest - int64(w.Length/l.step)
@@ -119,7 +120,7 @@
 	return AlertNone
 }
 
-// quantile returns quantile q of the time to the first byte, in milliseconds.
+// quantile returns the q-quantile of the time to the first byte, in milliseconds.
 func (s *Series) quantile(q float64) int {
 	if s.Latency == nil {
 		return 0
--- a/pkg/sageburn/slot.go
+++ b/pkg/sageburn/slot.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Count is the number of requests of a slot of time, and how many of them were bad.
+// Count is the number of requests in a slot of time, and how many of them were bad.
 type Count struct {
 	Total uint32 `json:"total"`
 	Bad   uint32 `json:"bad"`
@@ -19,20 +19,21 @@
 	slots int
 }
 
-// levels reach back an hour by minutes, six hours by ten minutes and three days by hours.
+// levels cover an hour in minutes, six hours in steps of ten minutes and three days in hours.
 var levels = [...]level{{time.Minute, 60}, {10 * time.Minute, 36}, {time.Hour, 72}}
 
-// slot returns the number of the slot of wall-clock time that holds now.
+// slot returns the number of the slot of wall-clock time that contains now.
 func (l level) slot(now time.Time) int64 { return now.UnixNano() / int64(l.step) }
 
-// ring holds the newest slots of one level.
+// ring holds the most recent slots of one level.
 type ring struct {
 	newest int64
 	counts []Count
 }
 
-// at returns the count of slot n, making room for it. A slot that is too old gives nil.
-func (r *ring) at(l level, n int64) *Count {
+// slot returns the count of slot n, and discards the oldest slots if n is newer than all others. It
+// returns nil if n is too old.
+func (r *ring) slot(l level, n int64) *Count {
 	if r.counts == nil {
 		r.counts = make([]Count, l.slots)
 		r.newest = n
--- a/pkg/sageburn/book.go
+++ b/pkg/sageburn/tracker.go
@@ -12,14 +12,14 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// MaxSeries bounds the pairs of account and priority that a book keeps; further ones are counted
-// under [OtherAccounts], so that many accounts can't take the memory of a node.
+// MaxSeries limits the number of pairs of account and priority in a tracker. Further ones are counted
+// under [OtherAccounts], so that many accounts can't exhaust the memory of a node.
 const MaxSeries = 2048
 
-// OtherAccounts is the account under which a full book counts.
+// OtherAccounts is the account for requests that exceed [MaxSeries].
 const OtherAccounts = "_other"
 
-// seriesKey names a series of counts.
+// seriesKey identifies a series of counts.
 type seriesKey struct {
 	account  string
 	priority sagewire.Priority
@@ -31,8 +31,8 @@
 	latency *hdrhistogram.Histogram
 }
 
-// Tracker counts the requests of one node. Objectives are set before first use; its methods are safe
-// for concurrent use.
+// Tracker counts the requests of one node. Objectives must be set before first use. Its methods are
+// safe for concurrent use.
 type Tracker struct {
 	Objectives []Objective
 
@@ -40,24 +40,24 @@
 	series map[seriesKey]*series
 }
 
-// Record counts the end of a request. Requests without an objective or by the caller's own fault
-// are not counted.
+// Record counts a finished request. Requests without an objective and requests that failed through the
+// caller's fault are not counted.
 func (b *Tracker) Record(r Request) {
-	o, ok := find(b.Objectives, r.Account, r.Priority)
+	o, ok := findObjective(b.Objectives, r.Account, r.Priority)
 	fault := FaultOf(r.Outcome, r.Reason)
 	if !ok || fault == FaultCaller {
 		return
 	}
 	c := Count{Total: 1}
-	if fault == FaultService || !o.good(&r) {
+	if fault == FaultService || !o.meetsLatency(&r) {
 		c.Bad = 1
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.of(seriesKey{account: r.Account, priority: r.Priority})
+	s := b.seriesFor(seriesKey{account: r.Account, priority: r.Priority})
 	for i, l := range levels {
-		if at := s.rings[i].at(l, l.slot(r.EndedAt)); at != nil {
-			at.add(c)
+		if count := s.rings[i].slot(l, l.slot(r.EndedAt)); count != nil {
+			count.add(c)
 		}
 	}
 	if fault == FaultNone && !r.FirstByteAt.IsZero() {
@@ -65,14 +65,15 @@
 	}
 }
 
-// of returns the series of k; mu is held.
-func (b *Tracker) of(k seriesKey) *series {
+// seriesFor returns the series of k, or that of [OtherAccounts] if the tracker is full. mu must be
+// held.
+func (b *Tracker) seriesFor(k seriesKey) *series {
 	if b.series == nil {
 		b.series = make(map[seriesKey]*series)
 	}
 	s := b.series[k]
 	if s == nil && len(b.series) >= MaxSeries && k.account != OtherAccounts {
-		return b.of(seriesKey{account: OtherAccounts, priority: k.priority})
+		return b.seriesFor(seriesKey{account: OtherAccounts, priority: k.priority})
 	}
 	if s == nil {
 		s = &series{latency: newLatency()}
@@ -81,22 +82,22 @@
 	return s
 }
 
-// Series is the counts of one account and priority, by level and slot.
+// Series holds the counts of one account and priority, by level and slot.
 type Series struct {
 	Account  string            `json:"account"`
 	Priority sagewire.Priority `json:"priority"`
 	// Slots maps, for each level, the number of a slot to its count.
 	Slots [len(levels)]map[int64]Count `json:"slots"`
-	// Latency counts first bytes by latency in milliseconds, since the node's start.
+	// Latency is a histogram of the time to the first byte in milliseconds, since the node's start.
 	Latency *hdrhistogram.Snapshot `json:"latency,omitempty"`
 }
 
-// Snapshot is what a node has counted.
+// Snapshot holds the counts of a node, or the sum of several.
 type Snapshot struct {
 	Series []Series `json:"series"`
 }
 
-// Check reports a snapshot whose histograms can't be added up, wrapped around [ErrInvalidLatency].
+// Check reports a snapshot with histograms that can't be added. Its error wraps [ErrInvalidLatency].
 func (s *Snapshot) Check() error {
 	for i := range s.Series {
 		if err := checkLatency(s.Series[i].Latency); err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Snapshot returns a copy of everything counted that is still within a window at now.
+// Snapshot returns a copy of all counts that are still within a window at now.
 func (b *Tracker) Snapshot(now time.Time) Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,7 +123,7 @@
 	return out
 }
 
-// recent returns the counts that aren't empty of the slots up to n.
+// recent returns the nonzero counts that are still within the level's period at slot n.
 func (r *ring) recent(l level, n int64) map[int64]Count {
 	m := make(map[int64]Count)
 	if r.counts == nil {
@@ -142,7 +143,7 @@
 	})
 }
 
-// Merge adds up the snapshots of several nodes.
+// Merge adds the snapshots of several nodes.
 func Merge(snaps ...Snapshot) Snapshot {
 	sum := make(map[seriesKey]*Series)
 	for _, s := range snaps {
@@ -160,20 +161,20 @@
 
 func mergeSeries(sum map[seriesKey]*Series, s *Series) {
 	k := seriesKey{account: s.Account, priority: s.Priority}
-	to := sum[k]
-	if to == nil {
-		to = &Series{Account: s.Account, Priority: s.Priority}
+	merged := sum[k]
+	if merged == nil {
+		merged = &Series{Account: s.Account, Priority: s.Priority}
 		for i := range levels {
-			to.Slots[i] = make(map[int64]Count)
+			merged.Slots[i] = make(map[int64]Count)
 		}
-		sum[k] = to
+		sum[k] = merged
 	}
 	for i := range levels {
 		for n, c := range s.Slots[i] {
-			have := to.Slots[i][n]
-			have.add(c)
-			to.Slots[i][n] = have
+			total := merged.Slots[i][n]
+			total.add(c)
+			merged.Slots[i][n] = total
 		}
 	}
-	to.Latency = addLatency(to.Latency, s.Latency)
+	merged.Latency = addLatency(merged.Latency, s.Latency)
 }
