--- a/pkg/sagedrain/machine.go
+++ b/pkg/sagedrain/machine.go
@@ -7,27 +7,27 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidPeriods reports a machine whose periods can't hold.
+// ErrInvalidPeriods reports a machine with negative periods.
 var ErrInvalidPeriods = errors.New("malformed drain periods")
 
-// Phase is how far the stop has come. It only moves forward.
+// Phase is the progress of the stop. It only moves forward.
 type Phase int
 
 // The phases.
 const (
-	// Serving: nobody asked for a stop.
+	// Serving: no stop was requested.
 	Serving Phase = iota
-	// Honouring: announced as leaving, still serving callers whose answers name it.
+	// Announced: leaving was announced; callers with unexpired answers are still served.
 	Announced
-	// Draining: no new work; running requests finish.
+	// Draining: no new work is accepted; running requests finish.
 	Draining
-	// Cutting: the deadline has passed with requests still running.
+	// Aborting: the deadline has passed while requests are running.
 	Aborting
-	// Done: nothing is running any more.
+	// Done: no request is running.
 	Done
 )
 
-// String returns the phase as operators read it.
+// String returns the name of the phase as operators see it.
 func (p Phase) String() string {
 	names := [...]string{"serving", "honouring", "draining", "cutting", "done"}
 	if p >= 0 && int(p) < len(names) {
@@ -36,22 +36,22 @@
 	return fmt.Sprintf("phase %d", int(p))
 }
 
-// Machine is the stop of one thing. Its exported fields are set before [Machine.Leave]; it is not
-// safe for concurrent use.
+// Machine controls the stop of one resource. Its exported fields must be set before [Machine.Leave]. It
+// is not safe for concurrent use.
 type Machine struct {
-	// AnswersLast is how long an answer that names the thing is valid at most.
+	// AnswerTTL is the longest validity of an answer that names the resource.
 	AnswerTTL time.Duration
-	// SpreadWithin is how long it takes at most until nobody gives such an answer any more.
+	// PropagationDelay is the maximum time until no node gives such an answer any more.
 	PropagationDelay time.Duration
-	// DrainWithin is how long running requests may take after that.
+	// DrainTimeout is how long running requests may take after that.
 	DrainTimeout time.Duration
 
-	phase   Phase
-	honour  time.Time
-	drainBy time.Time
+	phase       Phase
+	acceptUntil time.Time
+	drainBy     time.Time
 }
 
-// Check reports periods below 0, wrapped around [ErrInvalidPeriods].
+// Check reports negative periods. Its error wraps [ErrInvalidPeriods].
 func (m *Machine) Check() error {
 	if m.AnswerTTL < 0 || m.PropagationDelay < 0 || m.DrainTimeout < 0 {
 		return fmt.Errorf("period below 0: %w", ErrInvalidPeriods)
@@ -59,34 +59,34 @@
 	return nil
 }
 
-// Leave begins the stop. A second call changes nothing: the deadlines are stated once.
+// Leave begins the stop. Further calls have no effect, so that the deadlines don't move.
 func (m *Machine) Leave(now time.Time) {
 	if m.phase != Serving {
 		return
 	}
 	m.phase = Announced
-	m.honour = now.Add(m.PropagationDelay + m.AnswerTTL)
-	m.drainBy = m.honour.Add(m.DrainTimeout)
+	m.acceptUntil = now.Add(m.PropagationDelay + m.AnswerTTL)
+	m.drainBy = m.acceptUntil.Add(m.DrainTimeout)
 }
 
-// HonourUntil returns the instant until which new work is taken; zero before Leave.
-func (m *Machine) AcceptsUntil() time.Time { return m.honour }
+// AcceptsUntil returns the instant until which new work is accepted; zero before Leave.
+func (m *Machine) AcceptsUntil() time.Time { return m.acceptUntil }
 
-// DrainBy returns the instant at which running requests have to be cut; zero before Leave.
+// DrainDeadline returns the instant at which running requests must be aborted; zero before Leave.
 func (m *Machine) DrainDeadline() time.Time { return m.drainBy }
 
-// Accepts says whether new work may be taken. It goes by the instant rather than by the last step,
-// so that a step that comes late can't let work in that will be cut.
+// Accepts reports whether new work may be accepted. It depends on now rather than on the last step, so
+// that a late step can't admit work that would be aborted.
 func (m *Machine) Accepts(now time.Time) bool {
-	return m.phase == Serving || (m.phase == Announced && now.Before(m.honour))
+	return m.phase == Serving || (m.phase == Announced && now.Before(m.acceptUntil))
 }
 
-// Step moves on as far as now and the number of running requests allow, and returns the phase.
+// Step advances the phase as far as now and the number of running requests allow, and returns it.
 func (m *Machine) Step(now time.Time, inFlight int) Phase {
-	if m.phase == Announced && !now.Before(m.honour) {
+	if m.phase == Announced && !now.Before(m.acceptUntil) {
 		m.phase = Draining
 	}
-	// Nothing running is enough only once nothing new is accepted.
+	// The stop is complete only when new work is no longer accepted either.
 	if m.phase >= Draining && inFlight <= 0 {
 		m.phase = Done
 	}
@@ -96,11 +96,11 @@
 	return m.phase
 }
 
-// Next returns the instant of the next deadline, for a timer; zero when there is none.
+// NextDeadline returns the instant of the next deadline, for a timer; zero if there is none.
 func (m *Machine) NextDeadline() time.Time {
 	switch m.phase {
 	case Announced:
-		return m.honour
+		return m.acceptUntil
 	case Draining:
 		return m.drainBy
 	}
--- a/pkg/sagedrain/machine_test.go
+++ b/pkg/sagedrain/machine_test.go
@@ -17,15 +17,15 @@
 	return &sagedrain.Machine{AnswerTTL: 30 * time.Second, PropagationDelay: 10 * time.Second, DrainTimeout: 5 * time.Minute}
 }
 
-// A VM is taken out while callers hold answers that name it and a stream of four minutes runs. The
-// callers are refused, or the stream is cut. Cause: it stopped when it was told to.
+// A VM is stopped while callers hold answers that name it and a stream runs for four more minutes. If
+// it stopped immediately, the callers would be refused and the stream aborted.
 func TestStopWaitsForAnswersAndStreams(t *testing.T) {
 	m := machine()
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	require.Equal(t, sagedrain.Serving, m.Step(start, 0))
 	m.Leave(start)
 	m.Leave(at(35))
-	require.Equal(t, at(40), m.AcceptsUntil(), "the deadline is stated once")
+	require.Equal(t, at(40), m.AcceptsUntil(), "a second Leave doesn't move the deadline")
 	require.Equal(t, at(340), m.DrainDeadline())
 	require.Equal(t, sagedrain.Announced, m.Step(at(39), 0), "idle, but answers name it")
 	require.True(t, m.Accepts(at(39)))
@@ -38,7 +38,8 @@
 	require.Equal(t, sagedrain.Done, m.Step(at(900), 0))
 }
 
-// A stream never ends. The VM is never replaced, or the stream is cut with no word in the log.
+// A stream never ends. The stop must still reach its deadline and report the Aborting phase, so that
+// the stream can be logged before it is aborted.
 func TestStopDeadline(t *testing.T) {
 	m := machine()
 	m.Leave(start)
@@ -48,8 +49,8 @@
 	require.Equal(t, "cutting", sagedrain.Aborting.String())
 }
 
-// Whatever the order of steps: the phase never goes back, nothing is accepted after the honoured
-// answers have expired, and nothing is cut before the deadline.
+// For any order of steps, the phase never moves back, no work is accepted after the answers have
+// expired, and nothing is aborted before the deadline.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now, last := machine(), start, sagedrain.Serving
@@ -60,17 +61,17 @@
 			}
 			p := m.Step(now, rapid.IntRange(0, 2).Draw(t, "in flight"))
 			if p < last {
-				t.Fatalf("went back from %v to %v", last, p)
+				t.Fatalf("phase moved back from %v to %v", last, p)
 			}
 			last = p
 			if p == sagedrain.Aborting && now.Before(m.DrainDeadline()) {
-				t.Fatalf("cut at %v, before %v", now, m.DrainDeadline())
+				t.Fatalf("aborting at %v, before %v", now, m.DrainDeadline())
 			}
 			if p >= sagedrain.Draining && m.Accepts(now) {
-				t.Fatalf("accepts in %v", p)
+				t.Fatalf("new work accepted in phase %v", p)
 			}
 			if p > sagedrain.Announced && now.Before(m.AcceptsUntil()) {
-				t.Fatalf("%v before answers have expired", p)
+				t.Fatalf("phase %v before answers have expired", p)
 			}
 		}
 	})
--- a/pkg/sagedrain/main_test.go
+++ b/pkg/sagedrain/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes rapid's seed, so that every run has the same verdict.
+// TestMain fixes the seed of rapid, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
