--- a/pkg/sagewire/outcome.go
+++ b/pkg/sagewire/outcome.go
@@ -6,25 +6,25 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidOutcome reports an outcome word outside the defined set.
+// ErrInvalidOutcome reports a value that is not an outcome.
 var ErrInvalidOutcome = errors.New("unknown outcome")
 
-// Outcome is the end of a request as told to its caller.
+// Outcome is the result of a request as reported to its caller.
 type Outcome string
 
 // The outcomes. Each request ends with exactly one of them.
 const (
-	// Complete: the whole answer of this request was delivered.
+	// Complete: the complete response to this request was delivered.
 	Complete Outcome = "complete"
 	// NotRun: no upstream executed the request; it may be sent again.
 	NotRun Outcome = "not_run"
-	// Unknown: bytes reached an upstream and no answer came back.
+	// Unknown: bytes reached an upstream, but no response arrived.
 	Unknown Outcome = "unknown"
 	// AlreadyRun: an earlier request with the same idempotency key ran or may have run.
 	AlreadyRun Outcome = "already_run"
 )
 
-// ParseOutcome returns the outcome named by s, or [ErrInvalidOutcome].
+// ParseOutcome returns the outcome with the name s, or [ErrInvalidOutcome].
 func ParseOutcome(s string) (Outcome, error) {
 	switch o := Outcome(s); o {
 	case Complete, NotRun, Unknown, AlreadyRun:
--- a/pkg/sagewire/priority.go
+++ b/pkg/sagewire/priority.go
@@ -6,10 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidPriority reports a priority word outside the defined set.
+// ErrInvalidPriority reports a name that is not a priority class.
 var ErrInvalidPriority = errors.New("unknown priority")
 
-// Priority is the class of a request; a lower number is served first.
+// Priority is the class of a request. Lower values are served first.
 type Priority int
 
 // The priority classes.
@@ -24,7 +24,7 @@
 
 var priorityNames = [NumPriorities]string{"urgent", "normal", "bulk"}
 
-// String returns the name of p as it stands in headers and settings.
+// String returns the name of p as used in headers and settings.
 func (p Priority) String() string {
 	if p < 0 || int(p) >= NumPriorities {
 		return fmt.Sprintf("priority(%d)", int(p))
@@ -32,7 +32,7 @@
 	return priorityNames[p]
 }
 
-// ParsePriority returns the class named by s; the empty string is [Normal].
+// ParsePriority returns the class with the name s. The empty string is [Normal].
 func ParsePriority(s string) (Priority, error) {
 	if s == "" {
 		return Normal, nil
--- a/pkg/sagewire/refusal.go
+++ b/pkg/sagewire/refusal.go
@@ -12,7 +12,7 @@
 // ErrInvalidRefusal reports a refusal body that contradicts itself or lacks a field.
 var ErrInvalidRefusal = errors.New("malformed refusal")
 
-// Reason says in one word why a request did not end with [Complete].
+// Reason is the code for why a request did not end with [Complete].
 type Reason string
 
 // The reasons.
@@ -38,8 +38,8 @@
 	ReasonInternal         Reason = "internal"
 )
 
-// Refusal is the body of every response whose outcome is not [Complete].
-// RetryAt is the instant at which asking again can help; zero means never with this request.
+// Refusal is the body of every response whose outcome is not [Complete]. RetryAt is the instant from
+// which a retry can succeed; zero means that retrying this request can't help.
 type Refusal struct {
 	Outcome   Outcome   `json:"outcome"`
 	Reason    Reason    `json:"reason"`
@@ -49,7 +49,7 @@
 	RetryAt   time.Time `json:"retry_at,omitzero"`
 }
 
-// Error makes a refusal usable as an error value inside the system.
+// Error implements the error interface.
 func (r *Refusal) Error() string {
 	if r.Detail == "" {
 		return string(r.Outcome) + ": " + string(r.Reason)
@@ -57,13 +57,13 @@
 	return string(r.Outcome) + ": " + string(r.Reason) + ": " + r.Detail
 }
 
-// Check reports why r can't be sent, wrapped around [ErrInvalidRefusal].
+// Check reports why r can't be sent. Its error wraps [ErrInvalidRefusal] or [ErrInvalidOutcome].
 func (r *Refusal) Check() error {
 	if _, err := ParseOutcome(string(r.Outcome)); err != nil {
 		return fmt.Errorf("refusal: %w", err)
 	}
 	if r.Outcome == Complete {
-		return fmt.Errorf("a complete answer is no refusal: %w", ErrInvalidRefusal)
+		return fmt.Errorf("refusal with outcome complete: %w", ErrInvalidRefusal)
 	}
 	if r.Reason == "" {
 		return fmt.Errorf("refusal without a reason: %w", ErrInvalidRefusal)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// HTTPStatus returns the status code that carries r.
+// HTTPStatus returns the status code of the response that carries r.
 func (r *Refusal) HTTPStatus() int {
 	switch r.Outcome {
 	case Unknown:
@@ -110,7 +110,8 @@
 	return r, nil
 }
 
-// Refuse returns a refusal that is true to say while nothing has left this system.
+// Refuse returns a refusal with outcome [NotRun]. It is valid only while the request has not been sent
+// to any upstream.
 func Refuse(reason Reason, detail string, retryAt time.Time) *Refusal {
 	return &Refusal{Outcome: NotRun, Reason: reason, Detail: detail, RetryAt: retryAt}
 }
--- a/pkg/sagewire/wire_test.go
+++ b/pkg/sagewire/wire_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// An unknown outcome must never be told with a status that clients take for "try again".
+// An unknown outcome must never have a status that clients take as permission to retry.
 func TestUnknownIsNeverRetriable(t *testing.T) {
 	for _, reason := range []Reason{ReasonDeadline, ReasonOverloaded, ReasonAnswerLost, ReasonAccountLimit} {
 		assert.Equal(t, 502, (&Refusal{Outcome: Unknown, Reason: reason}).HTTPStatus(), reason)
