--- a/pkg/sageclock/clock.go
+++ b/pkg/sageclock/clock.go
@@ -1,15 +1,14 @@
-// Package sageclock gives instants of a clock that counts the time a VM is suspended.
+// Package sageclock provides a clock that also counts the time during which a VM is suspended.
 //
-// The monotonic clock behind [time.Now] stands still while a VM is suspended, and the time of day
-// may jump. A proof that must not outlive a few seconds needs neither of them, but the time since
-// boot.
+// The monotonic clock behind [time.Now] stops while a VM is suspended, and the wall clock may jump.
+// Checks that a proof is at most a few seconds old therefore use the time since boot.
 //
 // # Usage
 //
 //	at := sageclock.Now()
 //	...
 //	if sageclock.Now().Sub(at) > limit {
-//		// older than limit, also if the VM slept in between
+//		// older than limit, even if the VM was suspended in between
 //	}
 package sageclock
 
@@ -19,21 +18,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a time since boot in nanoseconds. Instants of different VMs can't be compared.
+// Instant is a time since boot in nanoseconds. Instants of different VMs are not comparable.
 type Instant int64
 
 // Now returns the current instant.
 func Now() Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux kernel since 2.6.39 has the clock, so this is a broken platform.
+		// Every Linux kernel since 2.6.39 has this clock, so the platform is broken.
 		panic(err)
 	}
 	return Instant(ts.Nano())
 }
 
-// Add returns the instant d later.
+// Add returns i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from j to i.
+// Sub returns the duration i-j.
 func (i Instant) Sub(j Instant) time.Duration { return time.Duration(i - j) }
