--- a/internal/sageburnd/doc.go
+++ b/internal/sageburnd/doc.go
@@ -1,8 +1,8 @@
-// Package sageburnd is the service "burn" of a node: it counts the end of every request, answers
-// other nodes that ask for its counts, and adds up the counts of all nodes for an operator's report.
+// Package sageburnd implements the service "burn" of a node. It counts finished requests, returns its
+// counts to other nodes, and adds the counts of all nodes for an operator's report.
 //
-// A report asks each live node once, when an operator wants it; nothing is exchanged otherwise. Nodes
-// that do not answer are named in the report, since their counts are missing from it.
+// Nodes exchange counts only when an operator requests a report: the node then asks each live node
+// once. Nodes that don't respond are listed in the report, since their counts are missing from it.
 //
 // # Usage
 //
--- a/internal/sageburnd/plot.go
+++ b/internal/sageburnd/plot.go
@@ -11,15 +11,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the plot, and the burn rate that pages somebody.
+// Size of the plot, and the burn rate above which an alert pages the people on call.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 5 * vg.Inch
 	pageRate   = 14.4
 )
 
-// Plot draws the burn rate of the last hour, a line for each account and priority, and writes it to
-// a file; the file's ending (.svg or .png) chooses the format.
+// Plot writes a plot of the burn rate of the last hour, with a line for each account and priority. The
+// extension of the file name (.svg or .png) determines the format.
 func Plot(r *Report, file string) error {
 	p := plot.New()
 	p.Title.Text = "Error budget burn, last hour"
--- a/internal/sageburnd/service.go
+++ b/internal/sageburnd/service.go
@@ -18,26 +18,26 @@
 	"sagestand.example/sagestand/pkg/sageburn"
 )
 
-// Limits of a report.
+// Limits for collecting a report.
 const (
-	collectTimeout = 5 * time.Second
-	collectAtOnce  = 32
+	collectTimeout        = 5 * time.Second
+	maxConcurrentCollects = 32
 )
 
-// Service counts requests and makes reports. Its exported fields are set before first use.
+// Service counts requests and creates reports. Its exported fields must be set before first use.
 type Service struct {
 	Objectives []sageburn.Objective
 	// Peers returns the addresses of the other live nodes.
 	Peers  func() []string
 	Client *sagepeer.Client
 
-	once sync.Once
-	book *sageburn.Tracker
+	once    sync.Once
+	tracker *sageburn.Tracker
 }
 
 func (s *Service) counts() *sageburn.Tracker {
-	s.once.Do(func() { s.book = &sageburn.Tracker{Objectives: s.Objectives} })
-	return s.book
+	s.once.Do(func() { s.tracker = &sageburn.Tracker{Objectives: s.Objectives} })
+	return s.tracker
 }
 
 // Record implements [sageentry.Recorder].
@@ -48,7 +48,7 @@
 	})
 }
 
-// Burn answers another node with the counts of this one.
+// Burn returns the counts of this node to another node.
 func (s *Service) Burn(context.Context, *report.BurnRequest) (*report.BurnResponse, error) {
 	b, err := json.Marshal(s.counts().Snapshot(time.Now()))
 	if err != nil {
@@ -63,7 +63,7 @@
 	History []sageburn.Point `json:"history,omitempty"`
 }
 
-// Report is the burn report over all nodes that answered.
+// Report is the burn report over all nodes that responded.
 type Report struct {
 	At    time.Time `json:"at"`
 	Lines []Line    `json:"lines"`
@@ -72,7 +72,7 @@
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Collect asks every live node for its counts and works out the report.
+// Collect fetches the counts of every live node and creates the report.
 func (s *Service) Collect(ctx context.Context) Report {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -81,10 +81,10 @@
 	snaps := []sageburn.Snapshot{s.counts().Snapshot(now)}
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(collectAtOnce)
+	g.SetLimit(maxConcurrentCollects)
 	for _, addr := range s.Peers() {
 		g.Go(func() error {
-			snap, err := s.ask(ctx, addr)
+			snap, err := s.fetchSnapshot(ctx, addr)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -99,27 +99,27 @@
 	_ = g.Wait()
 	slices.Sort(rep.Missing)
 	total := sageburn.Merge(snaps...)
-	rep.Lines = lines(total, s.Objectives, now)
+	rep.Lines = linesWithHistory(total, s.Objectives, now)
 	return rep
 }
 
-func (s *Service) ask(ctx context.Context, addr string) (sageburn.Snapshot, error) {
+func (s *Service) fetchSnapshot(ctx context.Context, addr string) (sageburn.Snapshot, error) {
 	var snap sageburn.Snapshot
 	res, err := report.NewReportProtobufClient(s.Client.URL(addr), s.Client.HTTP()).Burn(ctx, &report.BurnRequest{})
 	if err != nil {
-		return snap, fmt.Errorf("ask %s: %w", addr, err)
+		return snap, fmt.Errorf("fetch counts of %s: %w", addr, err)
 	}
 	if err := json.Unmarshal(res.Snapshot, &snap); err != nil {
-		return snap, fmt.Errorf("ask %s: decode: %w", addr, err)
+		return snap, fmt.Errorf("decode counts of %s: %w", addr, err)
 	}
 	if err := snap.Check(); err != nil {
-		return snap, fmt.Errorf("ask %s: %w", addr, err)
+		return snap, fmt.Errorf("check counts of %s: %w", addr, err)
 	}
 	return snap, nil
 }
 
-// lines adds its history to each line of a report.
-func lines(total sageburn.Snapshot, objectives []sageburn.Objective, now time.Time) []Line {
+// linesWithHistory returns the lines of a report, each with its history.
+func linesWithHistory(total sageburn.Snapshot, objectives []sageburn.Objective, now time.Time) []Line {
 	out := []Line{}
 	for _, l := range sageburn.Report(total, objectives, now) {
 		x := Line{Line: l}
@@ -134,7 +134,7 @@
 	return out
 }
 
-// ServeHTTP answers an operator with the report.
+// ServeHTTP responds to an operator with the report.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	sageoperator.WriteJSON(w, http.StatusOK, s.Collect(r.Context()))
 }
