--- a/internal/sagelocator/service_test.go
+++ b/internal/sagelocator/service_test.go
@@ -13,7 +13,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// view is a fixed view of the nodes with a configuration.
+// view provides a fixed list of nodes and a configuration.
 type view struct {
 	nodes []sagemember.Node
 	stale bool
@@ -29,8 +29,8 @@
 	return sagemember.Node{Entry: entry, DataCentre: dc, Phase: p, State: sagemember.Alive}
 }
 
-// A VM that leaves, one that has no configuration yet, and one in a data centre taken out are named
-// to callers, who are turned away there.
+// A VM that is leaving, one that is still starting, or one in a data centre that is out of service
+// would refuse callers. It must not be returned to them.
 func TestLocateReturnsOnlyServingVMs(t *testing.T) {
 	state := sageconfig.NewState()
 	state.ApplyTicket(&sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{
@@ -49,7 +49,7 @@
 	v.nodes = v.nodes[3:4]
 	a, ref = s.Locate(now, sagelocate.Query{Account: "x"})
 	require.Nil(t, ref)
-	require.Equal(t, []string{"d:1"}, a.Addresses, "better a VM of that data centre than none")
+	require.Equal(t, []string{"d:1"}, a.Addresses, "a VM out of service is returned only if there is no other")
 
 	v.nodes = nil
 	_, ref = s.Locate(now, sagelocate.Query{Account: "x"})
@@ -60,8 +60,8 @@
 	require.Equal(t, now.Add(time.Second), ref.RetryAt)
 }
 
-// A VM is replaced at the same address. Its chats move away although it is up. Cause: the suspected
-// old incarnation was taken for the VM.
+// After a VM was replaced at the same address, its chats moved to other VMs, because the suspected old
+// incarnation was used for the address.
 func TestReplacedVMIsNotSuspect(t *testing.T) {
 	old := node("a:1", "in", sagemember.Serving)
 	old.State = sagemember.Suspect
