--- a/internal/sagelog/async.go
+++ b/internal/sagelog/async.go
@@ -5,31 +5,32 @@
 	"sync/atomic"
 )
 
-// ringLength is how many lines wait for a slow reader, about 60 KB.
-const ringLength = 256
+// maxQueuedLines is the number of lines that are queued for a slow reader, about 60 KB.
+const maxQueuedLines = 256
 
-// AsyncWriter is a writer that never blocks: lines wait in a bounded ring that one goroutine drains, and
-// what does not fit is dropped and counted.
+// AsyncWriter is a writer that never blocks. Lines are held in a bounded queue that one goroutine
+// writes out. Lines that don't fit are dropped and counted.
 //
-// It guards against a reader of the log that stops reading: the pipe fills, and every request that
-// logs would hang.
+// It prevents a stalled reader of the log from blocking requests: once the pipe is full, every request
+// that logs would hang.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewAsyncWriter returns a ring in front of w and starts its drain, which lives as long as the process.
+// NewAsyncWriter returns a writer in front of w. It starts the goroutine that writes to w, which runs
+// for the life of the process.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	r := &AsyncWriter{lines: make(chan []byte, ringLength)}
+	r := &AsyncWriter{lines: make(chan []byte, maxQueuedLines)}
 	go func() {
 		for b := range r.lines {
-			_, _ = w.Write(b) // nobody is left to tell that the log can't be written
+			_, _ = w.Write(b) // a failure of the log itself can't be reported
 		}
 	}()
 	return r
 }
 
-// Write implements [io.Writer]. It keeps a copy of b.
+// Write implements [io.Writer]. It queues a copy of b.
 func (r *AsyncWriter) Write(b []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), b...):
@@ -39,5 +40,5 @@
 	return len(b), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines that were dropped.
 func (r *AsyncWriter) Dropped() int64 { return r.dropped.Load() }
--- a/internal/sagelog/log_test.go
+++ b/internal/sagelog/log_test.go
@@ -9,27 +9,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blocked is a reader of the log that has stopped reading.
-type blocked struct{ release chan struct{} }
+// stalledReader is a log reader that has stopped reading.
+type stalledReader struct{ release chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
+func (b stalledReader) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
 
-// Whoever reads the log stops reading, the pipe fills, and every request that logs hangs.
+// The reader of the log stalls and the pipe fills up. Requests that log must not hang.
 func TestStalledReaderDoesNotBlock(t *testing.T) {
-	b := blocked{make(chan struct{})}
+	b := stalledReader{make(chan struct{})}
 	defer close(b.release)
 	r := NewAsyncWriter(b)
 	l := New(r, "vm1")
-	for range 4 * ringLength {
+	for range 4 * maxQueuedLines {
 		l.Info("line")
 	}
-	require.GreaterOrEqual(t, r.Dropped(), int64(2*ringLength))
+	require.GreaterOrEqual(t, r.Dropped(), int64(2*maxQueuedLines))
 }
 
-// A storm of failures writes so much that logging costs more than serving.
+// Without a rate limit, logging a storm of failures costs more than serving requests.
 func TestLimitedBoundsLineRate(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, "vm1").Component("relay")
@@ -37,11 +37,11 @@
 		l.Limited(KindRefused, "refused", "n", i)
 	}
 	lines := strings.Count(out.String(), "\n")
-	require.GreaterOrEqual(t, lines, perSecond)
-	require.LessOrEqual(t, lines, 10*perSecond, "a few seconds at the most")
+	require.GreaterOrEqual(t, lines, linesPerSecond)
+	require.LessOrEqual(t, lines, 10*linesPerSecond, "the loop takes a few seconds at most")
 	start := time.Now()
 	lim := &limiter{start: start}
-	for range perSecond {
+	for range linesPerSecond {
 		_, ok := lim.allow(KindRefused, start)
 		require.True(t, ok)
 	}
@@ -50,10 +50,10 @@
 		require.False(t, ok)
 	}
 	_, ok := lim.allow(KindAbandoned, start)
-	require.True(t, ok, "each kind has its own bound")
-	left, ok := lim.allow(KindRefused, start.Add(time.Second))
+	require.True(t, ok, "each kind has its own limit")
+	suppressed, ok := lim.allow(KindRefused, start.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, 7, left)
+	require.Equal(t, 7, suppressed)
 }
 
 func BenchmarkLimited(b *testing.B) {
--- a/internal/sagelog/sagelog.go
+++ b/internal/sagelog/sagelog.go
@@ -1,10 +1,10 @@
-// Package sagelog writes the log of one process: logfmt lines on one writer, each a short sentence
-// behind the fixed prefix of the part that speaks.
+// Package sagelog writes the log of a process: logfmt lines to one writer, each with a short sentence
+// after the name of the component that logs it.
 //
 // # Usage
 //
 //	l := sagelog.New(os.Stderr, "vm1")
-//	el := l.Part("entry")
+//	el := l.Component("entry")
 //	el.Info("Listening.", "address", addr)
 package sagelog
 
@@ -16,7 +16,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// Logger writes for one part of a process. The zero value writes nothing.
+// Logger writes for one component of a process. The zero value writes nothing.
 type Logger struct {
 	base   log.Logger
 	prefix string
@@ -30,18 +30,18 @@
 	return Logger{base: l, limits: &limiter{start: time.Now()}}
 }
 
-// Part returns a logger whose sentences start with the part's name.
+// Component returns a logger whose sentences start with the name of the component.
 func (l Logger) Component(name string) Logger {
 	return Logger{base: l.base, prefix: name + ": ", limits: l.limits}
 }
 
-// Info tells what happened in the normal course.
+// Info logs an event of normal operation.
 func (l Logger) Info(msg string, kv ...any) { l.write(level.InfoValue(), msg, kv) }
 
-// Warn tells what an operator may have to look at.
+// Warn logs an event that an operator may have to look into.
 func (l Logger) Warn(msg string, kv ...any) { l.write(level.WarnValue(), msg, kv) }
 
-// Error tells what went wrong.
+// Error logs a failure.
 func (l Logger) Error(msg string, kv ...any) { l.write(level.ErrorValue(), msg, kv) }
 
 func (l Logger) write(v level.Value, msg string, kv []any) {
