--- a/internal/sagekernel/kernel.go
+++ b/internal/sagekernel/kernel.go
@@ -14,40 +14,40 @@
 
 // Errors of the kernel.
 var (
-	ErrServiceNotFound = errors.New("no service of that name")
-	ErrWrongType       = errors.New("service has another type")
-	ErrDuplicateName   = errors.New("service name registered twice")
-	ErrServiceExited   = errors.New("service stopped by itself")
+	ErrServiceNotFound = errors.New("no service with this name")
+	ErrWrongType       = errors.New("service has a different type")
+	ErrDuplicateName   = errors.New("service name already registered")
+	ErrServiceExited   = errors.New("service exited before it was stopped")
 	ErrStopTimeout     = errors.New("service did not stop in time")
-	errKernelDone      = errors.New("kernel asked to stop")
+	errStopRequested   = errors.New("stop requested")
 )
 
-// Service is a part of a process that runs until ctx ends. It returns nil when it stopped because
-// ctx ended, after finishing its own work in hand.
+// Service is a part of a process that runs until ctx ends. It then finishes its current work and
+// returns nil.
 type Service interface {
 	Run(ctx context.Context) error
 }
 
-// named is a registered value; services that only answer calls have no runner.
-type named struct {
+// registration is a registered value. A value without a Run method only serves calls.
+type registration struct {
 	name  string
 	value any
 }
 
-// Kernel holds the services of one process.
+// Kernel runs the services of one process.
 type Kernel struct {
-	// StopWithin bounds the whole ordered stop; the deadline is taken when the stop begins.
+	// StopTimeout limits the whole stop, counted from its beginning.
 	StopTimeout time.Duration
 	Log         sagelog.Logger
 
 	mu       sync.Mutex
-	services []named
+	services []registration
 	stopBy   time.Time
-	late     []string
+	timedOut []string
 }
 
-// Register adds a service. A value that has no Run method only answers lookups. It panics with
-// [ErrDuplicateName] when the name is taken, which is a mistake in the program.
+// Register adds a service. A value without a Run method is available only to Lookup. Register panics
+// with [ErrDuplicateName] if the name is taken, since that is a programming error.
 func (k *Kernel) Register(name string, s any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -56,10 +56,10 @@
 			panic(fmt.Errorf("register %s: %w", name, ErrDuplicateName))
 		}
 	}
-	k.services = append(k.services, named{name: name, value: s})
+	k.services = append(k.services, registration{name: name, value: s})
 }
 
-// Lookup returns the service of that name as a T.
+// Lookup returns the service with the given name as a T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	k.mu.Lock()
@@ -77,7 +77,7 @@
 	return zero, fmt.Errorf("%s: %w", name, ErrServiceNotFound)
 }
 
-// Names returns the registered names in order.
+// Names returns the registered names in order of registration.
 func (k *Kernel) Names() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,15 +88,15 @@
 	return names
 }
 
-// Run runs every service until ctx ends or one of them fails, then stops them in reverse order.
-// It returns nil after an ordered stop that ctx asked for.
+// Run runs every service until ctx ends or one of them fails, then stops them in reverse order. It
+// returns nil if ctx ended and every service stopped in time.
 func (k *Kernel) Run(ctx context.Context) error {
 	var g run.Group
 	k.addStop(ctx, &g)
 	k.mu.Lock()
-	services := append([]named(nil), k.services...)
+	services := append([]registration(nil), k.services...)
 	k.mu.Unlock()
-	// The group interrupts its actors in the order in which they were added, one after another.
+	// The group interrupts its actors one after another, in the order in which they were added.
 	for i := len(services) - 1; i >= 0; i-- {
 		if s, ok := services[i].value.(Service); ok {
 			k.add(&g, services[i].name, s)
@@ -104,23 +104,23 @@
 	}
 	err := g.Run()
 	k.mu.Lock()
-	late := k.late
+	timedOut := k.timedOut
 	k.mu.Unlock()
-	if len(late) > 0 {
-		return fmt.Errorf("%v: %w", late, ErrStopTimeout)
+	if len(timedOut) > 0 {
+		return fmt.Errorf("%v: %w", timedOut, ErrStopTimeout)
 	}
-	if errors.Is(err, errKernelDone) {
+	if errors.Is(err, errStopRequested) {
 		return nil
 	}
 	return err
 }
 
-// addStop adds the actor that waits for ctx.
+// addStop adds the actor that waits for the end of ctx.
 func (k *Kernel) addStop(ctx context.Context, g *run.Group) {
 	inner, cancel := context.WithCancel(ctx)
 	g.Add(func() error {
 		<-inner.Done()
-		return errKernelDone
+		return errStopRequested
 	}, func(error) {
 		cancel()
 		k.mu.Lock()
@@ -129,12 +129,12 @@
 	})
 }
 
-// add adds one service: it runs on a context of its own, and the interrupt waits for its end, so
-// that the next one is stopped only after it.
+// add adds one service. The service has its own context, and its interrupt function waits until it has
+// stopped, so that the next service is stopped only after it.
 func (k *Kernel) add(g *run.Group, name string, s Service) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	released := make(chan struct{})
+	abandoned := make(chan struct{})
 	g.Add(func() error {
 		var err error
 		go func() {
@@ -143,7 +143,7 @@
 		}()
 		select {
 		case <-done:
-		case <-released:
+		case <-abandoned:
 			return fmt.Errorf("%s: %w", name, ErrStopTimeout)
 		}
 		if err != nil {
@@ -156,19 +156,19 @@
 	}, func(error) {
 		cancel()
 		k.mu.Lock()
-		by := k.stopBy
+		deadline := k.stopBy
 		k.mu.Unlock()
-		t := time.NewTimer(time.Until(by))
+		t := time.NewTimer(time.Until(deadline))
 		defer t.Stop()
 		select {
 		case <-done:
 			k.Log.Info("Service stopped.", "service", name)
 		case <-t.C:
 			k.mu.Lock()
-			k.late = append(k.late, name)
+			k.timedOut = append(k.timedOut, name)
 			k.mu.Unlock()
-			k.Log.Error("Service did not stop by the deadline.", "service", name, "deadline", by)
-			close(released)
+			k.Log.Error("Service did not stop by the deadline.", "service", name, "deadline", deadline)
+			close(abandoned)
 		}
 	})
 }
--- a/internal/sagekernel/kernel_test.go
+++ b/internal/sagekernel/kernel_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recorder is a service that notes its start and stop, and takes a while to stop.
+// recorder is a service that logs its stop, after a delay.
 type recorder struct {
-	name  string
-	takes time.Duration
-	fail  error
-	log   chan string
+	name      string
+	stopDelay time.Duration
+	fail      error
+	log       chan string
 }
 
 func (r *recorder) Run(ctx context.Context) error {
@@ -24,7 +24,7 @@
 		return r.fail
 	}
 	<-ctx.Done()
-	time.Sleep(r.takes)
+	time.Sleep(r.stopDelay)
 	r.log <- r.name
 	return nil
 }
@@ -34,8 +34,8 @@
 		log := make(chan string, 3)
 		k := &Kernel{StopTimeout: time.Minute}
 		k.Register("store", &recorder{name: "store", log: log})
-		k.Register("config", &recorder{name: "config", log: log, takes: time.Second})
-		k.Register("entry", &recorder{name: "entry", log: log, takes: 10 * time.Second})
+		k.Register("config", &recorder{name: "config", log: log, stopDelay: time.Second})
+		k.Register("entry", &recorder{name: "entry", log: log, stopDelay: 10 * time.Second})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		require.NoError(t, k.Run(ctx))
@@ -43,14 +43,14 @@
 	})
 }
 
-// A service hangs in its stop. The operator would see a process that never exits; the kernel gives
-// up on it at the deadline, stops the rest and names it.
+// A service hangs in its stop. Without a deadline the process would never exit. The kernel must abandon
+// the service at the deadline, stop the others and report its name.
 func TestStopDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := make(chan string, 2)
 		k := &Kernel{StopTimeout: 5 * time.Second}
 		k.Register("store", &recorder{name: "store", log: log})
-		k.Register("hung", &recorder{name: "hung", log: log, takes: time.Hour})
+		k.Register("hung", &recorder{name: "hung", log: log, stopDelay: time.Hour})
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		err := k.Run(ctx)
@@ -63,12 +63,12 @@
 
 func TestFailureStopsOtherServices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		boom := errors.New("port taken")
+		failure := errors.New("port taken")
 		log := make(chan string, 1)
 		k := &Kernel{StopTimeout: time.Second}
 		k.Register("store", &recorder{name: "store", log: log})
-		k.Register("entry", &recorder{fail: boom})
-		require.ErrorIs(t, k.Run(context.Background()), boom)
+		k.Register("entry", &recorder{fail: failure})
+		require.ErrorIs(t, k.Run(context.Background()), failure)
 		assert.Equal(t, "store", <-log)
 	})
 }
