--- a/cmd/sagestand/ticket.go
+++ b/cmd/sagestand/ticket.go
@@ -88,7 +88,7 @@
 
 func printStatus(w io.Writer, st *sageconfigd.TicketStatus) {
 	_, _ = fmt.Fprintf(w, "ticket %d, revision %d, accepted at %s: in force on %d nodes, not on %d\n",
-		st.Number, st.Revision, st.AcceptedAt.Format(time.RFC3339Nano), len(st.InForce), len(st.Lacking))
+		st.Number, st.Revision, st.AcceptedAt.Format(time.RFC3339Nano), len(st.InForce), len(st.NotInForce))
 	for _, n := range st.InForce {
 		since := "for long"
 		if !n.Since.IsZero() {
@@ -96,8 +96,8 @@
 		}
 		_, _ = fmt.Fprintf(w, "  in force  %-12s %-12s %s\n", n.Node, n.DataCentre, since)
 	}
-	for _, n := range st.Lacking {
-		_, _ = fmt.Fprintf(w, "  not       %-12s %-12s at revision %d, heard of at %s\n", n.Node, n.DataCentre, n.Revision, n.HeardAt.Format(time.RFC3339Nano))
+	for _, n := range st.NotInForce {
+		_, _ = fmt.Fprintf(w, "  not       %-12s %-12s at revision %d, heard of at %s\n", n.Node, n.DataCentre, n.Revision, n.LastContact.Format(time.RFC3339Nano))
 	}
 }
 
--- a/cmd/sagestand/unknown.go
+++ b/cmd/sagestand/unknown.go
@@ -59,7 +59,7 @@
 			if account == "" || ran == notRun {
 				return fmt.Errorf("%w: want --account and one of --ran and --not-run", sagecli.ErrUsage)
 			}
-			set := sageclaims.Settlement{Account: account, Key: args[0], ClaimID: args[1], Outcome: sagewire.Complete}
+			set := sageclaims.Resolution{Account: account, Key: args[0], ClaimID: args[1], Outcome: sagewire.Complete}
 			if notRun {
 				set.Outcome = sagewire.NotRun
 			}
--- a/internal/sageclaims/decode_test.go
+++ b/internal/sageclaims/decode_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// BenchmarkHeldAnswers says what a held answer of 300 bytes costs in memory.
-func BenchmarkHeldAnswers(b *testing.B) {
+// BenchmarkAnswerCache says what a held answer of 300 bytes costs in memory.
+func BenchmarkAnswerCache(b *testing.B) {
 	a := booked(strings.Repeat("x", 300)).Answer
 	h := held{limit: 8 << 20}
 	var before, after runtime.MemStats
--- a/internal/sageclaims/held.go
+++ b/internal/sageclaims/held.go
@@ -15,8 +15,8 @@
 // maxHeldAnswer is the greatest answer in bytes that is held for repeats.
 const maxHeldAnswer = 64 << 10
 
-// ErrBadAnswer reports a held answer that can't be told.
-var ErrBadAnswer = errors.New("malformed held answer")
+// ErrInvalidAnswer reports a held answer that can't be told.
+var ErrInvalidAnswer = errors.New("malformed held answer")
 
 // heldAnswer is an answer as it travels between nodes.
 type heldAnswer struct {
@@ -28,7 +28,7 @@
 // Check reports a status that no answer has.
 func (a *heldAnswer) Check() error {
 	if a.Status < 200 || a.Status > 599 {
-		return fmt.Errorf("status %d: %w", a.Status, ErrBadAnswer)
+		return fmt.Errorf("status %d: %w", a.Status, ErrInvalidAnswer)
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 func decodeAnswer(b []byte) (*sagedispatch.Answer, error) {
 	var a heldAnswer
 	if err := json.Unmarshal(b, &a); err != nil {
-		return nil, fmt.Errorf("decode answer: %v: %w", err, ErrBadAnswer)
+		return nil, fmt.Errorf("decode answer: %v: %w", err, ErrInvalidAnswer)
 	}
 	if err := a.Check(); err != nil {
 		return nil, fmt.Errorf("decode answer: %w", err)
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -40,12 +40,12 @@
 	// Dial returns the client for a node.
 	Dial func(addr string) claim.Claims
 	// HeldBytes bounds the answers held for repeats.
-	HeldBytes int
+	MaxAnswerBytes int
 	// SettleAfter is how long after its bucket a claim object is searched for unsettled requests; it
 	// exceeds the latest deadline that callers may set.
-	SettleAfter time.Duration
-	Log         sagelog.Logger
-	Metrics     *metrics.Set
+	SweepAfter time.Duration
+	Log        sagelog.Logger
+	Metrics    *metrics.Set
 
 	once     sync.Once
 	held     held
@@ -56,7 +56,7 @@
 
 func (s *Service) init() {
 	s.once.Do(func() {
-		s.held.limit = s.HeldBytes
+		s.held.limit = s.MaxAnswerBytes
 		if s.Metrics == nil {
 			s.Metrics = metrics.NewSet()
 		}
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -44,10 +44,10 @@
 		Dial: func(addr string) claim.Claims {
 			return claim.NewClaimsProtobufClient(peers.URL(addr), peers.HTTP())
 		},
-		HeldBytes:   cfg.Limits.HeldAnswersBytes,
-		SettleAfter: millis(cfg.Limits.DeadlineMillis) + settleSlack,
-		Log:         n.Log.Component("claims"),
-		Metrics:     n.metrics,
+		MaxAnswerBytes: cfg.Limits.HeldAnswersBytes,
+		SweepAfter:     millis(cfg.Limits.DeadlineMillis) + settleSlack,
+		Log:            n.Log.Component("claims"),
+		Metrics:        n.metrics,
 	}
 }
 
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -121,7 +121,7 @@
 	for _, n := range m.members.Table.Live() {
 		list = append(list, sageconfigd.NodeRevision{
 			Node: n.Name, DataCentre: n.DataCentre, Revision: n.Revision,
-			Since: m.members.RevisionSince(n.Incarnation), HeardAt: n.LastContact,
+			Since: m.members.RevisionSince(n.Incarnation), LastContact: n.LastContact,
 		})
 	}
 	return list
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -178,7 +178,7 @@
 		Listener: n.listeners["entry"], Config: conf,
 		Admission: admission,
 		Claims:    claims, Placement: placement, Retries: retries,
-		Dispatch: &sageloadd.Timed{Next: &sagedispatch.Dispatcher{Dial: load.Dial}, Load: load},
+		Dispatch: &sageloadd.TimedDispatcher{Next: &sagedispatch.Dispatcher{Dial: load.Dial}, Load: load},
 		Locator:  locator, Leaver: &resigner{Next: members, Load: load}, Recorder: sagemetrics.Fan{requests, burn},
 		Limits: cfg.Limits, Stop: cfg.Stop, Log: n.Log.Component("entry"),
 	}
