--- a/pkg/sagedrain/doc.go
+++ b/pkg/sagedrain/doc.go
@@ -10,7 +10,9 @@
 //
 // # Usage
 //
-//	m := &sagedrain.Machine{AnswerTTL: 30 * time.Second, PropagationDelay: 10 * time.Second, DrainTimeout: 5 * time.Minute}
+//	m := &sagedrain.Machine{
+//		AnswerTTL: 30 * time.Second, PropagationDelay: 10 * time.Second, DrainTimeout: 5 * time.Minute,
+//	}
 //	m.Leave(time.Now()) // and announce it
 //	for {
 //		switch m.Step(time.Now(), inFlight()) {
