--- a/internal/sagefollow/copy.go
+++ b/internal/sagefollow/copy.go
@@ -1,110 +1,112 @@
 package sagefollow
 
-// historyLength is how many deltas are kept for peers; older copies get everything.
+// historyLength is the number of recent deltas kept for peers. A peer with an older copy gets all objects.
 const historyLength = 64
 
-type step struct {
+// historyEntry is a delta and the revision that it starts from.
+type historyEntry struct {
 	from  uint64
 	delta Delta
 }
 
 // content is a copy of the objects of a kind.
 type content struct {
-	listed  bool
-	asOf    uint64
-	changed uint64
-	objects map[string]Object
-	history []step
+	listed    bool
+	asOf      uint64 // revision up to which the copy is complete
+	changedAt uint64 // revision as of which the content last changed
+	objects   map[string]Object
+	history   []historyEntry
 }
 
-// apply takes a delta in that leads on from the revision since, and returns what is new in it.
+// apply applies a delta that starts from the revision since, and returns the changes that took effect.
 //
-// It guards against a copy that goes back: an answer that was under way while a peer's newer one was
-// taken in still names old objects.
+// A delta older than the copy is ignored: it may have been in transit while a newer one from a peer was
+// applied, and would bring back objects that have been deleted since.
 func (c *content) apply(since uint64, d Delta) []Change {
 	if c.listed && d.AsOf < c.asOf {
 		return nil
 	}
 	changes := d.Changes
 	if d.Full {
-		changes = append(changes, c.missing(d.Changes)...)
+		changes = append(changes, c.deletions(d.Changes)...)
 	} else if !c.listed || since > c.asOf {
 		return nil
 	}
 	if c.objects == nil {
 		c.objects = make(map[string]Object)
 	}
-	var fresh []Change
+	var applied []Change
 	for _, ch := range changes {
-		if c.take(ch) {
-			fresh = append(fresh, ch)
+		if c.applyChange(ch) {
+			applied = append(applied, ch)
 		}
 	}
-	if len(fresh) > 0 || !c.listed {
-		c.changed = d.AsOf
-		c.remember(step{from: c.asOf, delta: Delta{Changes: fresh, AsOf: d.AsOf}})
+	if len(applied) > 0 || !c.listed {
+		c.changedAt = d.AsOf
+		c.appendHistory(historyEntry{from: c.asOf, delta: Delta{Changes: applied, AsOf: d.AsOf}})
 	}
 	c.listed, c.asOf = true, d.AsOf
-	return fresh
+	return applied
 }
 
-// missing returns a deletion for each object that a complete listing does not hold.
-func (c *content) missing(listed []Change) []Change {
-	have := make(map[string]bool, len(listed))
+// deletions returns a deletion for each object of the copy that is missing from a complete listing.
+func (c *content) deletions(listed []Change) []Change {
+	listedNames := make(map[string]bool, len(listed))
 	for _, ch := range listed {
-		have[ch.Object.Name] = true
+		listedNames[ch.Object.Name] = true
 	}
 	var out []Change
 	for name, o := range c.objects {
-		if !have[name] {
+		if !listedNames[name] {
 			out = append(out, Change{Object: o, Deleted: true})
 		}
 	}
 	return out
 }
 
-// take applies one change unless the copy holds the same or a newer state of the object.
-func (c *content) take(ch Change) bool {
-	held, ok := c.objects[ch.Object.Name]
+// applyChange applies one change unless the copy has the same or a newer revision of the object. It reports
+// whether the copy changed.
+func (c *content) applyChange(ch Change) bool {
+	current, ok := c.objects[ch.Object.Name]
 	if ch.Deleted {
-		if !ok || held.Revision > ch.Object.Revision {
+		if !ok || current.Revision > ch.Object.Revision {
 			return false
 		}
 		delete(c.objects, ch.Object.Name)
 		return true
 	}
-	if ok && held.Revision >= ch.Object.Revision {
+	if ok && current.Revision >= ch.Object.Revision {
 		return false
 	}
 	c.objects[ch.Object.Name] = ch.Object
 	return true
 }
 
-func (c *content) remember(s step) {
+func (c *content) appendHistory(e historyEntry) {
 	if len(c.history) >= historyLength {
 		c.history = append(c.history[:0], c.history[1:]...)
 	}
-	c.history = append(c.history, s)
+	c.history = append(c.history, e)
 }
 
-// since returns what leads on from a revision.
-func (c *content) since(rev uint64) Delta {
-	if rev >= c.changed && rev > 0 {
+// deltaSince returns the changes after a revision, or all objects if the history doesn't reach back to it.
+func (c *content) deltaSince(rev uint64) Delta {
+	if rev >= c.changedAt && rev > 0 {
 		return Delta{AsOf: c.asOf}
 	}
 	out := Delta{AsOf: c.asOf}
-	for i, s := range c.history {
-		if i == 0 && (s.from > rev || s.from == 0) {
-			return c.all()
+	for i, e := range c.history {
+		if i == 0 && (e.from > rev || e.from == 0) {
+			return c.fullDelta()
 		}
-		if s.delta.AsOf > rev {
-			out.Changes = append(out.Changes, s.delta.Changes...)
+		if e.delta.AsOf > rev {
+			out.Changes = append(out.Changes, e.delta.Changes...)
 		}
 	}
 	return out
 }
 
-func (c *content) all() Delta {
+func (c *content) fullDelta() Delta {
 	out := Delta{Full: true, AsOf: c.asOf}
 	for _, o := range c.objects {
 		out.Changes = append(out.Changes, Change{Object: o})
--- a/internal/sagefollow/doc.go
+++ b/internal/sagefollow/doc.go
@@ -1,22 +1,23 @@
-// Package sagefollow keeps a copy of one kind of objects of the platform's store and the proof of
-// how fresh it is.
+// Package sagefollow keeps a local copy of all objects of one kind in the platform's store, with a proof of
+// how fresh the copy is.
 //
-// A [Follower] lists the kind once. Then two nodes ask the store for all: the first by rank watches, so
-// that the fleet hears of changes as they happen, and the second polls, since the answer to a call that
-// doesn't wait proves at once how fresh the copy is. They tell the others up to which revision they know
-// everything and how old their proof is. A node that holds the same content takes the proof over; one
-// that lacks changes fetches them from the peer. A node whose proof grows too old, because these two
-// died, are cut off or are refused by the store, polls itself, those with a lower rank first. How old a
-// proof may get follows from the bound on changes of the kind, [Follower.MaxStaleness].
+// A [Follower] lists the kind once. After that, two nodes query the store for the whole fleet. The node of
+// rank 0 watches, so that changes arrive as they happen. The node of rank 1 polls, because the answer to a
+// call that doesn't wait for changes proves immediately how fresh the copy is. Both announce to their peers the
+// revision up to which their copy is complete and the age of their proof. A peer whose content is the same
+// adopts the proof; a peer that lacks changes fetches them from the announcing node. If the two nodes die, are
+// cut off or are refused by the store, proofs grow too old and the other nodes poll themselves, lower
+// ranks first. The age that triggers this follows from the bound on changes of the kind,
+// [Follower.MaxStaleness].
 //
-// No call holds a node up: one that isn't answered gets a fresh one beside it, and the first answer
-// anywhere in the fleet serves all.
+// An unanswered call doesn't block a node: a second call is made beside it, and the first answer that any
+// node of the fleet receives serves all nodes.
 //
 // # Usage
 //
 //	f := &sagefollow.Follower{Kind: "servers", Source: store, Peers: peers, Rank: rank, Apply: apply, ...}
 //	go f.Run(ctx)
-//	f.Told(peer, position, stamp) // what a peer's heartbeat says
-//	f.Since(revision)             // what a peer asks for
+//	f.HandlePosition(ctx, peer, position, stamp, fetchNow) // from a peer's heartbeat
+//	f.DeltaSince(revision)                                 // requested by a peer
 //	f.Proof.Age(sageclock.Now())
 package sagefollow
--- a/internal/sagefollow/follow_test.go
+++ b/internal/sagefollow/follow_test.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-func names(c *content) map[string]uint64 {
+func revisions(c *content) map[string]uint64 {
 	out := make(map[string]uint64)
 	for n, o := range c.objects {
 		out[n] = o.Revision
@@ -37,95 +37,95 @@
 func TestContentApply(t *testing.T) {
 	full := Delta{Full: true, AsOf: 10, Changes: []Change{obj("a", 3), obj("b", 9)}}
 	for _, tt := range []struct {
-		name  string
-		since uint64
-		delta Delta
-		want  map[string]uint64
-		fresh int
-		asOf  uint64
+		name    string
+		since   uint64
+		delta   Delta
+		want    map[string]uint64
+		applied int
+		asOf    uint64
 	}{
-		{"a change", 10, Delta{AsOf: 12, Changes: []Change{obj("a", 12)}}, map[string]uint64{"a": 12, "b": 9}, 1, 12},
-		{"a deletion", 10, Delta{AsOf: 12, Changes: []Change{del("b", 9)}}, map[string]uint64{"a": 3}, 1, 12},
-		{"nothing", 10, Delta{AsOf: 15}, map[string]uint64{"a": 3, "b": 9}, 0, 15},
-		// An answer that was under way for seconds names what was deleted since.
-		{"an old answer", 5, Delta{AsOf: 8, Changes: []Change{obj("c", 8)}}, map[string]uint64{"a": 3, "b": 9}, 0, 10},
-		{"known already", 5, Delta{AsOf: 12, Changes: []Change{obj("b", 9), obj("a", 11)}}, map[string]uint64{"a": 11, "b": 9}, 1, 12},
-		{"deleted and made anew", 10, Delta{AsOf: 14, Changes: []Change{del("b", 9), obj("b", 14)}}, map[string]uint64{"a": 3, "b": 14}, 2, 14},
-		{"a listing drops what it lacks", 0, Delta{Full: true, AsOf: 20, Changes: []Change{obj("b", 9), obj("d", 18)}}, map[string]uint64{"b": 9, "d": 18}, 2, 20},
-		{"changes from a later revision leave a gap", 30, Delta{AsOf: 40, Changes: []Change{obj("z", 40)}}, map[string]uint64{"a": 3, "b": 9}, 0, 10},
+		{"change", 10, Delta{AsOf: 12, Changes: []Change{obj("a", 12)}}, map[string]uint64{"a": 12, "b": 9}, 1, 12},
+		{"deletion", 10, Delta{AsOf: 12, Changes: []Change{del("b", 9)}}, map[string]uint64{"a": 3}, 1, 12},
+		{"no changes", 10, Delta{AsOf: 15}, map[string]uint64{"a": 3, "b": 9}, 0, 15},
+		// An answer that was delayed for seconds contains objects deleted since.
+		{"delayed old answer", 5, Delta{AsOf: 8, Changes: []Change{obj("c", 8)}}, map[string]uint64{"a": 3, "b": 9}, 0, 10},
+		{"partly known", 5, Delta{AsOf: 12, Changes: []Change{obj("b", 9), obj("a", 11)}}, map[string]uint64{"a": 11, "b": 9}, 1, 12},
+		{"deleted and created again", 10, Delta{AsOf: 14, Changes: []Change{del("b", 9), obj("b", 14)}}, map[string]uint64{"a": 3, "b": 14}, 2, 14},
+		{"listing removes missing objects", 0, Delta{Full: true, AsOf: 20, Changes: []Change{obj("b", 9), obj("d", 18)}}, map[string]uint64{"b": 9, "d": 18}, 2, 20},
+		{"changes after a gap are ignored", 30, Delta{AsOf: 40, Changes: []Change{obj("z", 40)}}, map[string]uint64{"a": 3, "b": 9}, 0, 10},
 	} {
 		c := new(content)
 		c.apply(0, full)
-		fresh := c.apply(tt.since, tt.delta)
-		require.Equal(t, tt.want, names(c), tt.name)
-		require.Len(t, fresh, tt.fresh, tt.name)
+		applied := c.apply(tt.since, tt.delta)
+		require.Equal(t, tt.want, revisions(c), tt.name)
+		require.Len(t, applied, tt.applied, tt.name)
 		require.Equal(t, tt.asOf, c.asOf, tt.name)
 	}
 }
 
-// A node that was behind asks a peer and is given less than it lacks, whatever revision it has.
-func TestSinceLeadsEveryRevisionToTheSameContent(t *testing.T) {
+// A delta from a peer must not leave out changes, whatever revision the receiver's copy has.
+func TestDeltaSinceBringsAnyRevisionUpToDate(t *testing.T) {
 	c := new(content)
 	c.apply(0, Delta{Full: true, AsOf: 10, Changes: []Change{obj("a", 3), obj("b", 9)}})
-	var copies []*content
+	var staleCopies []*content
 	for i := uint64(11); i < 200; i++ {
-		behind := new(content)
-		behind.apply(0, c.since(0))
-		copies = append(copies, behind)
+		stale := new(content)
+		stale.apply(0, c.deltaSince(0))
+		staleCopies = append(staleCopies, stale)
 		ch := obj(fmt.Sprintf("n%d", i%7), i)
 		if i%5 == 0 {
 			ch = del(fmt.Sprintf("n%d", i%7), i)
 		}
 		c.apply(c.asOf, Delta{AsOf: i, Changes: []Change{ch}})
 	}
-	for _, b := range copies {
-		b.apply(b.asOf, c.since(b.asOf))
-		require.Equal(t, names(c), names(b), "from %d", b.asOf)
+	for _, stale := range staleCopies {
+		stale.apply(stale.asOf, c.deltaSince(stale.asOf))
+		require.Equal(t, revisions(c), revisions(stale), "from %d", stale.asOf)
 	}
 }
 
-// store is a source of one kind.
-type store struct {
-	mu    sync.Mutex
-	c     content
-	down  bool
-	gone  bool
-	calls int
+// memoryStore is a [Source] that holds one kind in memory.
+type memoryStore struct {
+	mu          sync.Mutex
+	content     content
+	down        bool
+	historyGone bool
+	calls       int
 }
 
 var errDown = errors.New("down")
 
-func (s *store) put(ch Change) {
+func (s *memoryStore) put(ch Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.c.apply(s.c.asOf, Delta{AsOf: ch.Object.Revision, Changes: []Change{ch}})
+	s.content.apply(s.content.asOf, Delta{AsOf: ch.Object.Revision, Changes: []Change{ch}})
 }
 
-func (s *store) List(context.Context, string, string) (Page, error) {
+func (s *memoryStore) List(context.Context, string, string) (Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
 		return Page{}, errDown
 	}
-	s.gone = false
-	all := s.c.all()
+	s.historyGone = false
+	all := s.content.fullDelta()
 	return Page{Changes: all.Changes, AsOf: all.AsOf}, nil
 }
 
-func (s *store) Watch(_ context.Context, _ string, since uint64, wait time.Duration) (Delta, error) {
+func (s *memoryStore) Watch(_ context.Context, _ string, since uint64, wait time.Duration) (Delta, error) {
 	until := time.Now().Add(wait)
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		d, down, gone := s.c.since(since), s.down, s.gone
+		d, down, historyGone := s.content.deltaSince(since), s.down, s.historyGone
 		s.mu.Unlock()
 		switch {
 		case down:
 			return Delta{}, errDown
-		case gone:
+		case historyGone:
 			return Delta{}, fmt.Errorf("watch: %w", ErrGone)
 		case len(d.Changes) > 0 || !time.Now().Before(until):
 			return d, nil
@@ -134,35 +134,35 @@
 	}
 }
 
-func (s *store) ResetConnections() {}
+func (s *memoryStore) ResetConnections() {}
 
-func (s *store) set(f func(s *store)) {
+func (s *memoryStore) set(f func(s *memoryStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
 }
 
-// gate refuses one node's calls while it is shut.
+// gate refuses one node's calls while it is closed.
 type gate struct {
 	Source
-	shut atomic.Bool
+	closed atomic.Bool
 }
 
 func (g *gate) List(ctx context.Context, kind, after string) (Page, error) {
-	if g.shut.Load() {
+	if g.closed.Load() {
 		return Page{}, errDown
 	}
 	return g.Source.List(ctx, kind, after)
 }
 
 func (g *gate) Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (Delta, error) {
-	if g.shut.Load() {
+	if g.closed.Load() {
 		return Delta{}, errDown
 	}
 	return g.Source.Watch(ctx, kind, since, wait)
 }
 
-// fleet is some followers that tell each other their positions.
+// fleet is a set of followers that announce their positions to each other.
 type fleet struct {
 	followers []*Follower
 	gates     []*gate
@@ -199,15 +199,15 @@
 						continue
 					}
 					if c.Object.Revision < seen[c.Object.Name] {
-						t.Errorf("node %d went back to %d of %s", i, c.Object.Revision, c.Object.Name)
+						t.Errorf("node %d went back to revision %d of %s", i, c.Object.Revision, c.Object.Name)
 					}
 					seen[c.Object.Name] = c.Object.Revision
 				}
 			},
 		})
 	}
-	for _, fo := range f.followers {
-		wg.Go(func() { _ = fo.Run(ctx) })
+	for _, follower := range f.followers {
+		wg.Go(func() { _ = follower.Run(ctx) })
 	}
 	wg.Go(func() {
 		for ctx.Err() == nil {
@@ -239,47 +239,47 @@
 	}, 20*time.Second, 5*time.Millisecond, what)
 }
 
-// Callers are served by an old configuration after an outage: all nodes have to get to the newest
-// content after the store was down and after its history went, without ever going back.
-func TestAllNodesFollowThroughOutageAndLostHistory(t *testing.T) {
-	s := new(store)
-	s.c.apply(0, Delta{Full: true, AsOf: 1, Changes: []Change{obj("a", 1)}})
+// After an outage in which the store also lost its history, all nodes must reach the newest content without
+// going back to an older revision. Otherwise callers are served with an old configuration.
+func TestAllNodesCatchUpAfterOutageAndLostHistory(t *testing.T) {
+	s := new(memoryStore)
+	s.content.apply(0, Delta{Full: true, AsOf: 1, Changes: []Change{obj("a", 1)}})
 	f := newFleet(t, 6, s)
 	f.eventually(t, "first content", func(m map[string]uint64) bool { return m["a"] == 1 })
 	s.put(obj("a", 2))
 	f.eventually(t, "a change", func(m map[string]uint64) bool { return m["a"] == 2 })
-	s.set(func(s *store) { s.down = true })
+	s.set(func(s *memoryStore) { s.down = true })
 	s.put(obj("b", 3))
 	require.Eventually(t, func() bool { return f.followers[0].Failing() }, 20*time.Second, 5*time.Millisecond)
-	s.set(func(s *store) { s.down, s.gone = false, true })
+	s.set(func(s *memoryStore) { s.down, s.historyGone = false, true })
 	s.put(del("a", 4))
 	s.put(obj("c", 5))
-	f.eventually(t, "after the return", func(m map[string]uint64) bool { return m["b"] == 3 && m["c"] == 5 && m["a"] == 0 })
+	f.eventually(t, "content after the outage", func(m map[string]uint64) bool { return m["b"] == 3 && m["c"] == 5 && m["a"] == 0 })
 	require.False(t, f.followers[0].Failing())
 }
 
-// The nodes that watch are refused by the store, which serves the others: these have to ask it
-// themselves, and their proof serves all.
-func TestOthersAskWhenTheWatchersAreRefused(t *testing.T) {
-	s := new(store)
-	s.c.apply(0, Delta{Full: true, AsOf: 1, Changes: []Change{obj("a", 1)}})
+// When the store refuses the watching and the polling node but serves the others, those have to poll, and all
+// nodes have to adopt their proof.
+func TestOtherNodesPollWhenWatchersAreRefused(t *testing.T) {
+	s := new(memoryStore)
+	s.content.apply(0, Delta{Full: true, AsOf: 1, Changes: []Change{obj("a", 1)}})
 	f := newFleet(t, 4, s)
 	f.eventually(t, "first content", func(m map[string]uint64) bool { return m["a"] == 1 })
 	for _, g := range f.gates[:2] {
-		g.shut.Store(true)
+		g.closed.Store(true)
 	}
 	s.put(obj("a", 7))
 	f.eventually(t, "a change", func(m map[string]uint64) bool { return m["a"] == 7 })
 	require.Eventually(t, func() bool { return f.followers[0].Proof.Age(sageclock.Now()) < 2*time.Second }, 20*time.Second, time.Millisecond)
 }
 
-// paged lists one object a page and fails each second call.
-type paged struct {
+// pagedSource lists one object per page and fails every second call.
+type pagedSource struct {
 	names []string
 	calls int
 }
 
-func (p *paged) List(_ context.Context, _, after string) (Page, error) {
+func (p *pagedSource) List(_ context.Context, _, after string) (Page, error) {
 	p.calls++
 	if p.calls%2 == 0 {
 		return Page{}, errDown
@@ -296,47 +296,47 @@
 	return Page{AsOf: 10}, nil
 }
 
-func (p *paged) Watch(context.Context, string, uint64, time.Duration) (Delta, error) {
+func (p *pagedSource) Watch(context.Context, string, uint64, time.Duration) (Delta, error) {
 	return Delta{}, ErrGone
 }
 
-func (p *paged) ResetConnections() {}
+func (p *pagedSource) ResetConnections() {}
 
-// Engines beyond the first few hundred stay unknown for good: the store refuses some page of a long listing
-// each time, since many nodes list at once, and a listing that begins anew meets the same again.
-func TestListingGoesOnAfterAFailedPage(t *testing.T) {
-	src := &paged{names: []string{"a", "b", "c", "d"}}
+// While many nodes list at the same time, the store refuses some page of each long listing. A listing that restarts
+// from the first page never finishes, and engines beyond the first few hundred stay unknown.
+func TestListingResumesAfterFailedPage(t *testing.T) {
+	src := &pagedSource{names: []string{"a", "b", "c", "d"}}
 	f := &Follower{Source: src, Kind: "k"}
-	began := sageclock.Now()
+	started := sageclock.Now()
 	failed := 0
 	for {
 		d, at, err := f.list(t.Context())
 		if err != nil {
 			require.ErrorIs(t, err, errDown)
 			failed++
-			require.Less(t, failed, 4, "each call brings a page")
+			require.Less(t, failed, 4, "each call must get a page")
 			continue
 		}
 		require.Len(t, d.Changes, 4)
-		require.Equal(t, uint64(11), d.AsOf, "as of the first page")
-		require.Less(t, at.Sub(began), time.Second)
+		require.Equal(t, uint64(11), d.AsOf, "revision of the first page")
+		require.Less(t, at.Sub(started), time.Second)
 		break
 	}
 	require.Equal(t, 3, failed)
-	require.False(t, f.unfinished(sageclock.Now()))
+	require.False(t, f.hasPendingListing(sageclock.Now()))
 }
 
-// What changed since the first page of an old listing may be gone from the history: it begins anew.
-func TestOldListingBeginsAnew(t *testing.T) {
-	src := &paged{names: []string{"a", "b"}}
+// An old listing must restart, as the changes since its first page may be gone from the store's history.
+func TestExpiredListingRestarts(t *testing.T) {
+	src := &pagedSource{names: []string{"a", "b"}}
 	f := &Follower{Source: src, Kind: "k"}
 	_, _, err := f.list(t.Context())
 	require.ErrorIs(t, err, errDown)
-	require.True(t, f.unfinished(f.listing.began.Add(listingWithin)))
-	require.False(t, f.unfinished(f.listing.began.Add(listingWithin+1)))
-	f.listing.began -= sageclock.Instant(2 * listingWithin)
+	require.True(t, f.hasPendingListing(f.pendingListing.started.Add(maxListingAge)))
+	require.False(t, f.hasPendingListing(f.pendingListing.started.Add(maxListingAge+1)))
+	f.pendingListing.started -= sageclock.Instant(2 * maxListingAge)
 	_, _, err = f.list(t.Context())
 	require.ErrorIs(t, err, errDown)
-	require.Equal(t, "a", f.listing.next, "from the first page again")
-	require.Len(t, f.listing.delta.Changes, 1)
+	require.Equal(t, "a", f.pendingListing.next, "restarted from the first page")
+	require.Len(t, f.pendingListing.delta.Changes, 1)
 }
--- a/internal/sagefollow/follower.go
+++ b/internal/sagefollow/follower.go
@@ -11,73 +11,73 @@
 	"sagestand.example/sagestand/pkg/sagefresh"
 )
 
-// Times of a copy.
 const (
-	// peerWithin bounds a fetch from a peer: some hundred kilobytes over the slowest links.
-	peerWithin = 2 * time.Second
-	// farAfter is how long a node waits for the content to reach its own data centre before it
-	// fetches it from another one.
-	farAfter = 400 * time.Millisecond
-	// LongOutage is how long the store must have been out of sight for leases to have lapsed unseen.
-	// It lies above the usual age of the proofs and below the shortest lease, three heartbeats of an
-	// upstream.
+	// peerFetchTimeout is long enough for some hundred kilobytes over the slowest links.
+	peerFetchTimeout = 2 * time.Second
+	// remoteFetchDelay is how long a node waits for new content to reach its own data centre before it
+	// fetches the content from another one.
+	remoteFetchDelay = 400 * time.Millisecond
+	// LongOutage is the length of a store outage after which leases may have expired unobserved.
+	// It is above the usual age of proofs and below the shortest lease, three heartbeats of an upstream.
 	LongOutage = 2500 * time.Millisecond
 )
 
-// Follower follows one kind. Exported fields but Proof are set before Run.
+// Follower keeps a copy of the objects of one kind. Exported fields other than Proof are set before Run.
 type Follower struct {
 	Kind   string
 	Source Source
 	Peers  Peers
-	// Within is how old what a node knows may get before it must not be acted upon any more: the
-	// shortest bound that the platform sets on changes of this kind.
+	// MaxStaleness is the age beyond which a copy must not be used: the shortest bound that the platform
+	// sets on changes of this kind.
 	MaxStaleness time.Duration
-	// Rank is this node's place among the live nodes, 0 the first; blind says that the store does not
-	// answer this one.
-	Rank func(blind bool) int
-	// Apply takes changes in, first the whole content, which may be empty; returned says that the
-	// store had been out of sight for a while. Calls never overlap.
-	Apply func(changes []Change, returned bool)
-	// Reach is the proof of the store's answers to any kind, shared by all followers of a node.
+	// Rank returns this node's rank among the live nodes, 0 being the first. The argument says whether
+	// the store is unreachable from this node.
+	Rank func(storeUnreachable bool) int
+	// Apply handles changes. The first call gets the complete content, which may be empty. The flag
+	// afterOutage is set if the store had been unreachable for longer than [LongOutage]. Calls never overlap.
+	Apply func(changes []Change, afterOutage bool)
+	// StoreProof is the proof that the store answers calls for any kind, shared by all followers of a node.
 	StoreProof *sagefresh.Proof
-	// NotBefore is the instant before which a node that has nothing yet leaves the first listing to
-	// others; zero means at once.
+	// ListNotBefore is the instant before which a node without a copy doesn't list the kind itself but
+	// waits for its peers to do so. Zero means no wait.
 	ListNotBefore sageclock.Instant
-	// Scout follows another kind of the same store. While its calls fail as well as this one's, the store
-	// is away altogether, and it is left to the scout to find out when it is back; nil if this is the
-	// scout.
+	// Prober follows another kind of the same store. While the calls of both followers fail, the store
+	// is taken to be down, and only the prober retries at the usual rate until the store answers again.
+	// It is nil if this follower is the prober.
 	Prober *Follower
-	// Gather is how long a node waits after changes before it watches on, so that changes that come
-	// close together cost one call.
+	// BatchDelay is how long a node waits after changes before it resumes the watch, so that changes in
+	// quick succession cost one call.
 	BatchDelay time.Duration
-	// Lag is how old a peer's proof may get on its way, in heartbeats; nil means no time at all.
+	// PeerProofDelay returns how much a peer's proof may age while heartbeats carry it to this node. Nil
+	// means no delay.
 	PeerProofDelay func() time.Duration
-	// Changed is called after a change of the content, to tell the peers. Own says that the store
-	// itself told of it. May be nil.
-	OnChange func(own bool)
-	// Called is told of each call to the store; may be nil.
+	// OnChange is called after a change of the content, to announce it to the peers. The flag fromStore
+	// is set if the change came from the store and not from a peer. May be nil.
+	OnChange func(fromStore bool)
+	// OnCall is called after each call to the store; may be nil.
 	OnCall func(ok bool)
 	// Now is the clock; nil means [sageclock.Now].
 	Now func() sageclock.Instant
 	Log sagelog.Logger
 
+	// Proof proves how fresh the copy is.
 	Proof sagefresh.Proof
 
-	mu       sync.Mutex
-	listing  *listing          // unfinished and in nobody's hands; nil if none is
-	answered sageclock.Instant // when the last call that was answered began
-	content  content
-	fetching bool
-	lacking  sageclock.Instant // when a peer first had more; 0 if none has
-	failing  atomic.Bool
-	asOf     atomic.Uint64 // of the content, to be read while Apply runs
+	mu             sync.Mutex
+	pendingListing *listing          // unfinished and not in use by a call; may be nil
+	lastAnswered   sageclock.Instant // start of the latest call that was answered
+	content        content
+	fetching       bool
+	behindSince    sageclock.Instant // when a peer first announced content that this copy lacks; 0 if none did
+	failing        atomic.Bool
+	asOf           atomic.Uint64 // content.asOf, readable while Apply runs with mu held
 }
 
-// Position returns how far the copy is, for the peers.
+// Position returns the state of the copy that is announced to the peers.
 func (f *Follower) Position() Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := Position{AsOf: f.content.asOf, ContentRevision: f.content.changed, ProofAgeMillis: -1}
+	p := Position{AsOf: f.content.asOf, ContentRevision: f.content.changedAt, ProofAgeMillis: -1}
 	if !f.content.listed {
 		return p
 	}
@@ -91,24 +91,26 @@
 // [Follower.Apply] runs.
 func (f *Follower) AsOf() uint64 { return f.asOf.Load() }
 
-// Since answers a peer that knows everything up to a revision.
+// DeltaSince returns what a peer lacks whose copy is complete up to a revision, or the zero Delta before the
+// kind has been listed.
 func (f *Follower) DeltaSince(rev uint64) Delta {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.content.listed {
 		return Delta{}
 	}
-	return f.content.since(rev)
+	return f.content.deltaSince(rev)
 }
 
-// Told takes in the position that a peer stated after it had received stamp from this node. Near says
-// that what the peer has more may be fetched at once: it is in the same data centre, or this node is
-// the one that fetches for its own.
+// HandlePosition handles the position that a peer announced after it had received stamp from this node. If this
+// copy lacks nothing that the peer has, this node adopts the peer's proof, dated by the stamp. Otherwise it
+// fetches what it lacks: immediately if fetchNow is set, because the peer is in the same data centre or this
+// node fetches on behalf of its own, else after remoteFetchDelay.
 //
-// It guards against all nodes fetching a large configuration at once from the ones that ask the store,
-// whose links would need seconds for it. A peer that tells of a change and then answers nothing holds
-// this node up no longer than until its proof is too old, when it asks the store itself.
-func (f *Follower) HandlePosition(ctx context.Context, peer string, p Position, stamp sageclock.Instant, near bool) {
+// The delay prevents all nodes from fetching a large configuration at the same time from the nodes that query
+// the store, whose links would need seconds for it. A peer that announces a change and then doesn't answer
+// delays this node only until its proof is too old and it calls the store itself.
+func (f *Follower) HandlePosition(ctx context.Context, peer string, p Position, stamp sageclock.Instant, fetchNow bool) {
 	if p.AsOf == 0 || p.ProofAgeMillis < 0 {
 		return
 	}
@@ -116,7 +118,7 @@
 	if f.content.listed && f.content.asOf >= p.ContentRevision {
 		f.content.asOf = max(f.content.asOf, p.AsOf)
 		f.asOf.Store(f.content.asOf)
-		f.lacking = 0
+		f.behindSince = 0
 		f.mu.Unlock()
 		age := time.Duration(p.ProofAgeMillis) * time.Millisecond
 		f.Proof.Relayed(stamp, age)
@@ -124,24 +126,24 @@
 		return
 	}
 	now := f.now()
-	if f.lacking == 0 {
-		f.lacking = now
+	if f.behindSince == 0 {
+		f.behindSince = now
 	}
-	if !near && now.Sub(f.lacking) < farAfter {
+	if !fetchNow && now.Sub(f.behindSince) < remoteFetchDelay {
 		f.mu.Unlock()
 		return
 	}
-	start := !f.fetching
+	startFetch := !f.fetching
 	f.fetching = true
 	since := f.content.asOf
 	f.mu.Unlock()
-	if start {
+	if startFetch {
 		go f.fetch(ctx, peer, since)
 	}
 }
 
 func (f *Follower) fetch(ctx context.Context, peer string, since uint64) {
-	ctx, cancel := context.WithTimeout(ctx, peerWithin)
+	ctx, cancel := context.WithTimeout(ctx, peerFetchTimeout)
 	defer cancel()
 	d, err := f.Peers.Fetch(ctx, peer, f.Kind, since)
 	f.mu.Lock()
@@ -152,23 +154,23 @@
 		return
 	}
 	if d.AsOf > 0 {
-		f.take(since, d, false)
+		f.applyDelta(since, d, false)
 	}
 }
 
-// take applies a delta and tells the owner.
-func (f *Follower) take(since uint64, d Delta, own bool) {
+// applyDelta applies a delta to the copy and calls Apply and OnChange as needed.
+func (f *Follower) applyDelta(since uint64, d Delta, fromStore bool) {
 	f.mu.Lock()
-	first := !f.content.listed
-	returned := !first && f.StoreProof.Age(f.now()) > LongOutage
-	fresh := f.content.apply(since, d)
+	firstListing := !f.content.listed
+	afterOutage := !firstListing && f.StoreProof.Age(f.now()) > LongOutage
+	applied := f.content.apply(since, d)
 	f.asOf.Store(f.content.asOf)
-	if len(fresh) > 0 || returned || first && f.content.listed {
-		f.Apply(fresh, returned)
+	if len(applied) > 0 || afterOutage || firstListing && f.content.listed {
+		f.Apply(applied, afterOutage)
 	}
 	f.mu.Unlock()
-	if len(fresh) > 0 && f.OnChange != nil {
-		f.OnChange(own)
+	if len(applied) > 0 && f.OnChange != nil {
+		f.OnChange(fromStore)
 	}
 }
 
@@ -197,21 +199,21 @@
 // Failing reports whether this node's own last call to the store failed.
 func (f *Follower) Failing() bool { return f.failing.Load() }
 
-// lost notes that a call that began at an instant was not answered. One that was overtaken by an
-// answered call says nothing.
-func (f *Follower) lost(began sageclock.Instant, err error) {
+// recordFailure records that a call started at the given instant failed. It is ignored if a call started
+// later has been answered.
+func (f *Follower) recordFailure(started sageclock.Instant, err error) {
 	f.mu.Lock()
-	overtaken := f.answered > began
+	overtaken := f.lastAnswered > started
 	f.mu.Unlock()
 	if !overtaken && !f.failing.Swap(true) {
 		f.Log.Warn("Store does not answer.", "kind", f.Kind, "err", err)
 	}
 }
 
-// regained notes that a call that began at an instant was answered.
-func (f *Follower) regained(began sageclock.Instant) {
+// recordAnswer records that a call started at the given instant was answered.
+func (f *Follower) recordAnswer(started sageclock.Instant) {
 	f.mu.Lock()
-	f.answered = max(f.answered, began)
+	f.lastAnswered = max(f.lastAnswered, started)
 	f.mu.Unlock()
 	if f.failing.Swap(false) {
 		f.Log.Info("Store answers again.", "kind", f.Kind)
--- a/internal/sagefollow/listing.go
+++ b/internal/sagefollow/listing.go
@@ -8,65 +8,64 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// listingWithin is how long an unfinished listing may be continued: a quarter of the history that the
-// store keeps, since what changed after its first page comes from there.
-const listingWithin = 5 * time.Second
+// maxListingAge is how long an unfinished listing may be resumed. Changes after its first page come from the
+// store's history, of which this is a quarter.
+const maxListingAge = 5 * time.Second
 
-// listing is a listing of several pages under way. It is as of its first page: what changed since
-// comes again with the watch from there.
+// listing is a listing in progress that may have several pages. It has the revision of its first page; the
+// watch that starts there delivers later changes again.
 type listing struct {
-	delta Delta
-	next  string // where to go on
-	began sageclock.Instant
+	delta   Delta
+	next    string // name after which the next page begins
+	started sageclock.Instant
 }
 
 // list lists the kind and returns the instant as of which the listing is complete.
 //
-// It guards against a listing that never ends: a store that turns calls away above its rate refuses
-// some page of a long listing each time, and a listing that began anew would meet the same again. It
-// goes on where it stopped.
+// After a failed page the next call resumes where this one stopped. A store with a rate limit refuses some page
+// of a long listing each time, so a listing that restarted from the first page might never finish.
 func (f *Follower) list(ctx context.Context) (Delta, sageclock.Instant, error) {
-	l := f.takeListing(f.now())
-	if err := l.finish(ctx, f.Source, f.Kind); err != nil {
-		f.keepListing(l)
+	l := f.resumeListing(f.now())
+	if err := l.fetchPages(ctx, f.Source, f.Kind); err != nil {
+		f.saveListing(l)
 		return Delta{}, 0, err
 	}
-	return l.delta, l.began, nil
+	return l.delta, l.started, nil
 }
 
-// takeListing returns the unfinished listing, or a new one. Calls that overlap each have their own.
-func (f *Follower) takeListing(now sageclock.Instant) *listing {
+// resumeListing returns the unfinished listing, or a new one. Concurrent calls get separate listings.
+func (f *Follower) resumeListing(now sageclock.Instant) *listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := f.listing
-	f.listing = nil
-	if l == nil || !l.fresh(now) {
-		l = &listing{delta: Delta{Full: true}, began: now}
+	l := f.pendingListing
+	f.pendingListing = nil
+	if l == nil || !l.resumable(now) {
+		l = &listing{delta: Delta{Full: true}, started: now}
 	}
 	return l
 }
 
-// keepListing puts an unfinished listing back, unless one that is further stands there.
-func (f *Follower) keepListing(l *listing) {
+// saveListing stores an unfinished listing to be resumed, unless one with more pages is already stored.
+func (f *Follower) saveListing(l *listing) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listing == nil || f.listing.next < l.next {
-		f.listing = l
+	if f.pendingListing == nil || f.pendingListing.next < l.next {
+		f.pendingListing = l
 	}
 }
 
-// unfinished reports whether there is a listing to go on with.
-func (f *Follower) unfinished(now sageclock.Instant) bool {
+// hasPendingListing reports whether there is a listing to resume.
+func (f *Follower) hasPendingListing(now sageclock.Instant) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.listing != nil && f.listing.fresh(now)
+	return f.pendingListing != nil && f.pendingListing.resumable(now)
 }
 
-// fresh reports whether the listing may be continued.
-func (l *listing) fresh(now sageclock.Instant) bool { return now.Sub(l.began) <= listingWithin }
+// resumable reports whether the listing is young enough to be resumed.
+func (l *listing) resumable(now sageclock.Instant) bool { return now.Sub(l.started) <= maxListingAge }
 
-// finish gets the pages that are left.
-func (l *listing) finish(ctx context.Context, s Source, kind string) error {
+// fetchPages fetches the remaining pages.
+func (l *listing) fetchPages(ctx context.Context, s Source, kind string) error {
 	for {
 		p, err := s.List(ctx, kind, l.next)
 		if err != nil {
@@ -86,7 +85,7 @@
 // ListAll returns all objects of a kind.
 func ListAll(ctx context.Context, s Source, kind string) (Delta, error) {
 	l := listing{delta: Delta{Full: true}}
-	if err := l.finish(ctx, s, kind); err != nil {
+	if err := l.fetchPages(ctx, s, kind); err != nil {
 		return Delta{}, err
 	}
 	return l.delta, nil
--- /dev/null
+++ b/internal/sagefollow/outage_test.go
@@ -0,0 +1,459 @@
+package sagefollow
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"sagestand.example/sagestand/pkg/sageclock"
+	"sagestand.example/sagestand/pkg/sagefresh"
+)
+
+// The platform that the tests simulate.
+const (
+	// storeLatency is how long the store takes to answer.
+	storeLatency = 4 * time.Millisecond
+	// keyBound is the platform's bound on the age of keys, less the nodes' margin.
+	keyBound = 4800 * time.Millisecond
+	// contentBound is the platform's bound on changes, also used as MaxStaleness.
+	contentBound = 2 * time.Second
+	// handlingMargin is the part of contentBound reserved for handling a change inside a node.
+	handlingMargin    = 200 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
+)
+
+// virtualNow returns the time of the virtual clock.
+func virtualNow() sageclock.Instant { return sageclock.Instant(time.Now().UnixNano()) }
+
+// remoteStore is a store at the end of a network, in virtual time.
+type remoteStore struct {
+	mu       sync.Mutex
+	content  content
+	stalled  bool            // leaves all calls unanswered, also those in progress
+	refusing bool            // answers all calls with an error
+	latency  time.Duration   // of a call, half of it in each direction
+	cutOff   map[string]bool // nodes whose calls remain unanswered
+	calls    int
+}
+
+// storeLink is one node's network path to the store.
+type storeLink struct {
+	*remoteStore
+	node string
+}
+
+func newRemoteStore() *remoteStore {
+	s := &remoteStore{latency: storeLatency, cutOff: make(map[string]bool)}
+	s.content.apply(0, Delta{Full: true, AsOf: 1, Changes: []Change{obj("a", 1)}})
+	return s
+}
+
+func (s *remoteStore) set(f func(s *remoteStore)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	f(s)
+}
+
+func (s *remoteStore) put(ch Change) {
+	s.set(func(s *remoteStore) {
+		s.content.apply(s.content.asOf, Delta{AsOf: ch.Object.Revision, Changes: []Change{ch}})
+	})
+}
+
+func (s *remoteStore) callCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
+}
+
+// transit waits while a message is in transit, or until ctx ends if the message is lost.
+func (l *storeLink) transit(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+	}
+	l.mu.Lock()
+	lost, refused := l.stalled || l.cutOff[l.node], l.refusing
+	l.mu.Unlock()
+	if refused {
+		return errDown
+	}
+	if lost {
+		<-ctx.Done()
+		return ctx.Err()
+	}
+	return nil
+}
+
+func (l *storeLink) countCall() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls++
+}
+
+func (l *storeLink) oneWayLatency() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.latency / 2
+}
+
+func (l *storeLink) List(ctx context.Context, _, _ string) (Page, error) {
+	l.countCall()
+	if err := l.transit(ctx, l.oneWayLatency()); err != nil {
+		return Page{}, err
+	}
+	l.mu.Lock()
+	all := l.content.fullDelta()
+	l.mu.Unlock()
+	return Page{Changes: all.Changes, AsOf: all.AsOf}, l.transit(ctx, l.oneWayLatency())
+}
+
+func (l *storeLink) Watch(ctx context.Context, _ string, since uint64, wait time.Duration) (Delta, error) {
+	l.countCall()
+	if err := l.transit(ctx, l.oneWayLatency()); err != nil {
+		return Delta{}, err
+	}
+	until := time.Now().Add(wait)
+	for {
+		l.mu.Lock()
+		d := l.content.deltaSince(since)
+		l.mu.Unlock()
+		if len(d.Changes) > 0 || !time.Now().Before(until) {
+			return d, l.transit(ctx, l.oneWayLatency())
+		}
+		if err := l.transit(ctx, storeLatency); err != nil {
+			return Delta{}, err
+		}
+	}
+}
+
+func (l *storeLink) ResetConnections() {}
+
+// remoteNode is a node of a [remoteFleet].
+type remoteNode struct {
+	*Follower
+	mu               sync.Mutex
+	peerStamps       map[int]sageclock.Instant // last stamp received from each other node
+	storeUnreachable map[int]bool              // as reported by each other node
+	seen             map[string]uint64
+}
+
+// remoteFleet is a set of nodes that follow a store and exchange heartbeats.
+type remoteFleet struct {
+	nodes []*remoteNode
+	// unresponsive is a node that sends heartbeats but doesn't answer fetches; -1 for none.
+	unresponsive int
+}
+
+// Fetch implements [Peers].
+func (f *remoteFleet) Fetch(ctx context.Context, peer, _ string, since uint64) (Delta, error) {
+	time.Sleep(2 * time.Millisecond)
+	var i int
+	if _, err := fmt.Sscan(peer, &i); err != nil {
+		return Delta{}, err
+	}
+	if i == f.unresponsive {
+		<-ctx.Done()
+		return Delta{}, ctx.Err()
+	}
+	return f.nodes[i].DeltaSince(since), nil
+}
+
+// startFleet starts n nodes in a synctest bubble, which stop with ctx. Their probers are the followers of the given
+// fleet, if it isn't nil.
+func startFleet(ctx context.Context, s *remoteStore, n int, probers *remoteFleet) *remoteFleet {
+	f := &remoteFleet{unresponsive: -1}
+	for i := range n {
+		x := &remoteNode{peerStamps: make(map[int]sageclock.Instant), storeUnreachable: make(map[int]bool), seen: make(map[string]uint64)}
+		x.Follower = &Follower{
+			Kind: "k", Source: &storeLink{remoteStore: s, node: fmt.Sprint(i)}, Peers: f, MaxStaleness: contentBound, Now: virtualNow, StoreProof: new(sagefresh.Proof),
+			Rank:     func(storeUnreachable bool) int { return x.rank(i, n, storeUnreachable) },
+			Apply:    x.apply,
+			OnChange: func(bool) { go f.sendHeartbeat(ctx, i) },
+		}
+		if probers != nil {
+			x.Prober = probers.nodes[i].Follower
+		}
+		f.nodes = append(f.nodes, x)
+	}
+	for i, x := range f.nodes {
+		go func() { _ = x.Run(ctx) }()
+		go func() {
+			time.Sleep(time.Duration(i) * 29 * time.Millisecond) // heartbeats aren't synchronous
+			for ctx.Err() == nil {
+				f.sendHeartbeat(ctx, i)
+				time.Sleep(heartbeatInterval)
+			}
+		}()
+	}
+	return f
+}
+
+// rank returns the node's rank. Nodes that reach the store come before those that don't, and the latter count only
+// if this node doesn't reach it either.
+func (x *remoteNode) rank(self, n int, storeUnreachable bool) int {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	rank := 0
+	for i := range n {
+		switch {
+		case i == self || x.storeUnreachable[i] && !storeUnreachable:
+		case storeUnreachable && !x.storeUnreachable[i], i < self:
+			rank++
+		}
+	}
+	return rank
+}
+
+func (x *remoteNode) apply(cs []Change, _ bool) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, c := range cs {
+		x.seen[c.Object.Name] = c.Object.Revision
+	}
+}
+
+func (x *remoteNode) revisionOf(name string) uint64 {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.seen[name]
+}
+
+// sendHeartbeat sends one heartbeat of a node to all others.
+func (f *remoteFleet) sendHeartbeat(ctx context.Context, from int) {
+	x := f.nodes[from]
+	x.mu.Lock()
+	echoes := make(map[int]sageclock.Instant, len(x.peerStamps))
+	for i, at := range x.peerStamps {
+		echoes[i] = at
+	}
+	x.mu.Unlock()
+	p, storeUnreachable, stamp := x.Position(), x.Failing(), virtualNow()
+	time.Sleep(time.Millisecond)
+	for i, to := range f.nodes {
+		if i == from || ctx.Err() != nil {
+			continue
+		}
+		to.mu.Lock()
+		to.peerStamps[from], to.storeUnreachable[from] = stamp, storeUnreachable
+		to.mu.Unlock()
+		if echo := echoes[i]; echo != 0 {
+			to.HandlePosition(ctx, fmt.Sprint(from), p, echo, true)
+		}
+	}
+}
+
+// allFresh reports whether the proof of every node is fresh enough to use keys.
+func (f *remoteFleet) allFresh() bool {
+	for _, x := range f.nodes {
+		if x.Proof.Age(virtualNow()) >= keyBound {
+			return false
+		}
+	}
+	return true
+}
+
+// timeUntil returns the time until ok returns true, which it checks every millisecond, or limit if that is shorter.
+func timeUntil(limit time.Duration, ok func() bool) time.Duration {
+	started := time.Now()
+	for time.Since(started) < limit && !ok() {
+		time.Sleep(time.Millisecond)
+	}
+	return time.Since(started)
+}
+
+// inVirtualTime runs a test with a fleet of n nodes and a store in virtual time.
+func inVirtualTime(t *testing.T, n int, s *remoteStore, run func(t *testing.T, f *remoteFleet)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer time.Sleep(10 * time.Second) // a bubble ends when no goroutine in it sleeps any more
+		defer cancel()
+		run(t, startFleet(ctx, s, n, nil))
+	})
+}
+
+// The store leaves calls unanswered for some seconds and then works again. Each node must make new calls while
+// earlier ones are pending. If it waits for those to time out, callers are refused for lack of a fresh configuration
+// for five seconds longer than the outage.
+func TestProofsRecoverSoonAfterStoreStalls(t *testing.T) {
+	for _, outage := range []time.Duration{time.Second, 2 * time.Second, 3500 * time.Millisecond, 8 * time.Second, 20 * time.Second} {
+		for _, n := range []int{1, 2, 7} {
+			t.Run(fmt.Sprintf("%v with %d nodes", outage, n), func(t *testing.T) {
+				s := newRemoteStore()
+				inVirtualTime(t, n, s, func(t *testing.T, f *remoteFleet) {
+					for phase := range 8 {
+						time.Sleep(6*time.Second + time.Duration(phase)*137*time.Millisecond)
+						s.set(func(s *remoteStore) { s.stalled = true })
+						time.Sleep(outage)
+						s.set(func(s *remoteStore) { s.stalled = false })
+						require.Less(t, timeUntil(10*time.Second, f.allFresh), time.Second, "phase %d", phase)
+					}
+				})
+			})
+		}
+	}
+}
+
+// The store leaves all calls unanswered when the fleet starts.
+func TestStoreStalledAtStart(t *testing.T) {
+	s := newRemoteStore()
+	s.stalled = true
+	inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+		time.Sleep(5300 * time.Millisecond)
+		s.set(func(s *remoteStore) { s.stalled = false })
+		require.Less(t, timeUntil(10*time.Second, f.allFresh), time.Second)
+	})
+}
+
+// The store answers slowly for a long time. A node that abandons each call early never gets an answer.
+func TestSlowStoreKeepsCopiesFresh(t *testing.T) {
+	for _, latency := range []time.Duration{60 * storeLatency, 80 * storeLatency, time.Second} {
+		t.Run(latency.String(), func(t *testing.T) {
+			s := newRemoteStore()
+			inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+				time.Sleep(5 * time.Second)
+				s.set(func(s *remoteStore) { s.latency = latency })
+				time.Sleep(2 * time.Second)
+				for range 200 {
+					require.True(t, f.allFresh())
+					time.Sleep(100 * time.Millisecond)
+				}
+			})
+		})
+	}
+	t.Run("3s, changes only", func(t *testing.T) {
+		s := newRemoteStore()
+		inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+			time.Sleep(5 * time.Second)
+			s.set(func(s *remoteStore) { s.latency = 3 * time.Second })
+			time.Sleep(7 * time.Second)
+			s.put(obj("a", 2))
+			received := func() bool { return f.nodes[6].revisionOf("a") == 2 }
+			require.Less(t, timeUntil(20*time.Second, received), slowCallTimeout+2*time.Second)
+		})
+	})
+}
+
+// The watching and the polling node are cut off from the store without an error, the former during a watch, and an
+// upstream leaves at that moment. The other nodes must not take the missing reports for a time without changes.
+// Otherwise they send requests to the upstream after the two seconds within which they must stop.
+func TestChangesArriveInTimeWhenWatcherAndPollerAreCutOff(t *testing.T) {
+	for phase := range 41 {
+		at := time.Duration(phase) * 101 * time.Millisecond
+		t.Run(fmt.Sprint("cut off at ", at), func(t *testing.T) {
+			s := newRemoteStore()
+			inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+				time.Sleep(6*time.Second + at)
+				s.set(func(s *remoteStore) { s.cutOff["0"], s.cutOff["1"] = true, true })
+				time.Sleep(10 * time.Millisecond)
+				s.put(obj("a", 2))
+				all := func() bool {
+					for _, x := range f.nodes[2:] {
+						if x.revisionOf("a") != 2 {
+							return false
+						}
+					}
+					return true
+				}
+				require.Less(t, timeUntil(5*time.Second, all), contentBound-handlingMargin)
+			})
+		})
+	}
+}
+
+// Three pairs of nodes are cut off one after the other. Each time the next pair has to take over.
+func TestChangesArriveInTimeWhenPairAfterPairIsCutOff(t *testing.T) {
+	s := newRemoteStore()
+	inVirtualTime(t, 9, s, func(t *testing.T, f *remoteFleet) {
+		time.Sleep(6 * time.Second)
+		for pair := range 3 {
+			s.set(func(s *remoteStore) { s.cutOff[fmt.Sprint(2*pair)], s.cutOff[fmt.Sprint(2*pair+1)] = true, true })
+			time.Sleep(5 * time.Millisecond)
+			rev := uint64(pair + 2)
+			s.put(obj("a", rev))
+			all := func() bool {
+				for _, x := range f.nodes[2*pair+2:] {
+					if x.revisionOf("a") != rev {
+						return false
+					}
+				}
+				return true
+			}
+			require.Less(t, timeUntil(5*time.Second, all), contentBound-handlingMargin, "pair %d", pair)
+			time.Sleep(2300 * time.Millisecond)
+		}
+	})
+}
+
+// The watching node announces a change but doesn't answer the fetch of its content, since its link is full or it is
+// frozen. The other nodes must not wait for this node alone until the fetch times out after two seconds.
+func TestChangesArriveInTimeWhenAnnouncingPeerIsUnresponsive(t *testing.T) {
+	s := newRemoteStore()
+	inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+		time.Sleep(6 * time.Second)
+		f.unresponsive = 0
+		for rev := uint64(2); rev < 12; rev++ {
+			s.put(obj("a", rev))
+			all := func() bool {
+				for _, x := range f.nodes[1:] {
+					if x.revisionOf("a") != rev {
+						return false
+					}
+				}
+				return true
+			}
+			require.Less(t, timeUntil(5*time.Second, all), contentBound-handlingMargin, "change %d", rev)
+			time.Sleep(2100 * time.Millisecond)
+		}
+	})
+}
+
+// Without changes and failures only one node watches and one polls, so a minute costs few calls.
+func TestFewStoreCallsWithoutChanges(t *testing.T) {
+	s := newRemoteStore()
+	inVirtualTime(t, 7, s, func(t *testing.T, f *remoteFleet) {
+		time.Sleep(5 * time.Second)
+		before := s.callCount()
+		time.Sleep(time.Minute)
+		polls, watches := time.Minute.Seconds()/(pollFraction*contentBound.Seconds()), time.Minute/watchWait
+		require.LessOrEqual(t, s.callCount()-before, int(polls)+int(watches)+2)
+		require.True(t, f.allFresh())
+	})
+}
+
+// The store is down for ten seconds. Kinds with a prober must be polled rarely meanwhile, and again as soon as
+// the prober has an answer. Otherwise each node keeps calling the store for every kind during the outage.
+func TestOtherKindsWaitForProber(t *testing.T) {
+	for _, failure := range []string{"stalled", "refusing"} {
+		t.Run(failure, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(t.Context())
+				defer time.Sleep(10 * time.Second) // a bubble ends when no goroutine in it sleeps any more
+				defer cancel()
+				proberStore, otherStore := newRemoteStore(), newRemoteStore()
+				probers := startFleet(ctx, proberStore, 5, nil)
+				others := startFleet(ctx, otherStore, 5, probers)
+				time.Sleep(6 * time.Second)
+				setOutage := func(on bool) {
+					for _, s := range []*remoteStore{proberStore, otherStore} {
+						s.set(func(s *remoteStore) { s.stalled, s.refusing = on && failure == "stalled", on && failure == "refusing" })
+					}
+				}
+				setOutage(true)
+				time.Sleep(3 * time.Second)
+				before := otherStore.callCount()
+				time.Sleep(7 * time.Second)
+				require.LessOrEqual(t, otherStore.callCount()-before, 5*(int(7*time.Second/deferredPollInterval)+1))
+				setOutage(false)
+				require.Less(t, timeUntil(10*time.Second, func() bool { return probers.allFresh() && others.allFresh() }), time.Second)
+			})
+		})
+	}
+}
--- a/internal/sagefollow/poll.go
+++ b/internal/sagefollow/poll.go
@@ -8,112 +8,111 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// Who polls the store, and when.
+// Which node polls the store, and when.
 const (
-	// pollShare is the part of the bound on what a node knows after which the proof is renewed. With
-	// lateAfter, three ranks, a call and a heartbeat to all it stays below the bound of two seconds.
-	pollShare = 0.4
-	// pollRank is the rank of the node that polls. It isn't the one that watches, so that the fleet hears
-	// of changes, though later, while either is gone or cut off unnoticed.
+	// pollFraction is the fraction of MaxStaleness after which the proof is renewed. It leaves room for
+	// pollGrace, the delay of three ranks, a call and a heartbeat to all nodes within a bound of two seconds.
+	pollFraction = 0.4
+	// pollRank is the rank of the node that polls. It differs from watchRank, so that changes still reach
+	// the fleet, though later, while one of the two nodes is lost or cut off and this has not been noticed.
 	pollRank = 1
-	// lateAfter is by how much the age of a proof has to exceed the time between polls for another node
-	// to poll: two heartbeats, by which the stamps and the proof come, and an answer.
-	lateAfter = 500 * time.Millisecond
-	// perRank spreads the nodes that do so, up to spreadRanks of them, so that one of them serves the
-	// others in time.
-	perRank     = 40 * time.Millisecond
-	spreadRanks = 25
-	// freshAfter is when a call that isn't answered gets another one beside it: a hundred times the
-	// store's usual 4 ms.
-	freshAfter = 400 * time.Millisecond
-	// patientWithin is how long one of the calls under way may take, for a store that answers slowly.
-	// The others have answerWithin.
-	patientWithin = 6 * time.Second
-	// firstPause and longestPause bound the pause after a call that failed at once.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 600 * time.Millisecond
-	// perRankFailing is added to it for each place in the ranks: while the store is down for all, the
-	// first two find out when it is back and tell the others.
-	perRankFailing = 75 * time.Millisecond
-	// scoutedAfter is how often a kind is asked for whose scout finds the store away: the scout may be
-	// wrong about it, as the store may refuse calls of one kind.
-	scoutedAfter = 3 * time.Second
-	// seeAgainAfter is how often a node whose last call failed tries again although others' proofs
-	// reach it: until then it neither watches nor polls for the others.
-	seeAgainAfter = 2 * time.Second
+	// pollGrace is by how much the age of a proof has to exceed the time between polls before another node
+	// polls. It covers an answer of the store and the two heartbeats that carry the stamp and the proof.
+	pollGrace = 500 * time.Millisecond
+	// pollDelayPerRank is the additional delay of such a poll for each rank, up to maxDelayedRanks, so that
+	// the answer to one node usually reaches the others before they poll.
+	pollDelayPerRank = 40 * time.Millisecond
+	maxDelayedRanks  = 25
+	// hedgeDelay is the time after which an unanswered call is hedged with a second one: a hundred times
+	// the store's usual 4 ms.
+	hedgeDelay = 400 * time.Millisecond
+	// slowCallTimeout is the timeout of one of the calls in progress, for a store that answers slowly.
+	// The other calls have answerTimeout.
+	slowCallTimeout = 6 * time.Second
+	// initialRetryDelay and maxRetryDelay bound the mean delay after a call that failed before it was hedged.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 600 * time.Millisecond
+	// retryDelayPerRank, multiplied by the rank, is added to the delay of nodes above pollRank. While the store
+	// is down for all nodes, the first two detect that it is back and report it to the others.
+	retryDelayPerRank = 75 * time.Millisecond
+	// deferredPollInterval is how often a kind is polled while its prober finds the store down. The prober
+	// may be wrong for this kind, as the store may refuse the calls of a single kind.
+	deferredPollInterval = 3 * time.Second
+	// unreachableRetryInterval is how often a node whose last call failed retries while it gets fresh proofs
+	// from its peers. Until a call is answered it neither watches nor polls for the fleet.
+	unreachableRetryInterval = 2 * time.Second
 )
 
-// poller is the state of the polls under way.
+// poller is the state of the polls in progress.
 type poller struct {
 	f       *Follower
 	results chan result
-	// patient says that one call is under way that may take long.
-	patient bool
-	pause   time.Duration
-	began   sageclock.Instant // of the last call
+	// slowCallPending says that a call with slowCallTimeout is in progress.
+	slowCallPending bool
+	retryDelay      time.Duration     // mean delay after the next failure
+	lastStarted     sageclock.Instant // start of the last call
 }
 
-// result is how a call ended.
+// result is the outcome of a call.
 type result struct {
-	began   sageclock.Instant
-	patient bool
+	started sageclock.Instant
+	slow    bool // the call had slowCallTimeout
 	err     error
 }
 
-// poll renews the proof whenever this node is the one to.
+// poll renews the proof whenever it is this node's turn.
 //
-// It guards against a call that is never answered: a silent store, or a connection that went silent,
-// would hold a node up until the call's time is over, long after the store is back. A call that takes
-// long goes on, as the store may be slow, and a fresh one on a connection of its own goes beside it;
-// the first answer counts for all.
+// Calls that take long are hedged: the pending call continues, as the store may just be slow, another one is
+// made on a new connection, and the first answer counts. Without hedging, a stalled store or connection would
+// block the node until the call times out, long after the store is back.
 func (f *Follower) poll(ctx context.Context) {
-	p := &poller{f: f, results: make(chan result), pause: firstPause}
+	p := &poller{f: f, results: make(chan result), retryDelay: initialRetryDelay}
 	for ctx.Err() == nil {
-		if wait := f.untilDue(f.now(), p.began); wait > 0 {
-			p.idle(ctx, min(wait, checkEvery))
+		if wait := f.untilNextPoll(f.now(), p.lastStarted); wait > 0 {
+			p.waitForResult(ctx, min(wait, checkInterval))
 			continue
 		}
-		p.start(ctx)
-		p.await(ctx)
+		p.startCall(ctx)
+		p.awaitNextCall(ctx)
 	}
 }
 
-// untilDue returns the time until this node has to poll, zero or less if that is now.
+// untilNextPoll returns the time until this node has to poll; zero or less means now.
 //
-// It guards against an outage in which every node asks for every kind over and over: of three kinds two
-// wait for what the scout finds.
-func (f *Follower) untilDue(now, last sageclock.Instant) time.Duration {
+// While the store is down, kinds with a prober are polled rarely. Otherwise every node would keep calling the
+// store for every kind during an outage.
+func (f *Follower) untilNextPoll(now, lastStarted sageclock.Instant) time.Duration {
 	if f.Prober != nil && f.Failing() && f.Prober.Failing() {
-		return last.Add(scoutedAfter).Sub(now)
+		return lastStarted.Add(deferredPollInterval).Sub(now)
 	}
 	if !f.listed() {
 		return f.ListNotBefore.Sub(now)
 	}
 	rank := f.Rank(f.Failing())
-	allowed := time.Duration(pollShare * float64(f.MaxStaleness))
+	allowed := time.Duration(pollFraction * float64(f.MaxStaleness))
 	if rank != pollRank {
-		allowed += lateAfter + time.Duration(min(rank, spreadRanks))*perRank
+		allowed += pollGrace + time.Duration(min(rank, maxDelayedRanks))*pollDelayPerRank
 		if f.PeerProofDelay != nil {
 			allowed += f.PeerProofDelay()
 		}
 	}
 	wait := allowed - f.Proof.Age(now)
 	if f.Failing() {
-		wait = min(wait, last.Add(seeAgainAfter).Sub(now))
+		wait = min(wait, lastStarted.Add(unreachableRetryInterval).Sub(now))
 	}
 	return wait
 }
 
-// start makes one call.
-func (p *poller) start(ctx context.Context) {
-	r := result{began: p.f.now(), patient: !p.patient}
-	within := answerWithin
-	if r.patient {
-		within, p.patient = patientWithin, true
+// startCall starts one call.
+func (p *poller) startCall(ctx context.Context) {
+	r := result{started: p.f.now(), slow: !p.slowCallPending}
+	timeout := answerTimeout
+	if r.slow {
+		timeout, p.slowCallPending = slowCallTimeout, true
 	}
-	p.began = r.began
+	p.lastStarted = r.started
 	go func() {
-		_, r.err = p.f.ask(ctx, 0, within)
+		_, r.err = p.f.callStore(ctx, 0, timeout)
 		select {
 		case p.results <- r:
 		case <-ctx.Done():
@@ -121,31 +120,31 @@
 	}()
 }
 
-// await returns when the next call may be made: after an answer at once, after a call that failed at once
-// when a pause is over, and when nothing came for a while.
-func (p *poller) await(ctx context.Context) {
-	overdue := p.began.Add(freshAfter + p.f.spreadFailing())
+// awaitNextCall returns when the next call may be made: on an answer immediately, on a failure of the last call
+// after the retry delay, and if neither comes, when the call is due to be hedged.
+func (p *poller) awaitNextCall(ctx context.Context) {
+	hedgeAt := p.lastStarted.Add(hedgeDelay + p.f.rankRetryDelay())
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case r := <-p.results:
-			p.settle(r)
+			p.recordResult(r)
 			switch {
 			case r.err == nil:
 				return
-			case r.began == p.began:
-				p.idle(ctx, p.nextPause())
+			case r.started == p.lastStarted:
+				p.waitForResult(ctx, p.nextRetryDelay())
 				return
 			}
-		case <-time.After(overdue.Sub(p.f.now())):
+		case <-time.After(hedgeAt.Sub(p.f.now())):
 			p.f.Source.ResetConnections()
 			return
 		}
 	}
 }
 
-// idle waits, and notes how calls under way end meanwhile. An answer ends the wait.
-func (p *poller) idle(ctx context.Context, d time.Duration) {
+// waitForResult waits for d and records the results of calls that end meanwhile. An answer ends the wait.
+func (p *poller) waitForResult(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	for {
@@ -155,7 +154,7 @@
 		case <-t.C:
 			return
 		case r := <-p.results:
-			p.settle(r)
+			p.recordResult(r)
 			if r.err == nil {
 				return
 			}
@@ -163,28 +162,28 @@
 	}
 }
 
-// settle notes how a call ended.
-func (p *poller) settle(r result) {
-	if r.patient {
-		p.patient = false
+// recordResult records the outcome of a call.
+func (p *poller) recordResult(r result) {
+	if r.slow {
+		p.slowCallPending = false
 	}
 	if r.err == nil {
-		p.pause = firstPause
+		p.retryDelay = initialRetryDelay
 	}
-	p.f.ended(r.began, r.err)
+	p.f.recordCall(r.started, r.err)
 }
 
-// nextPause is how long to wait after a failure.
-func (p *poller) nextPause() time.Duration {
-	wait := p.pause/2 + rand.N(p.pause)
-	p.pause = min(2*p.pause, longestPause)
-	return wait + p.f.spreadFailing()
+// nextRetryDelay returns how long to wait after a failure and doubles the delay for the next one.
+func (p *poller) nextRetryDelay() time.Duration {
+	wait := p.retryDelay/2 + rand.N(p.retryDelay)
+	p.retryDelay = min(2*p.retryDelay, maxRetryDelay)
+	return wait + p.f.rankRetryDelay()
 }
 
-// spreadFailing is what a node waits longer before the next call for its place in the ranks.
-func (f *Follower) spreadFailing() time.Duration {
+// rankRetryDelay returns the additional delay before the next call that follows from this node's rank.
+func (f *Follower) rankRetryDelay() time.Duration {
 	if rank := f.Rank(true); rank > pollRank {
-		return time.Duration(rank) * perRankFailing
+		return time.Duration(rank) * retryDelayPerRank
 	}
 	return 0
 }
--- a/internal/sagefollow/source.go
+++ b/internal/sagefollow/source.go
@@ -8,63 +8,67 @@
 	"github.com/pkg/errors"
 )
 
-// ErrGone reports that the history after a revision is no longer there: the kind has to be listed.
+// ErrGone reports that the store no longer has the history after a revision, so the kind has to be listed.
 var ErrGone = errors.New("history is gone")
 
 // Object is one object of a kind.
 type Object struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
-	// Created is the revision at which it was created.
+	// Created is the revision at which the object was created.
 	Created uint64          `json:"created,omitempty"`
 	Spec    json.RawMessage `json:"spec,omitempty"`
-	// Status is what was written about the object since.
+	// Status is what has been written about the object since its creation.
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
-// Change is an object as it is now, or as it was when it was deleted.
+// Change is an object after a change, or in its last state if it was deleted.
 type Change struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Delta leads from one revision to another: all objects if Full, else what changed.
+// Delta brings a copy up to the revision AsOf. If Full is set it contains all objects, else the changes since the
+// revision for which it was requested.
 type Delta struct {
 	Full    bool     `json:"full,omitempty"`
 	Changes []Change `json:"changes,omitempty"`
 	AsOf    uint64   `json:"as_of"`
 }
 
-// Page is a part of a listing.
+// Page is one page of a listing.
 type Page struct {
 	Changes []Change
-	AsOf    uint64
+	// AsOf is the store's revision at which the page was read.
+	AsOf uint64
 	// Next is the name after which the next page begins; empty if this is the last one.
 	Next string
 }
 
 // Source is the store.
 type Source interface {
-	// List returns the objects of a kind with names after one, in order, or the first of them.
+	// List returns a page of the objects of a kind in the order of their names, starting behind the name
+	// after; an empty name means from the first.
 	List(ctx context.Context, kind, after string) (Page, error)
-	// Watch returns the changes after a revision, at the latest after wait, or [ErrGone].
+	// Watch returns the changes after a revision as soon as there are any, or none after wait. It returns
+	// [ErrGone] if the history after the revision is gone.
 	Watch(ctx context.Context, kind string, since uint64, wait time.Duration) (Delta, error)
-	// Renew has the next calls use connections that no call has used before.
+	// ResetConnections makes later calls use new connections.
 	ResetConnections()
 }
 
 // Peers are the other nodes.
 type Peers interface {
-	// Fetch returns what a peer knows of a kind beyond a revision.
+	// Fetch returns the changes of a kind after a revision that a peer knows.
 	Fetch(ctx context.Context, peer, kind string, since uint64) (Delta, error)
 }
 
-// Position is how far a copy is.
+// Position describes how current a copy is.
 type Position struct {
 	// AsOf is the revision of the store up to which the copy is complete.
 	AsOf uint64
-	// Content is the revision as of which the content last changed.
+	// ContentRevision is the revision as of which the content last changed.
 	ContentRevision uint64
-	// AgeMillis is the age of the proof; negative if there is none.
+	// ProofAgeMillis is the age of the freshness proof; negative if there is none.
 	ProofAgeMillis int64
 }
