--- a/internal/sagefollow/follower.go
+++ b/internal/sagefollow/follower.go
@@ -42,7 +42,7 @@
 	// waits for its peers to do so. Zero means no wait.
 	ListNotBefore sageclock.Instant
 	// Prober follows another kind of the same store. While the calls of both followers fail, the store
-	// is taken to be down, and only the prober retries at the usual rate until the store answers again.
+	// is considered down, and only the prober retries at the usual rate until the store answers again.
 	// It is nil if this follower is the prober.
 	Prober *Follower
 	// BatchDelay is how long a node waits after changes before it resumes the watch, so that changes in
--- a/internal/sagefollow/outage_test.go
+++ b/internal/sagefollow/outage_test.go
@@ -280,8 +280,8 @@
 }
 
 // The store leaves calls unanswered for some seconds and then works again. Each node must make new calls while
-// earlier ones are pending. If it waits for those to time out, callers are refused for lack of a fresh configuration
-// for five seconds longer than the outage.
+// earlier ones are pending. If it waits for those to time out, callers are refused for lack of a fresh
+// configuration for five seconds longer than the outage.
 func TestProofsRecoverSoonAfterStoreStalls(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 2 * time.Second, 3500 * time.Millisecond, 8 * time.Second, 20 * time.Second} {
 		for _, n := range []int{1, 2, 7} {
@@ -342,7 +342,7 @@
 }
 
 // The watching and the polling node are cut off from the store without an error, the former during a watch, and an
-// upstream leaves at that moment. The other nodes must not take the missing reports for a time without changes.
+// upstream leaves at that moment. The other nodes must not interpret the missing reports as a lack of changes.
 // Otherwise they send requests to the upstream after the two seconds within which they must stop.
 func TestChangesArriveInTimeWhenWatcherAndPollerAreCutOff(t *testing.T) {
 	for phase := range 41 {
--- a/internal/sagemesh/backlog.go
+++ b/internal/sagemesh/backlog.go
@@ -1,37 +1,37 @@
 package sagemesh
 
-// fact says that an upstream holds a prompt part, of which P is the name.
-type fact[P any] struct {
+// cachedPart says that an upstream has cached a prompt part. P is the type of the part's name.
+type cachedPart[P any] struct {
 	upstream string
 	part     P
 }
 
-// backlog keeps the newest facts that wait to be told, up to a number; older ones are dropped, since it costs no
-// more than a prompt that is read again. The zero value is ready.
+// backlog is a bounded queue of cached parts to be sent. When it is full the oldest ones are dropped; the cost of
+// a dropped entry is that a prompt may be processed again. The zero value is ready for use.
 type backlog[P any] struct {
-	facts []fact[P]
+	entries []cachedPart[P]
 }
 
-// add puts facts, given as parts by upstream, behind the others, of which most stay.
-func (b *backlog[P]) add(held map[string][]P, most int) {
+// add appends entries, given as parts by upstream, and keeps the newest ones up to the limit.
+func (b *backlog[P]) add(held map[string][]P, limit int) {
 	for u, parts := range held {
 		for _, p := range parts {
-			b.facts = append(b.facts, fact[P]{u, p})
+			b.entries = append(b.entries, cachedPart[P]{u, p})
 		}
 	}
-	b.facts = b.facts[max(0, len(b.facts)-most):]
+	b.entries = b.entries[max(0, len(b.entries)-limit):]
 }
 
-// take removes up to n facts, the oldest, and returns them as parts by upstream.
+// take removes up to n of the oldest entries and returns them as parts by upstream.
 func (b *backlog[P]) take(n int) map[string][]P {
-	n = min(n, len(b.facts))
+	n = min(n, len(b.entries))
 	if n == 0 {
 		return nil
 	}
 	held := make(map[string][]P)
-	for _, f := range b.facts[:n] {
-		held[f.upstream] = append(held[f.upstream], f.part)
+	for _, e := range b.entries[:n] {
+		held[e.upstream] = append(held[e.upstream], e.part)
 	}
-	b.facts = b.facts[n:]
+	b.entries = b.entries[n:]
 	return held
 }
--- a/internal/sagemesh/bench_test.go
+++ b/internal/sagemesh/bench_test.go
@@ -8,8 +8,8 @@
 	"sagestand.example/sagestand/internal/sagefollow"
 )
 
-// usual is a heartbeat of a node with n requests in flight at as many upstreams.
-func usual(n int) *Heartbeat {
+// typicalHeartbeat returns a heartbeat of a node with requests in flight at n upstreams.
+func typicalHeartbeat(n int) *Heartbeat {
 	h := &Heartbeat{
 		Address: "10.200.13.250:17040", Identity: Identity{"front-north-12", "10.200.13.250:18227", "north-one", 200}, Ready: true,
 		Stamp: Stamp{1 << 62, 1 << 50}, Echo: Stamp{1 << 62, 1 << 50}, InFlight: make(map[string]int),
@@ -25,7 +25,7 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{4, 12} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			h := usual(n)
+			h := typicalHeartbeat(n)
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -33,7 +33,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				data, err := (&extra{echo: h.Echo}).append(common)
+				data, err := (&receiverFields{echo: h.Echo}).append(common)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -47,32 +47,32 @@
 	}
 }
 
-// BenchmarkSizes plays fleets of several sizes in virtual time and reports what a node sends, how old news
-// gets and how long a dead node stays known.
-func BenchmarkSizes(b *testing.B) {
+// BenchmarkFleetSizes simulates fleets of several sizes in virtual time and reports how much a node sends and how
+// long a dead node stays live in the view of others.
+func BenchmarkFleetSizes(b *testing.B) {
 	for _, n := range []int{8, 30, 100, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				v := newVirtual(b, 1, n, min(n/2, manyCentres))
-				v.play(5 * time.Second)
+				v := newVirtualFleet(b, 1, n, min(n/2, largeFleetCentres))
+				v.advance(5 * time.Second)
 				sent := make([]int, n)
 				bytes := make([]int, n)
 				for i, x := range v.nodes {
 					sent[i], bytes[i] = x.sent, x.bytes
 				}
-				const plays = 5
-				v.play(plays * time.Second)
+				const measuredSeconds = 5
+				v.advance(measuredSeconds * time.Second)
 				total, most, size, largest := 0, 0, 0, 0
 				for i, x := range v.nodes {
 					total, most = total+x.sent-sent[i], max(most, x.sent-sent[i])
 					size, largest = size+x.bytes-bytes[i], max(largest, x.bytes-bytes[i])
 				}
-				v.nodes[n/2].dark = true
-				gone := v.until(inTime, func() bool { return v.naming() == 0 })
-				b.ReportMetric(float64(total)/plays/float64(n), "datagrams/s")
-				b.ReportMetric(float64(most)/plays, "most_datagrams/s")
-				b.ReportMetric(float64(size)/plays/float64(n), "B/s")
-				b.ReportMetric(float64(largest)/plays, "most_B/s")
+				v.nodes[n/2].down = true
+				gone := v.advanceUntil(detectionLimit, func() bool { return v.countStaleViews() == 0 })
+				b.ReportMetric(float64(total)/measuredSeconds/float64(n), "datagrams/s")
+				b.ReportMetric(float64(most)/measuredSeconds, "most_datagrams/s")
+				b.ReportMetric(float64(size)/measuredSeconds/float64(n), "B/s")
+				b.ReportMetric(float64(largest)/measuredSeconds, "most_B/s")
 				b.ReportMetric(gone.Seconds(), "s_until_gone")
 			}
 		})
--- a/internal/sagemesh/codec.go
+++ b/internal/sagemesh/codec.go
@@ -14,10 +14,10 @@
 	"sagestand.example/sagestand/pkg/sagequarantine"
 )
 
-// ErrHeartbeat reports a datagram that is no heartbeat.
+// ErrHeartbeat reports a datagram that isn't a valid heartbeat.
 var ErrHeartbeat = errors.New("malformed heartbeat")
 
-// encode returns what all receivers of a heartbeat get, to be completed by [extra.append].
+// encode returns the encoded fields that all receivers get. [receiverFields.append] adds the others.
 func (h *Heartbeat) encode() ([]byte, error) {
 	address, err := packAddress(h.Address)
 	if err != nil {
@@ -33,24 +33,24 @@
 	for kind, p := range h.Copies {
 		m.Copies = append(m.Copies, &heartbeat.Copy{Kind: kind, AsOf: p.AsOf, Content: p.ContentRevision, AgeMillis: p.ProofAgeMillis})
 	}
-	m.Upstreams, m.InFlight = columns(h.InFlight)
+	m.Upstreams, m.InFlight = toColumns(h.InFlight)
 	if h.Sum != nil {
 		m.Sum = &heartbeat.Sum{All: h.Sum.FleetWide}
-		m.Sum.Upstreams, m.Sum.InFlight = columns(h.Sum.InFlight)
-		m.Sum.BrokenUpstreams, m.Sum.Broken = columns(h.Sum.Broken)
-		m.Sum.AnswerKeys, m.Sum.Answers = columns(h.Sum.Answers)
+		m.Sum.Upstreams, m.Sum.InFlight = toColumns(h.Sum.InFlight)
+		m.Sum.BrokenUpstreams, m.Sum.Broken = toColumns(h.Sum.Broken)
+		m.Sum.AnswerKeys, m.Sum.Answers = toColumns(h.Sum.Answers)
 	}
-	m.AnswerKeys, m.Answers = columns(h.Answers)
+	m.AnswerKeys, m.Answers = toColumns(h.Answers)
 	m.Plans = packPlans(h.Stamp.At, h.Plans)
 	for _, r := range h.Crashes {
-		m.Crashes = append(m.Crashes, &heartbeat.Crash{Id: uint64(r.Crash), Suspects: plain[uint64](r.Suspects)})
+		m.Crashes = append(m.Crashes, &heartbeat.Crash{Id: uint64(r.Crash), Suspects: convert[uint64](r.Suspects)})
 	}
-	m.Cleared = plain[uint64](h.Cleared)
+	m.Cleared = convert[uint64](h.Cleared)
 	for u, parts := range h.Held {
 		m.Held = append(m.Held, &heartbeat.Held{Upstream: u, Parts: parts})
 	}
 	for u, parts := range h.Listed {
-		m.Listed = append(m.Listed, &heartbeat.Listed{Upstream: u, Hashes: plain[uint32](parts)})
+		m.Listed = append(m.Listed, &heartbeat.Listed{Upstream: u, Hashes: convert[uint32](parts)})
 	}
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -59,19 +59,19 @@
 	return b, nil
 }
 
-// extra is what one receiver of a heartbeat gets beside what all get.
-type extra struct {
+// receiverFields are the fields of a heartbeat that depend on the receiver.
+type receiverFields struct {
 	echo Stamp
-	// identity is the sender's for a receiver that lacks it; nil for the others.
-	identity *Identity
-	known    []string
-	// soon says that the receiver is told again at the shortest interval.
-	soon bool
+	// identity is the sender's identity for a receiver that lacks it; nil for others.
+	identity       *Identity
+	knownAddresses []string
+	// shortInterval says that the sender sends to the receiver at the shortest interval.
+	shortInterval bool
 }
 
-// append completes an encoded heartbeat, which stays as it is, for one receiver.
-func (x *extra) append(common []byte) ([]byte, error) {
-	m := &heartbeat.Heartbeat{Soon: x.soon}
+// append returns a copy of the encoded common fields with those for one receiver added.
+func (x *receiverFields) append(common []byte) ([]byte, error) {
+	m := &heartbeat.Heartbeat{Soon: x.shortInterval}
 	if x.echo != (Stamp{}) {
 		m.Echo = &heartbeat.Stamp{Incarnation: x.echo.Incarnation, At: int64(x.echo.At)}
 	}
@@ -79,7 +79,7 @@
 		m.Identity = &heartbeat.Identity{Node: id.Node, Entry: id.Entry, DataCentre: id.DataCentre, LinkMbps: uint32(id.LinkMbps)}
 	}
 	var err error
-	if m.Known, err = packAddresses(x.known); err != nil {
+	if m.Known, err = packAddresses(x.knownAddresses); err != nil {
 		return nil, fmt.Errorf("complete heartbeat: %w", err)
 	}
 	out, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], m)
@@ -89,7 +89,7 @@
 	return out, nil
 }
 
-// decode reads a datagram that came at an instant.
+// decode decodes a datagram received at the instant now.
 func decode(now sageclock.Instant, b []byte) (*Heartbeat, error) {
 	m := new(heartbeat.Heartbeat)
 	if err := proto.Unmarshal(b, m); err != nil {
@@ -110,7 +110,7 @@
 	h := &Heartbeat{
 		Address: address, Identity: Identity{Node: id.GetNode(), Entry: id.GetEntry(), DataCentre: id.GetDataCentre(), LinkMbps: int(id.GetLinkMbps())},
 		Ready: m.GetReady(), Leaving: m.GetLeaving(), StoreUnreachable: m.GetBlind(), Synced: m.GetInformed(), Broken: m.GetBroken(),
-		Stamp: stamp(m.GetStamp()), Echo: stamp(m.GetEcho()),
+		Stamp: decodeStamp(m.GetStamp()), Echo: decodeStamp(m.GetEcho()),
 		Copies: make(map[string]sagefollow.Position, len(m.GetCopies())), InFlight: counts,
 		ShortInterval: m.GetSoon(), ReplyRequested: m.GetAsk(), Forward: m.GetPass(),
 	}
@@ -140,10 +140,10 @@
 	}
 	for _, c := range m.GetCrashes() {
 		h.Crashes = append(h.Crashes, sagequarantine.Report{
-			Crash: sagequarantine.CrashID(c.GetId()), Suspects: plain[sagequarantine.Fingerprint](c.GetSuspects()),
+			Crash: sagequarantine.CrashID(c.GetId()), Suspects: convert[sagequarantine.Fingerprint](c.GetSuspects()),
 		})
 	}
-	h.Cleared = plain[sagequarantine.Fingerprint](m.GetCleared())
+	h.Cleared = convert[sagequarantine.Fingerprint](m.GetCleared())
 	if len(m.GetHeld()) > 0 {
 		h.Held = make(map[string][]uint64, len(m.GetHeld()))
 	}
@@ -154,7 +154,7 @@
 		h.Listed = make(map[string][]sagechain.PartHash, len(m.GetListed()))
 	}
 	for _, p := range m.GetListed() {
-		h.Listed[p.GetUpstream()] = plain[sagechain.PartHash](p.GetHashes())
+		h.Listed[p.GetUpstream()] = convert[sagechain.PartHash](p.GetHashes())
 	}
 	if h.KnownAddresses, err = unpackAddresses(m.GetKnown()); err != nil {
 		return nil, err
@@ -165,8 +165,8 @@
 	return h, nil
 }
 
-// columns returns counts by upstream as two lists of equal length.
-func columns(counts map[string]int) (upstreams []string, numbers []uint32) {
+// toColumns returns the positive counts by upstream as two slices of equal length.
+func toColumns(counts map[string]int) (upstreams []string, numbers []uint32) {
 	for u, n := range counts {
 		if n > 0 {
 			upstreams, numbers = append(upstreams, u), append(numbers, uint32(n))
@@ -186,8 +186,8 @@
 	return counts, nil
 }
 
-// plain converts a list of numbers to another name of their type.
-func plain[To, From ~uint32 | ~uint64](in []From) []To {
+// convert converts a slice of numbers to another element type.
+func convert[To, From ~uint32 | ~uint64](in []From) []To {
 	if len(in) == 0 {
 		return nil
 	}
@@ -198,11 +198,11 @@
 	return out
 }
 
-func stamp(s *heartbeat.Stamp) Stamp {
+func decodeStamp(s *heartbeat.Stamp) Stamp {
 	return Stamp{Incarnation: s.GetIncarnation(), At: sageclock.Instant(s.GetAt())}
 }
 
-// packAddress returns an IPv4 address and port in six bytes.
+// packAddress encodes an IPv4 address and port in six bytes.
 func packAddress(address string) ([]byte, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || !a.Addr().Is4() {
--- a/internal/sagemesh/doc.go
+++ b/internal/sagemesh/doc.go
@@ -1,41 +1,43 @@
-// Package sagemesh lets the nodes tell each other what they are and know, by datagrams.
+// Package sagemesh exchanges heartbeats between the nodes of a fleet as datagrams.
 //
-// Each node sends a [Heartbeat] to every other one some times a second, much less often in a large fleet.
-// It carries what changes all the time and may be lost: whether the node serves, how far its copies
-// of the store are, its requests in flight, which upstreams fail it, which engines hold which prompt
-// parts. Datagrams need no connection, so none can go silent unnoticed. Larger things, the content of
-// copies, are fetched over HTTP ([Fetcher]).
+// Each node sends a [Heartbeat] to every other one some times a second, much less often in a large fleet. It
+// carries state that changes often and may be lost: whether the node serves, how current its copies of the store
+// are, its requests in flight, the upstreams whose exchanges with it break, and which engines have cached which
+// prompt parts. Datagrams need no connection, so there is none that can stall unnoticed. Larger data, such as
+// the content of copies, is fetched over HTTP ([Fetcher]).
 //
-// # Hubs
+// # Aggregators
 //
-// In a fleet of more than some twenty nodes one node of each data centre is its hub, and another one its
-// deputy. Nodes tell both at the shortest interval. The hub adds up what its nodes count, tells the other hubs the sum and its
-// nodes the total, and passes on which engine holds which part and which nodes fell silent. Nobody
-// appoints a hub: each node takes the one with the widest link of those that it hears. Without hubs
-// everything but the sums and what engines listed still comes with the rounds to all, later. The nodes that stand by for the
-// store tell each other at the shortest interval as well.
+// In a fleet of more than twenty nodes, one node of each data centre is its aggregator and another one the backup
+// aggregator. Nodes send heartbeats to both at the shortest interval. The aggregator adds up the counts of its
+// nodes, sends the sum to the other aggregators and the total of all data centres to its nodes, and forwards which
+// engine has cached which prompt part and which nodes are unresponsive. There is no election: each node regards
+// the one with the widest link among those in contact as the aggregator. Without aggregators, everything but the
+// sums and the prompt parts listed by engines still arrives later, with the broadcast rounds. The standby nodes,
+// which query the store or stand by to do so, also exchange heartbeats at the shortest interval.
 //
-// # Silence
+// # Liveness
 //
-// A node that is silent for too long is asked for a heartbeat, and dropped if it does not answer at once. What is
-// too long depends on how soon the node has to speak; a hub's word that a node is silent only has it asked.
+// A node without contact for too long is probed, and dropped if it doesn't reply soon. How long that is depends
+// on the interval at which its heartbeats are expected. An aggregator's report that a node is unresponsive only
+// causes a probe.
 //
 // # Proofs and identities
 //
-// A heartbeat echoes the stamp of the last one that came from its receiver, by which the receiver
-// dates what it is told (see package sagefresh). Stamps carry the incarnation of their process, so
-// that one from before a restart is never taken for a newer one. Who the sender is goes only to
-// receivers that haven't echoed a stamp of its incarnation.
+// A heartbeat echoes the last stamp that its sender received from the receiver, by which the receiver dates the
+// content (see package sagefresh). Stamps contain the incarnation of their process, so that a stamp from before a
+// restart is never mistaken for a newer one. A heartbeat contains the sender's identity only for receivers that
+// have not echoed a stamp of the sender's incarnation.
 //
 // # Usage
 //
 //	m := &sagemesh.Service{
-//		Name: "vm1", Address: "10.0.0.1:7340", DataCentre: "north", LinkMbps: 200, Seeds: seeds,
-//		Fill: fill, FillSum: fillSum, FillNews: fillNews, Heard: heard, Joined: joined, Lost: lost,
+//		Name: "vm1", Address: "10.0.0.1:7340", DataCentre: "north", LinkMbps: 200, Seeds: seeds, Fill: fill,
+//		FillSum: fillSum, FillUpdates: fillUpdates, OnHeartbeat: onHeartbeat, OnJoined: onJoined, OnLost: onLost,
 //	}
 //	if err := m.Open(); err != nil { ... }
 //	go m.Run(ctx)
-//	m.Nudge(true)      // tell everyone now
-//	m.Live()           // the nodes heard of lately
-//	m.Rank(false)      // this node's place among them
+//	m.TriggerHeartbeats(true) // send to all nodes now
+//	m.Live()                  // the other live nodes
+//	m.Rank(false)             // this node's rank among them
 package sagemesh
--- a/internal/sagemesh/fetch.go
+++ b/internal/sagemesh/fetch.go
@@ -18,16 +18,16 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// copiesPath is where a node answers other nodes with the content of its copies.
+// copiesPath is the path under which a node serves the content of its copies to its peers.
 const copiesPath = "/v1/copies/"
 
-// heldPath is where it answers with what it knows of the holders of prompt parts.
+// heldPath is the path at which a node serves the cache holders of prompt parts to its peers.
 const heldPath = "/v1/held"
 
-// ErrStatus reports a peer that did not answer with content.
+// ErrStatus reports a peer's response with a status other than 200.
 var ErrStatus = errors.New("peer refused")
 
-// Fetcher gets copies from peers. HTTP is set before use.
+// Fetcher fetches copies and cache holders from peers. HTTP is set before use.
 type Fetcher struct {
 	HTTP *http.Client
 }
@@ -39,22 +39,22 @@
 	return d, err
 }
 
-// Holders are prompt parts by the upstreams that hold them.
+// Holders are the prompt parts that each upstream has cached.
 type Holders struct {
-	// Told is what nodes saw.
+	// Observed are the parts that nodes observed in requests.
 	Observed map[string][]uint64 `json:"told"`
-	// Listed is what upstreams listed themselves.
+	// Listed are the parts that the upstreams listed themselves.
 	Listed map[string][]sagechain.PartHash `json:"listed"`
 }
 
-// Held returns the prompt parts that a peer knows each upstream to hold.
+// FetchHolders returns the prompt parts that each upstream has cached in the view of a peer.
 func (f *Fetcher) FetchHolders(ctx context.Context, peer string) (Holders, error) {
 	var held Holders
 	err := f.get(ctx, peer, heldPath, &held)
 	return held, err
 }
 
-// get decodes a peer's answer into out.
+// get sends a request to a peer and decodes the response into out.
 func (f *Fetcher) get(ctx context.Context, peer, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer+path, nil)
 	if err != nil {
@@ -62,38 +62,38 @@
 	}
 	res, err := f.HTTP.Do(req)
 	if err != nil {
-		return fmt.Errorf("ask peer: %w", err)
+		return fmt.Errorf("send request to peer: %w", err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d: %w", res.StatusCode, ErrStatus)
 	}
 	if err := json.NewDecoder(res.Body).Decode(out); err != nil {
-		return fmt.Errorf("decode answer of peer: %w", err)
+		return fmt.Errorf("decode response of peer: %w", err)
 	}
 	return nil
 }
 
-// HandleHeld answers peers with what this node knows of the holders of prompt parts.
+// HandleHeld adds a handler that serves the cache holders of prompt parts to peers.
 func HandleHeld(mux *http.ServeMux, placer *sagechain.Placer, log sagelog.Logger) {
 	mux.HandleFunc("GET "+heldPath, func(w http.ResponseWriter, _ *http.Request) {
 		now := sageclock.Now()
-		if err := encode(w, Holders{Observed: placer.All(now), Listed: placer.AllListed(now)}); err != nil {
-			log.Warn("Holders could not be sent to a peer.", "err", err)
+		if err := writeCompressed(w, Holders{Observed: placer.All(now), Listed: placer.AllListed(now)}); err != nil {
+			log.Warn("Cache holders could not be sent to a peer.", "err", err)
 		}
 	})
 }
 
-// Copies answers peers. The keys are kinds.
+// Copies serves the copies of a node to its peers. The keys are kinds.
 type Copies map[string]*sagefollow.Follower
 
-// atOnce is how many peers are given copies at a time: on the slowest links more would make all of
-// them late. A peer that is turned away hears of the others that have the content by then.
-const atOnce = 4
+// maxConcurrentCopies is the number of copies sent at a time; on the slowest links more would delay all of them.
+// A peer that is refused will receive positions from others that have the content by then.
+const maxConcurrentCopies = 4
 
-// Handle adds the copies to a mux.
+// Handle adds a handler for the copies to a mux.
 func (c Copies) Handle(mux *http.ServeMux) {
-	slots := semaphore.NewWeighted(atOnce)
+	slots := semaphore.NewWeighted(maxConcurrentCopies)
 	mux.HandleFunc("GET "+copiesPath+"{kind}", func(w http.ResponseWriter, r *http.Request) {
 		f := c[r.PathValue("kind")]
 		since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
@@ -106,15 +106,15 @@
 			return
 		}
 		defer slots.Release(1)
-		if err := encode(w, f.DeltaSince(since)); err != nil {
+		if err := writeCompressed(w, f.DeltaSince(since)); err != nil {
 			f.Log.Warn("Copy could not be sent to a peer.", "kind", f.Kind, "err", err)
 		}
 	})
 }
 
-// encode writes a compressed answer. Configurations shrink to a tenth, and what nodes send each other
-// crosses data centres.
-func encode(w http.ResponseWriter, v any) error {
+// writeCompressed writes v as compressed JSON. Copies are sent between data centres, and compression reduces
+// configurations to a tenth.
+func writeCompressed(w http.ResponseWriter, v any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
 	z, err := gzip.NewWriterLevel(w, gzip.BestSpeed)
--- a/internal/sagemesh/heartbeat.go
+++ b/internal/sagemesh/heartbeat.go
@@ -8,90 +8,91 @@
 	"sagestand.example/sagestand/pkg/sagerollout"
 )
 
-// Stamp is an instant of one process.
+// Stamp is an instant on the clock of one process.
 type Stamp struct {
 	Incarnation uint64
 	At          sageclock.Instant
 }
 
-// Identity is what stays the same for an incarnation of a node.
+// Identity contains the properties of a node that are constant during an incarnation.
 type Identity struct {
 	Node       string
-	Entry      string
+	Entry      string // the address for callers
 	DataCentre string
-	// LinkMbps is how wide the node's link is, 0 if unknown.
+	// LinkMbps is the width of the node's link, 0 if unknown.
 	LinkMbps int
 }
 
-// Sum adds up what several nodes count by upstream, the sender among them.
+// Sum contains sums of the counts of several nodes including the sender.
 type Sum struct {
-	// All says that the nodes are all of the fleet, not only those of the sender's data centre.
+	// FleetWide says that the sums are over all nodes of the fleet, not only those of the sender's data centre.
 	FleetWide bool
-	// InFlight are requests in flight, Broken the nodes whose own exchanges broke of late.
+	// InFlight counts requests in flight by upstream, Broken the nodes whose exchanges with an upstream recently
+	// broke.
 	InFlight, Broken map[string]int
-	// Answers are the answers in rollouts by key.
+	// Answers counts the answers in rollouts by key.
 	Answers map[string]int
 }
 
-// Heartbeat is what a node tells another.
+// Heartbeat is a message from one node to another.
 type Heartbeat struct {
 	Address string
-	// Identity is empty on the wire for a receiver that knows it; [Service.OnHeartbeat] gets it filled in.
+	// Identity is empty on the wire for a receiver that knows it. It is always set for [Service.OnHeartbeat].
 	Identity
-	// Ready says that the node serves; Leaving that it stops.
+	// Ready says that the node serves requests, Leaving that it is stopping.
 	Ready   bool
 	Leaving bool
-	// Blind says that the store does not answer the sender.
+	// StoreUnreachable says that the store doesn't answer the sender.
 	StoreUnreachable bool
-	// Informed says that the sender knows what the engines hold, as far as the fleet does.
+	// Synced says that the sender knows which prompt parts engines have cached as well as the rest of the fleet.
 	Synced bool
 	Stamp  Stamp
-	// Echo is the receiver's last stamp that the sender has.
+	// Echo is the last stamp that the sender received from the receiver.
 	Echo Stamp
-	// Copies are the positions of the sender's copies, by kind.
+	// Copies are the positions of the sender's copies of the store by kind.
 	Copies map[string]sagefollow.Position
-	// InFlight counts the sender's requests by upstream.
+	// InFlight counts the sender's requests in flight by upstream.
 	InFlight map[string]int
-	// Broken are upstreams with which the sender's own exchanges broke of late.
+	// Broken are upstreams with which the sender's own exchanges recently broke.
 	Broken []string
-	// Sum is set by the node that gathers the counts of its data centre; nil on others.
+	// Sum is set by the aggregator of a data centre; nil from other nodes.
 	Sum *Sum
-	// Held are parts of prompts that upstreams are newly known to hold.
+	// Held are prompt parts newly observed in the caches of upstreams.
 	Held map[string][]uint64
-	// Listed are parts of prompts that upstreams themselves listed.
+	// Listed are cached prompt parts that the upstreams listed themselves.
 	Listed map[string][]sagechain.PartHash
-	// Answers are the sender's counts of answers in rollouts by key.
+	// Answers counts the sender's answers in rollouts by key.
 	Answers map[string]int
-	// Plans are the plans of rollouts that the sender has.
+	// Plans are the plans of rollouts that the sender knows.
 	Plans []sagerollout.Plan
-	// Crashes are upstreams that crashed of late with the requests that ran there, Cleared are requests that were
-	// suspect and have succeeded since.
+	// Crashes are recent crashes of upstreams with the requests that were running there. Cleared are suspect
+	// requests that have succeeded since.
 	Crashes []sagequarantine.Report
 	Cleared []sagequarantine.Fingerprint
-	// Known are addresses of some nodes, for those that know few.
+	// KnownAddresses are addresses of some other nodes, for receivers that know few.
 	KnownAddresses []string
-	// Soon says that the sender tells the receiver again at the shortest interval.
+	// ShortInterval says that the sender sends to the receiver at the shortest interval.
 	ShortInterval bool
-	// Ask asks for a heartbeat at once.
+	// ReplyRequested requests an immediate heartbeat from the receiver.
 	ReplyRequested bool
-	// Pass says that Held and Silent are for the receiver, a hub, to pass on.
+	// Forward asks the receiver, an aggregator, to forward Held, Listed and Unresponsive.
 	Forward bool
-	// Silent are addresses of nodes that a hub heard nothing of.
+	// Unresponsive are addresses of nodes that an aggregator has recently dropped or that were reported to it.
 	Unresponsive []string
 }
 
-// Member is a node as the others see it.
+// Member is the state of a node in the view of another one.
 type Member struct {
 	Address string
 	Identity
 	Ready            bool
 	Leaving          bool
 	StoreUnreachable bool
-	// Informed says that the node can tell a started one what the engines hold.
+	// Synced says that a started node can fetch the cache holders of prompt parts from this one.
 	Synced bool
 }
 
-// Member returns the sender as the heartbeat shows it.
+// Member returns the state of the sender.
 func (h *Heartbeat) Member() Member {
 	return Member{Address: h.Address, Identity: h.Identity, Ready: h.Ready, Leaving: h.Leaving, StoreUnreachable: h.StoreUnreachable, Synced: h.Synced}
 }
--- a/internal/sagemesh/plans.go
+++ b/internal/sagemesh/plans.go
@@ -9,10 +9,10 @@
 	"sagestand.example/sagestand/pkg/sagerollout"
 )
 
-// mostAge bounds an age in milliseconds, so that none overflows.
-const mostAge = 1 << 40
+// maxAgeMillis bounds received ages, so that they don't overflow a duration.
+const maxAgeMillis = 1 << 40
 
-// packPlans returns plans with their instants as ages, since clocks of different VMs can't be compared.
+// packPlans encodes plans. Instants become ages, since the clocks of different VMs can't be compared.
 func packPlans(now sageclock.Instant, plans []sagerollout.Plan) []*heartbeat.Plan {
 	var out []*heartbeat.Plan
 	for i := range plans {
@@ -25,7 +25,7 @@
 	return out
 }
 
-// unpackPlans is the reverse. A phase that this node doesn't know sends nothing to the target.
+// unpackPlans decodes plans. An unknown phase becomes Undone, so that the target gets no requests.
 func unpackPlans(now sageclock.Instant, plans []*heartbeat.Plan) ([]sagerollout.Plan, error) {
 	var out []sagerollout.Plan
 	for _, p := range plans {
@@ -38,7 +38,7 @@
 		}
 		out = append(out, sagerollout.Plan{
 			Order: p.GetOrder(), Phase: phase, Share: float64(p.GetShare()), Version: p.GetVersion(), By: p.GetBy(),
-			Issued: now.Add(-millisOf(p.GetAgeMillis())), Since: now.Add(-millisOf(p.GetPhaseAgeMillis())),
+			Issued: now.Add(-millisToDuration(p.GetAgeMillis())), Since: now.Add(-millisToDuration(p.GetPhaseAgeMillis())),
 		})
 	}
 	return out, nil
@@ -46,4 +46,6 @@
 
 func ageMillis(now, at sageclock.Instant) uint64 { return uint64(max(0, now.Sub(at).Milliseconds())) }
 
-func millisOf(n uint64) time.Duration { return time.Duration(min(n, mostAge)) * time.Millisecond }
+func millisToDuration(n uint64) time.Duration {
+	return time.Duration(min(n, maxAgeMillis)) * time.Millisecond
+}
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -11,34 +11,34 @@
 	"sagestand.example/sagestand/pkg/sagerollout"
 )
 
-// rolloutNode is what a node of a virtual fleet knows of a rollout.
+// rolloutNode is the rollout state of a node of a virtual fleet.
 type rolloutNode struct {
-	book    sagerollout.Book
+	tracker sagerollout.Book
 	answers sageflight.Counter
 }
 
-// rolloutFleet is a virtual fleet that carries a rollout out, its first node being the controller.
+// rolloutFleet is a virtual fleet with a rollout, whose controller is the first node.
 type rolloutFleet struct {
-	*virtual
-	order sagerollout.Order
-	parts []*rolloutNode
-	bad   bool // the target fails half of its requests
-	// exposed are the requests that the target got, total all requests.
+	*virtualFleet
+	order       sagerollout.Order
+	states      []*rolloutNode
+	targetFails bool // the target fails half of its requests
+	// exposed counts the requests sent to the target, total all requests.
 	exposed, total int
 }
 
-// stepEvery is how often the controller issues plans, and nodes get requests.
-const stepEvery = 200 * time.Millisecond
+// stepInterval is the interval at which the controller issues plans and each node gets a request.
+const stepInterval = 200 * time.Millisecond
 
 func newRolloutFleet(t *testing.T, seed uint64, nodes, centres int) *rolloutFleet {
-	f := &rolloutFleet{virtual: newVirtual(t, seed, nodes, centres)}
+	f := &rolloutFleet{virtualFleet: newVirtualFleet(t, seed, nodes, centres)}
 	for _, n := range f.nodes {
-		p := &rolloutNode{book: sagerollout.Book{Chance: f.rnd.Float64}}
-		f.parts = append(f.parts, p)
+		p := &rolloutNode{tracker: sagerollout.Book{Chance: f.rnd.Float64}}
+		f.states = append(f.states, p)
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
-			p.answers.Set(p.book.Counts())
-			h.Answers, h.Plans = p.answers.Tell(), p.book.Plans()
+			p.answers.Set(p.tracker.Counts())
+			h.Answers, h.Plans = p.answers.Tell(), p.tracker.Plans()
 		}
 		n.FillSum = func(h *Heartbeat, all bool) {
 			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumOf(f.now, n.DataCentre)}
@@ -46,23 +46,23 @@
 				h.Sum.Answers = p.answers.Sum(f.now)
 			}
 		}
-		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { p.learn(f.now, n.Service, h) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { p.handle(f.now, n.Service, h) }
 	}
-	f.play(4 * time.Second)
+	f.advance(4 * time.Second)
 	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Given: f.now, Deadline: f.now.Add(20 * time.Second)}
-	for _, p := range f.parts {
-		p.book.Put(f.order)
+	for _, p := range f.states {
+		p.tracker.Put(f.order)
 	}
 	c := &sagerollout.Controller{Self: f.nodes[0].Name, Bounds: sagerollout.Bounds{Share: 0.1, Slack: 50}}
-	f.after(0, func() { f.step(c) })
+	f.schedule(0, func() { f.step(c) })
 	return f
 }
 
-// learn takes in what a heartbeat says of rollouts, as a node does.
-func (p *rolloutNode) learn(now sageclock.Instant, s *Service, h *Heartbeat) {
+// handle updates the rollout state from a heartbeat, as a real node does.
+func (p *rolloutNode) handle(now sageclock.Instant, s *Service, h *Heartbeat) {
 	p.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
 	for _, plan := range h.Plans {
-		p.book.Learn(plan)
+		p.tracker.Learn(plan)
 	}
 	m := h.Member()
 	switch near := h.DataCentre == s.DataCentre; {
@@ -74,67 +74,68 @@
 	}
 }
 
-// step has each node serve its requests and the controller issue a plan.
+// step makes each node handle a request and the controller issue a plan.
 func (f *rolloutFleet) step(c *sagerollout.Controller) {
-	for i, p := range f.parts {
-		if f.nodes[i].dark {
+	for i, p := range f.states {
+		if f.nodes[i].down {
 			continue
 		}
 		f.total++
-		if p.book.Arm(f.now, "s", "r") != sagerollout.Target {
-			p.book.Note("s", "v1", "r", false)
+		if p.tracker.Arm(f.now, "s", "r") != sagerollout.Target {
+			p.tracker.Note("s", "v1", "r", false)
 			continue
 		}
 		f.exposed++
-		p.book.Note("s", "v2", "r", f.bad && f.rnd.IntN(2) == 0)
+		p.tracker.Note("s", "v2", "r", f.targetFails && f.rnd.IntN(2) == 0)
 	}
-	first := f.parts[0]
-	e := first.book.Entries()[0]
+	first := f.states[0]
+	e := first.tracker.Entries()[0]
 	evidence := sagerollout.Gather(e.Order.ID, first.answers.Sum(f.now))
-	first.book.Learn(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.Fleet{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
-	f.after(stepEvery, func() { f.step(c) })
+	first.tracker.Learn(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.Fleet{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
+	f.schedule(stepInterval, func() { f.step(c) })
 }
 
-// in returns how many living nodes have a plan in a phase.
-func (f *rolloutFleet) in(phase sagerollout.Phase) int {
+// countInPhase returns how many nodes that are up have a plan in a phase.
+func (f *rolloutFleet) countInPhase(phase sagerollout.Phase) int {
 	n := 0
-	for i, p := range f.parts {
-		if !f.nodes[i].dark && p.book.Entries()[0].Plan.Phase == phase {
+	for i, p := range f.states {
+		if !f.nodes[i].down && p.tracker.Entries()[0].Plan.Phase == phase {
 			n++
 		}
 	}
 	return n
 }
 
-// Guards against a version that turns bad at full share and goes on getting requests of a large fleet.
-func TestBadVersionIsUndoneByAllNodesOfALargeFleet(t *testing.T) {
+// A version that starts to fail at full share must get no more requests from any node of a large fleet.
+func TestBadVersionIsUndoneOnAllNodesOfLargeFleet(t *testing.T) {
 	t.Parallel()
-	f := newRolloutFleet(t, 3, manyNodes, manyCentres)
-	f.until(20*time.Second, func() bool { return f.in(sagerollout.Full) == manyNodes })
-	f.bad = true
-	took := f.until(5*time.Second, func() bool { return f.in(sagerollout.Undone) == manyNodes })
+	f := newRolloutFleet(t, 3, largeFleetSize, largeFleetCentres)
+	f.advanceUntil(20*time.Second, func() bool { return f.countInPhase(sagerollout.Full) == largeFleetSize })
+	f.targetFails = true
+	took := f.advanceUntil(5*time.Second, func() bool { return f.countInPhase(sagerollout.Undone) == largeFleetSize })
 	t.Log("undone by all nodes after", took)
 	exposed := f.exposed
-	f.play(2 * time.Second)
+	f.advance(2 * time.Second)
 	require.Equal(t, exposed, f.exposed)
 }
 
-// Guards against nodes that miss the canary's share because half of the hubs are lost in the middle.
-func TestRolloutGoesOnWithoutHubs(t *testing.T) {
+// Half of the aggregators are lost during the canary phase. The other nodes must still apply the controller's
+// plans, so that the target gets no more than its share.
+func TestRolloutContinuesWithoutAggregators(t *testing.T) {
 	t.Parallel()
-	f := newRolloutFleet(t, 4, manyNodes, manyCentres)
-	f.until(10*time.Second, func() bool { return f.in(sagerollout.Canary) == manyNodes })
-	hubs := f.nodes[0].hubs()
+	f := newRolloutFleet(t, 4, largeFleetSize, largeFleetCentres)
+	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.Canary) == largeFleetSize })
+	aggregators := f.nodes[0].aggregators()
 	for _, n := range f.nodes[1:] {
-		n.dark = n.DataCentre < "dc3" && hubs[n.DataCentre].first == n.Address
+		n.down = n.DataCentre < "dc3" && aggregators[n.DataCentre].primary == n.Address
 	}
-	f.bad = true
+	f.targetFails = true
 	living := 0
 	for _, n := range f.nodes {
-		if !n.dark {
+		if !n.down {
 			living++
 		}
 	}
-	f.until(10*time.Second, func() bool { return f.in(sagerollout.Undone) == living })
+	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.Undone) == living })
 	require.LessOrEqual(t, float64(f.exposed), 0.1*float64(f.total)+50)
 }
--- a/internal/sagemesh/rounds.go
+++ b/internal/sagemesh/rounds.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// How often nodes tell each other.
 const (
-	// shortest is the interval of heartbeats in a small fleet. Loads that are this old let a bound
-	// of one and a half times the mean stay well below twice the mean.
-	shortest = 200 * time.Millisecond
-	// smallFleet is how many nodes tell all others at the shortest interval: a hundred datagrams a second in
-	// and as many out. perNode is by how much each further one makes the interval longer, so that a node
-	// of a large fleet handles some thirty: what is urgent comes by the hubs.
-	smallFleet = 20
-	perNode    = 30 * time.Millisecond
+	// shortestInterval is the interval of heartbeats in a small fleet. If load reports are no older than
+	// this, a load bound of 1.5 times the mean keeps the actual load well below twice the mean.
+	shortestInterval = 200 * time.Millisecond
+	// smallFleetSize is the largest fleet in which nodes send to all others at the shortest interval, where each
+	// sends and receives a hundred datagrams a second. Each further node adds intervalPerNode to the interval, so
+	// that a node of a large fleet handles some thirty a second. Urgent data goes through the aggregators there.
+	smallFleetSize  = 20
+	intervalPerNode = 30 * time.Millisecond
 )
 
-// Lag is how long what one node tells takes to reach all others while nothing is lost, and what they prove to
-// each other with it: a datagram and the stamp that it echoes a hop, by the hubs three hops.
+// PropagationDelay returns how long a node's report and the freshness proof with it take to reach all others if no
+// datagram is lost. Each hop takes two intervals, one for the stamp and one for the heartbeat that echoes it. With
+// aggregators there are three hops.
 func (s *Service) PropagationDelay() time.Duration {
-	if s.Interval() > shortest {
-		return 3 * 2 * shortest
+	if s.Interval() > shortestInterval {
+		return 3 * 2 * shortestInterval
 	}
-	return 2 * shortest
+	return 2 * shortestInterval
 }
 
-// Interval is the time between two rounds of heartbeats to all, in the mean.
+// Interval returns the mean time between two broadcast rounds.
 func (s *Service) Interval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return shortest + time.Duration(max(0, len(s.peers)+1-smallFleet))*perNode
+	return shortestInterval + time.Duration(max(0, len(s.peers)+1-smallFleetSize))*intervalPerNode
 }
 
-// between does what comes at the shortest interval, a round to all among it if one is due.
-func (s *Service) between() {
-	s.sweep()
-	s.soonTo = nil
-	if s.Interval() > shortest {
-		s.tellHubs()
-		s.tellQuick()
+// tick does the work that is due at the shortest interval, and starts a broadcast round if it is time for one.
+func (s *Service) tick() {
+	s.checkLiveness()
+	s.shortIntervalTo = nil
+	if s.Interval() > shortestInterval {
+		s.sendViaAggregators()
+		s.sendToStandbyNodes()
 	} else {
-		clear(s.expected)
+		clear(s.expectedSince)
 	}
-	if now := s.now(); now >= s.nextRound {
-		s.nextRound = now.Add(s.untilRound())
-		s.tell(false)
+	if now := s.now(); now >= s.nextBroadcast {
+		s.nextBroadcast = now.Add(s.untilNextBroadcast())
+		s.broadcast(false)
 	}
 }
 
-// untilRound returns the time until the next round to all.
+// untilNextBroadcast returns the time until the next broadcast round.
 //
-// It guards against rounds that fall together: the nodes of a fleet start at the same moment, and where
-// rounds are seconds apart their datagrams would come at once over the small links, and then none for long.
-func (s *Service) untilRound() time.Duration {
+// In a large fleet it is random. The nodes start at the same moment, and with rounds that are seconds apart, their
+// datagrams would otherwise arrive over the narrow links in bursts.
+func (s *Service) untilNextBroadcast() time.Duration {
 	d := s.Interval()
-	if d == shortest {
+	if d == shortestInterval {
 		return 0
 	}
 	return d/2 + time.Duration(s.rnd.Int64N(int64(d)))
--- a/internal/sagemesh/service.go
+++ b/internal/sagemesh/service.go
@@ -17,102 +17,103 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// How often and how long.
 const (
-	// quick is how many nodes, the first in the order of ranks, tell each other at the shortest
-	// interval in any fleet: they watch the store or stand by to, and notice within a second and a
-	// half that the watchers are lost. Their datagrams are 150 a second in all.
-	quick = 6
-	// knownPerHeartbeat is how many addresses ride on a heartbeat. Each receiver that knows this node
-	// gets them with every knownEvery-th on average, since targets come in turn from any one on: it needs them
-	// only to find nodes that the store did not list.
-	knownPerHeartbeat = 3
-	knownEvery        = 4
-	// mostAnnounced is how many nodes wait to be told at once; more are told in the next round.
-	mostAnnounced = 64
-	// forgetAfter is when a silent address that isn't a seed gets no more heartbeats.
-	forgetAfter = 5 * time.Minute
-	// maxDatagram is the greatest datagram that is read.
-	maxDatagram = 60 << 10
+	// standbyCount is the number of standby nodes, the first ones by rank, which exchange heartbeats at the
+	// shortest interval in a fleet of any size. They query the store or stand by to do so, and detect within
+	// a second and a half that the querying nodes are lost. Together they send 150 datagrams a second.
+	standbyCount = 6
+	// addressesPerHeartbeat is how many addresses of other nodes a heartbeat carries. A receiver that knows
+	// this node gets them with one of addressesEvery heartbeats on average, since it needs them only to
+	// discover nodes that the store did not list.
+	addressesPerHeartbeat = 3
+	addressesEvery        = 4
+	// announceQueueSize bounds the queue of nodes that get an immediate heartbeat. Nodes for which there is no
+	// room get the next regular one.
+	announceQueueSize = 64
+	// forgetAfter is the time without contact after which an address that isn't a seed gets no more heartbeats.
+	forgetAfter      = 5 * time.Minute
+	maxDatagramBytes = 60 << 10
 )
 
 // ErrAddress reports a node address that isn't an IP address and a port.
 var ErrAddress = errors.New("node address is not ip:port")
 
+// peer is what this node knows of another one.
 type peer struct {
 	addr   *net.UDPAddr
 	member Member
-	stamp  Stamp // the last that came
-	// knows says that the node knows this one: it echoed a stamp of this process.
-	knows bool
-	// announced is when it was last told at once of this node.
-	announced sageclock.Instant
-	heard     sageclock.Instant
-	added     sageclock.Instant
-	// soon says that it tells this node again at the shortest interval.
-	soon bool
-	// asked is when it was last asked whether it lives, told when a hub last called it silent, lost when it was
-	// last dropped.
-	asked, told, lost sageclock.Instant
-	seed              bool
+	stamp  Stamp // the last one received
+	// knowsSelf says that the peer knows this node's identity: it echoed a stamp of this process.
+	knowsSelf bool
+	// lastAnnounced is when an immediate heartbeat to the peer was last queued.
+	lastAnnounced sageclock.Instant
+	lastContact   sageclock.Instant
+	addedAt       sageclock.Instant
+	// shortInterval says that the peer sends heartbeats to this node at the shortest interval.
+	shortInterval bool
+	// probedAt is when the first probe since the last contact was sent, reportedAt when an aggregator last
+	// reported the peer as unresponsive, droppedAt when this node last dropped it.
+	probedAt, reportedAt, droppedAt sageclock.Instant
+	seed                            bool
 }
 
-// Service tells and listens. Exported fields are set before Open.
+// Service sends and receives heartbeats. Exported fields are set before Open.
 type Service struct {
-	// Name, Address (for other nodes), Entry (for callers) and DataCentre say who this node is.
+	// Name, Address (for other nodes), Entry (for callers) and DataCentre identify this node.
 	Name, Address, Entry, DataCentre string
-	// LinkMbps is how wide this node's link is, as far as known: nodes with wide links are hubs.
+	// LinkMbps is the width of this node's link, 0 if unknown. Nodes with wide links become aggregators.
 	LinkMbps int
 	// Seeds are addresses of some other nodes.
 	Seeds []string
-	// Fill completes a heartbeat with what this node knows, but for who it is and the stamps.
+	// Fill sets the state of this node in a heartbeat, except for its identity and the stamps.
 	Fill func(h *Heartbeat)
 	// FillSum adds the sum of the counts of this data centre's nodes, or of all nodes.
 	FillSum func(h *Heartbeat, all bool)
-	// FillNews adds the facts on prompt parts that nobody was told.
+	// FillUpdates adds the cached prompt parts that have not been sent yet.
 	FillUpdates func(h *Heartbeat)
-	// Heard is called for each heartbeat of a node whose identity is known. Stamp is the instant that
-	// the sender proved to have heard of, or 0.
+	// OnHeartbeat is called for each heartbeat from a node whose identity is known. The stamp is the instant of
+	// this node's latest stamp that the sender echoed, or 0 if it echoed none of this process.
 	OnHeartbeat func(h *Heartbeat, stamp sageclock.Instant)
-	// Joined is called for each node that becomes live, Lost for each that stops being so.
+	// OnJoined is called for each node that becomes live, OnLost for each that is dropped.
 	OnJoined, OnLost func(m Member)
 	Log              sagelog.Logger
 
-	// now and write are the clock and the way out; tests put a network in virtual time there.
+	// now is the clock and write sends a datagram; tests replace both to simulate a network in virtual time.
 	now   func() sageclock.Instant
 	write func(b []byte, to *net.UDPAddr)
 
-	incarnation uint64
-	conn        net.PacketConn
-	nudge       chan struct{}
-	nudgeNear   chan struct{}
-	announceTo  chan string // addresses of nodes to tell at once
-	isQuick     atomic.Bool
-	sent, came  atomic.Int64 // bytes of datagrams
-
-	// Of the loop of Run: the source of chance, what the next round to all and this node's hub have to be
-	// told, and the nodes that are told at the shortest interval.
-	rnd            *rand.Rand
-	forAll, forHub news
-	soonTo         map[string]bool
-	nextRound      sageclock.Instant
-	// saidReady is what the others were last told of this node, saidAt when that changed.
-	saidReady bool
-	saidAt    sageclock.Instant
-	// expected are the nodes that have to tell this one at the shortest interval, with since when.
-	expected map[string]sageclock.Instant
+	incarnation    uint64
+	conn           net.PacketConn
+	triggerAll     chan struct{}
+	triggerLocal   chan struct{}
+	announceQueue  chan string // addresses of nodes that get an immediate heartbeat
+	isStandby      atomic.Bool
+	sent, received atomic.Int64 // bytes of datagrams
+
+	// The fields from here to mu are used by the loop of Run only.
+	rnd                                 *rand.Rand
+	updatesForAll, updatesForAggregator cacheUpdates
+	// shortIntervalTo are the nodes that get heartbeats at the shortest interval.
+	shortIntervalTo map[string]bool
+	nextBroadcast   sageclock.Instant
+	// announcedReady is the readiness last announced to the other nodes, readyAnnouncedAt when it changed.
+	announcedReady   bool
+	readyAnnouncedAt sageclock.Instant
+	// expectedSince are the nodes from which heartbeats are expected at the shortest interval, and since when.
+	expectedSince map[string]sageclock.Instant
 
 	mu sync.Mutex
-	// What this node, as a hub, has to pass on.
-	forHubs, forNear news
-	// rejoined is when this node last told all that it hears them again.
-	rejoined sageclock.Instant
-	// silentFar are nodes that other hubs called silent, with when they last did.
-	silentFar map[string]sageclock.Instant
-	peers     map[string]*peer
-	order     []string // the addresses of peers, as they came
-	live      map[string]bool
-	ever      map[string]bool
+	// Updates that this node, as an aggregator, has to forward.
+	forwardToAggregators, forwardToLocal cacheUpdates
+	// rejoinAnnouncedAt is when this node last announced to all nodes that it receives from them again.
+	rejoinAnnouncedAt sageclock.Instant
+	// remoteUnresponsive are nodes reported as unresponsive by aggregators of other data centres, and when they
+	// were last reported.
+	remoteUnresponsive map[string]sageclock.Instant
+	peers              map[string]*peer
+	order              []string // the addresses of peers, in the order they were added
+	live               map[string]bool
+	everSeen           map[string]bool // names of nodes
 }
 
 // Open binds the socket.
@@ -124,37 +125,37 @@
 	s.conn = conn
 	s.now = sageclock.Now
 	s.write = func(b []byte, to *net.UDPAddr) {
-		// A datagram that can't be sent is a lost one: the next follows within the interval.
+		// A datagram that can't be sent counts as lost; the next one follows within the interval.
 		_, _ = conn.WriteTo(b, to)
 	}
-	s.prepare(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	s.initState(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	return nil
 }
 
-// prepare makes what the service keeps.
-func (s *Service) prepare(rnd *rand.Rand) {
+// initState initializes the internal state and adds the seeds.
+func (s *Service) initState(rnd *rand.Rand) {
 	s.rnd = rnd
 	s.incarnation = rnd.Uint64()
-	s.nudge = make(chan struct{}, 1)
-	s.nudgeNear = make(chan struct{}, 1)
-	s.announceTo = make(chan string, mostAnnounced)
+	s.triggerAll = make(chan struct{}, 1)
+	s.triggerLocal = make(chan struct{}, 1)
+	s.announceQueue = make(chan string, announceQueueSize)
 	s.peers = make(map[string]*peer)
 	s.live = make(map[string]bool)
-	s.ever = map[string]bool{s.Name: true}
-	s.expected = make(map[string]sageclock.Instant)
-	s.silentFar = make(map[string]sageclock.Instant)
+	s.everSeen = map[string]bool{s.Name: true}
+	s.expectedSince = make(map[string]sageclock.Instant)
+	s.remoteUnresponsive = make(map[string]sageclock.Instant)
 	for _, a := range s.Seeds {
-		if err := s.add(a, true); err != nil {
+		if err := s.addPeer(a, true); err != nil {
 			s.Log.Warn("Seed ignored.", "address", a, "err", err)
 		}
 	}
 }
 
-// Add makes another node's address known.
-func (s *Service) AddPeer(address string) error { return s.add(address, false) }
+// AddPeer adds the address of another node.
+func (s *Service) AddPeer(address string) error { return s.addPeer(address, false) }
 
-func (s *Service) add(address string, seed bool) error {
-	if address == s.Address || s.knows(address) {
+func (s *Service) addPeer(address string, seed bool) error {
+	if address == s.Address || s.hasPeer(address) {
 		return nil
 	}
 	addr, err := net.ResolveUDPAddr("udp4", address)
@@ -165,53 +166,53 @@
 	defer s.mu.Unlock()
 	if s.peers[address] == nil {
 		s.order = append(s.order, address)
-		s.peers[address] = &peer{addr: addr, seed: seed, added: s.now()}
+		s.peers[address] = &peer{addr: addr, seed: seed, addedAt: s.now()}
 	}
 	return nil
 }
 
-func (s *Service) knows(address string) bool {
+func (s *Service) hasPeer(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peers[address] != nil
 }
 
-// Nudge sends heartbeats at once, to all nodes or only to those of this data centre.
+// TriggerHeartbeats has heartbeats sent immediately, to all nodes or only to those of this data centre.
 func (s *Service) TriggerHeartbeats(all bool) {
-	c := s.nudgeNear
+	trigger := s.triggerLocal
 	if all {
-		c = s.nudge
+		trigger = s.triggerAll
 	}
 	select {
-	case c <- struct{}{}:
+	case trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Run sends and receives until ctx ends; a last round then tells that the node is gone.
+// Run sends and receives heartbeats until ctx ends, then sends a last one to all nodes.
 func (s *Service) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		s.receive(ctx)
 	}()
-	s.tell(false)
-	often := time.NewTicker(shortest)
-	defer often.Stop()
+	s.broadcast(false)
+	ticker := time.NewTicker(shortestInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-often.C:
-			s.between()
-		case <-s.nudge:
-			s.tell(false)
-		case <-s.nudgeNear:
-			s.tell(true)
-		case address := <-s.announceTo:
-			s.tellAnnounced(address)
+		case <-ticker.C:
+			s.tick()
+		case <-s.triggerAll:
+			s.broadcast(false)
+		case <-s.triggerLocal:
+			s.broadcast(true)
+		case address := <-s.announceQueue:
+			s.sendAnnouncements(address)
 		}
 	}
-	s.tell(false)
+	s.broadcast(false)
 	err := s.conn.Close()
 	<-done
 	if err != nil {
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// Live returns the other nodes that were heard of lately, ordered by address.
+// Live returns the other live nodes, ordered by address.
 func (s *Service) Live() []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,14 +234,14 @@
 }
 
 // Bytes returns how many bytes of heartbeats this node has sent and received.
-func (s *Service) Bytes() (sent, received int64) { return s.sent.Load(), s.came.Load() }
+func (s *Service) Bytes() (sent, received int64) { return s.sent.Load(), s.received.Load() }
 
-// Known returns the names of all nodes that were ever heard of, this one included.
+// KnownNodes returns the names of all nodes that were ever live, including this one.
 func (s *Service) KnownNodes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]string, 0, len(s.ever))
-	for n := range s.ever {
+	out := make([]string, 0, len(s.everSeen))
+	for n := range s.everSeen {
 		out = append(out, n)
 	}
 	return out
--- a/internal/sagemesh/virtual_test.go
+++ b/internal/sagemesh/virtual_test.go
@@ -14,14 +14,14 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// oneWay is how long a datagram takes, that of the users' sheets between data centres.
-const oneWay = 900 * time.Microsecond
+// oneWayLatency is the latency of a datagram: the value that the users specify for links between data centres.
+const oneWayLatency = 900 * time.Microsecond
 
-// event is something that happens in a virtual fleet.
+// event is a function that runs at an instant of virtual time. Events at the same instant run in the order of seq.
 type event struct {
 	at  sageclock.Instant
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -39,59 +39,59 @@
 	return x
 }
 
-// virtual are many nodes in virtual time, with the real codec and without sockets.
-type virtual struct {
-	t         testing.TB
-	rnd       *rand.Rand
-	now       sageclock.Instant
-	seq       int
-	queue     events
-	nodes     []*vnode
-	byAddr    map[string]*vnode
-	linkQueue time.Duration              // how long a datagram may wait for a link; 0 means links without end
-	lossy     float64                    // share of datagrams that are lost
-	cut       func(from, to *vnode) bool // datagrams that don't arrive
-	falsely   int                        // live nodes that were dropped
+// virtualFleet is a fleet of nodes in virtual time, with the real codec and without sockets.
+type virtualFleet struct {
+	t           testing.TB
+	rnd         *rand.Rand
+	now         sageclock.Instant
+	seq         int
+	queue       events
+	nodes       []*virtualNode
+	byAddr      map[string]*virtualNode
+	maxLinkWait time.Duration                    // longest wait of a datagram for a link; 0: no link limits
+	lossRate    float64                          // fraction of datagrams lost at random
+	cutOff      func(from, to *virtualNode) bool // selects datagrams that are lost
+	falseDrops  int                              // nodes dropped although they were up
 }
 
-type vnode struct {
+type virtualNode struct {
 	*Service
-	dark bool
-	// facts are what the node has to tell next.
-	facts map[string][]uint64
-	// heardOf is when each part was first heard of.
-	heardOf map[uint64]sageclock.Instant
-	// listed are the lists that the node has to tell next, knows how many parts it knows from lists.
-	listed map[string][]sagechain.PartHash
-	knows  map[string]map[sagechain.PartHash]bool
-	sent   int
-	bytes  int
-	// out and in are when the node's link is free again.
-	out, in sageclock.Instant
+	down bool
+	// heldUpdates are the observed parts that the node sends next.
+	heldUpdates map[string][]uint64
+	// firstReceived is when each observed part was first received.
+	firstReceived map[uint64]sageclock.Instant
+	// listedUpdates are the listed parts that the node sends next, knownListed those that it has received.
+	listedUpdates map[string][]sagechain.PartHash
+	knownListed   map[string]map[sagechain.PartHash]bool
+	sent          int
+	bytes         int
+	// outFreeAt and inFreeAt are when the node's link is free again in each direction.
+	outFreeAt, inFreeAt sageclock.Instant
 }
 
-// pass lets a datagram through a link that is free at an instant, and reports when it is through, or false if
-// the link is full.
-func (v *virtual) pass(n *vnode, free *sageclock.Instant, size int) (sageclock.Instant, bool) {
-	if v.linkQueue == 0 {
+// passLink sends a datagram through one direction of a node's link, which is free at freeAt. It returns when the
+// datagram has passed, or false if it is dropped because the wait would be too long.
+func (v *virtualFleet) passLink(n *virtualNode, freeAt *sageclock.Instant, size int) (sageclock.Instant, bool) {
+	if v.maxLinkWait == 0 {
 		return v.now, true
 	}
-	start := max(v.now, *free)
-	if start.Sub(v.now) > v.linkQueue {
+	start := max(v.now, *freeAt)
+	if start.Sub(v.now) > v.maxLinkWait {
 		return 0, false
 	}
-	*free = start.Add(time.Duration(float64(size*8) / float64(n.LinkMbps) * float64(time.Microsecond)))
-	return *free, true
+	*freeAt = start.Add(time.Duration(float64(size*8) / float64(n.LinkMbps) * float64(time.Microsecond)))
+	return *freeAt, true
 }
 
-// newVirtual starts nodes in some data centres within 0.3 s, all known to each other as from the store. The
-// first three of each data centre have wide links.
-func newVirtual(t testing.TB, seed uint64, nodes, centres int) *virtual {
-	v := &virtual{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: make(map[string]*vnode), now: sageclock.Instant(time.Hour)}
-	v.cut = func(*vnode, *vnode) bool { return false }
+// newVirtualFleet returns a fleet whose nodes start within 0.3 s and know each other's addresses, as they would
+// from the store. The first three nodes of each data centre have wide links.
+func newVirtualFleet(t testing.TB, seed uint64, nodes, centres int) *virtualFleet {
+	v := &virtualFleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: make(map[string]*virtualNode), now: sageclock.Instant(time.Hour)}
+	v.cutOff = func(*virtualNode, *virtualNode) bool { return false }
 	for i := range nodes {
 		addr := fmt.Sprintf("10.0.%d.%d:7000", i/200, i%200+1)
-		n := &vnode{heardOf: make(map[uint64]sageclock.Instant), knows: make(map[string]map[sagechain.PartHash]bool)}
+		n := &virtualNode{firstReceived: make(map[uint64]sageclock.Instant), knownListed: make(map[string]map[sagechain.PartHash]bool)}
 		link := 20
 		if i/centres < 3 {
 			link = 200
@@ -101,20 +101,20 @@
 			Fill:    func(h *Heartbeat) { h.Ready = true },
 			FillSum: func(h *Heartbeat, _ bool) { h.Sum = new(Sum) },
 			FillUpdates: func(h *Heartbeat) {
-				h.Held, h.Listed = n.facts, n.listed
-				n.facts, n.listed = nil, nil
+				h.Held, h.Listed = n.heldUpdates, n.listedUpdates
+				n.heldUpdates, n.listedUpdates = nil, nil
 			},
 			OnJoined: func(Member) {},
 			OnLost: func(m Member) {
-				if !v.byAddr[m.Address].dark {
-					v.falsely++
+				if !v.byAddr[m.Address].down {
+					v.falseDrops++
 				}
 			},
 			now: func() sageclock.Instant { return v.now },
 		}
-		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { n.learn(v.now, h) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { n.record(v.now, h) }
 		n.write = func(b []byte, to *net.UDPAddr) { v.send(n, b, to.String()) }
-		n.prepare(rand.New(rand.NewPCG(seed, uint64(i))))
+		n.initState(rand.New(rand.NewPCG(seed, uint64(i))))
 		v.nodes = append(v.nodes, n)
 		v.byAddr[addr] = n
 	}
@@ -122,96 +122,96 @@
 		for _, o := range v.nodes {
 			require.NoError(t, n.AddPeer(o.Address))
 		}
-		v.after(time.Duration(v.rnd.IntN(300))*time.Millisecond, func() { v.often(n) })
+		v.schedule(time.Duration(v.rnd.IntN(300))*time.Millisecond, func() { v.tickForever(n) })
 	}
 	return v
 }
 
-func (n *vnode) learn(now sageclock.Instant, h *Heartbeat) {
+func (n *virtualNode) record(now sageclock.Instant, h *Heartbeat) {
 	for _, parts := range h.Held {
 		for _, p := range parts {
-			if _, ok := n.heardOf[p]; !ok {
-				n.heardOf[p] = now
+			if _, ok := n.firstReceived[p]; !ok {
+				n.firstReceived[p] = now
 			}
 		}
 	}
 	for u, parts := range h.Listed {
-		if n.knows[u] == nil {
-			n.knows[u] = make(map[sagechain.PartHash]bool)
+		if n.knownListed[u] == nil {
+			n.knownListed[u] = make(map[sagechain.PartHash]bool)
 		}
 		for _, p := range parts {
-			n.knows[u][p] = true
+			n.knownListed[u][p] = true
 		}
 	}
 }
 
-// due does what the loop of Run does when it is asked to.
-func (n *vnode) due() {
+// runTriggered does what the loop of Run does when an announcement is queued or a broadcast is triggered.
+func (n *virtualNode) runTriggered() {
 	select {
-	case a := <-n.announceTo:
-		n.tellAnnounced(a)
-	case <-n.nudge:
-		n.tell(false)
+	case a := <-n.announceQueue:
+		n.sendAnnouncements(a)
+	case <-n.triggerAll:
+		n.broadcast(false)
 	default:
 	}
 }
 
-func (v *virtual) after(d time.Duration, do func()) {
+func (v *virtualFleet) schedule(d time.Duration, run func()) {
 	v.seq++
-	heap.Push(&v.queue, event{v.now.Add(d), v.seq, do})
+	heap.Push(&v.queue, event{v.now.Add(d), v.seq, run})
 }
 
-func (v *virtual) send(from *vnode, b []byte, to string) {
+func (v *virtualFleet) send(from *virtualNode, b []byte, to string) {
 	from.sent++
 	from.bytes += len(b)
 	n := v.byAddr[to]
-	if from.dark || n == nil || v.cut(from, n) || v.rnd.Float64() < v.lossy {
+	if from.down || n == nil || v.cutOff(from, n) || v.rnd.Float64() < v.lossRate {
 		return
 	}
-	through, ok := v.pass(from, &from.out, len(b))
+	departed, ok := v.passLink(from, &from.outFreeAt, len(b))
 	if !ok {
 		return
 	}
-	v.after(through.Add(oneWay).Sub(v.now), func() {
-		came, ok := v.pass(n, &n.in, len(b))
-		if n.dark || !ok {
+	v.schedule(departed.Add(oneWayLatency).Sub(v.now), func() {
+		arrived, ok := v.passLink(n, &n.inFreeAt, len(b))
+		if n.down || !ok {
 			return
 		}
-		v.after(came.Sub(v.now), func() {
-			n.take(b)
-			n.due()
+		v.schedule(arrived.Sub(v.now), func() {
+			n.handleDatagram(b)
+			n.runTriggered()
 		})
 	})
 }
 
-func (v *virtual) often(n *vnode) {
-	if !n.dark {
-		n.between()
-		n.due()
+func (v *virtualFleet) tickForever(n *virtualNode) {
+	if !n.down {
+		n.tick()
+		n.runTriggered()
 	}
-	v.after(shortest, func() { v.often(n) })
+	v.schedule(shortestInterval, func() { v.tickForever(n) })
 }
 
-// play lets time pass.
-func (v *virtual) play(d time.Duration) {
+// advance runs the events of the next d of virtual time.
+func (v *virtualFleet) advance(d time.Duration) {
 	until := v.now.Add(d)
 	for len(v.queue) > 0 && v.queue[0].at <= until {
 		e := heap.Pop(&v.queue).(event)
 		v.now = e.at
-		e.do()
+		e.run()
 	}
 	v.now = until
 }
 
-// naming returns how many of the living nodes count some dark node as live.
-func (v *virtual) naming() int {
+// countStaleViews returns how many nodes that are up still count a node that is down as live.
+func (v *virtualFleet) countStaleViews() int {
 	n := 0
 	for _, x := range v.nodes {
-		if x.dark {
+		if x.down {
 			continue
 		}
 		for _, m := range x.Live() {
-			if v.byAddr[m.Address].dark {
+			if v.byAddr[m.Address].down {
 				n++
 				break
 			}
@@ -220,12 +220,13 @@
 	return n
 }
 
-// until plays on until done and returns how long that took, or fails after a while.
-func (v *virtual) until(most time.Duration, done func() bool) time.Duration {
-	began := v.now
+// advanceUntil advances the time until done returns true and returns how long that took. The test fails after
+// limit.
+func (v *virtualFleet) advanceUntil(limit time.Duration, done func() bool) time.Duration {
+	started := v.now
 	for !done() {
-		require.Less(v.t, v.now.Sub(began), most)
-		v.play(50 * time.Millisecond)
+		require.Less(v.t, v.now.Sub(started), limit)
+		v.advance(50 * time.Millisecond)
 	}
-	return v.now.Sub(began)
+	return v.now.Sub(started)
 }
