--- a/internal/sagefollow/watch.go
+++ b/internal/sagefollow/watch.go
@@ -64,8 +64,8 @@
 		return 0, fmt.Errorf("follow %s: %w", f.Kind, err)
 	}
 	f.applyDelta(since, d, true)
-	f.Proof.Own(asOf)
-	f.StoreProof.Own(asOf)
+	f.Proof.RecordRead(asOf)
+	f.StoreProof.RecordRead(asOf)
 	return len(d.Changes), nil
 }
 
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -83,7 +83,7 @@
 		return nil, fmt.Errorf("start %s: %w", addr, err)
 	}
 	if len(f.Nodes) > 0 {
-		t.Hint(f.Nodes[0].Table.Me().Address)
+		t.AddSeeds(f.Nodes[0].Table.LocalNode().Address)
 	}
 	n := &MemberNode{
 		Table:   t,
@@ -171,7 +171,7 @@
 // partFrame is what the protobuf encoding adds to a part.
 const partFrame = 8
 
-// Meet implements [sagegossip.Caller] for the node that calls.
+// Meet implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.At(addr)
 	fate := f.Rand.Float64()
@@ -188,7 +188,7 @@
 	return deltas, own, nil
 }
 
-// Push implements [sagegossip.Caller] for the node that calls.
+// Push implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
 	to := n.fleet.At(addr)
 	if !n.fleet.carry(n, to, deltas) {
@@ -205,7 +205,7 @@
 	there := make(map[uint64]bool)
 	for _, n := range f.Nodes {
 		if !n.Stopped {
-			there[n.Table.Me().Incarnation] = true
+			there[n.Table.LocalNode().Incarnation] = true
 		}
 	}
 	for _, n := range f.Running() {
--- a/internal/sagemesh/quarantine_test.go
+++ b/internal/sagemesh/quarantine_test.go
@@ -15,25 +15,25 @@
 const crashingRequest = sagequarantine.Fingerprint(7)
 
 // newTrackers gives each node of a virtual fleet a tracker whose reports are sent with its heartbeats.
-func newTrackers(v *virtualFleet) []*sagequarantine.Book {
-	out := make([]*sagequarantine.Book, len(v.nodes))
+func newTrackers(v *virtualFleet) []*sagequarantine.Tracker {
+	out := make([]*sagequarantine.Tracker, len(v.nodes))
 	for i, n := range v.nodes {
-		tracker := new(sagequarantine.Book)
+		tracker := new(sagequarantine.Tracker)
 		out[i] = tracker
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
 			h.Crashes, h.Cleared = tracker.Reports(v.now, n.ForwardsReports)
 		}
-		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { tracker.Learn(v.now, h.Crashes, h.Cleared) }
+		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { tracker.Merge(v.now, h.Crashes, h.Cleared) }
 	}
 	return out
 }
 
 // quarantineCount returns how many trackers have a request in quarantine.
-func quarantineCount(v *virtualFleet, trackers []*sagequarantine.Book, f sagequarantine.Fingerprint) int {
+func quarantineCount(v *virtualFleet, trackers []*sagequarantine.Tracker, f sagequarantine.Fingerprint) int {
 	n := 0
 	for _, tracker := range trackers {
-		if _, ok := tracker.Quarantined(v.now, f); ok {
+		if _, ok := tracker.QuarantinedUntil(v.now, f); ok {
 			n++
 		}
 	}
@@ -71,7 +71,7 @@
 			}
 			for c := range sagequarantine.DefaultThreshold {
 				// Another request runs on the crashed upstream too.
-				trackers[len(trackers)-1-c].Crashed(v.now, sagequarantine.CrashID(c+1), crashingRequest, sagequarantine.Fingerprint(100+c))
+				trackers[len(trackers)-1-c].RecordCrash(v.now, sagequarantine.CrashID(c+1), crashingRequest, sagequarantine.Fingerprint(100+c))
 			}
 			took := v.advanceUntil(tt.limit+time.Second, func() bool { return quarantineCount(v, trackers, crashingRequest) == tt.nodes })
 			t.Log("quarantined by all nodes after", took)
@@ -94,7 +94,7 @@
 	before := v.bytesSent()
 	for c := range 10 {
 		for i := range 64 {
-			trackers[(c*64+i)%len(trackers)].Crashed(v.now, sagequarantine.CrashID(c+1), sagequarantine.Fingerprint(1000*c+i))
+			trackers[(c*64+i)%len(trackers)].RecordCrash(v.now, sagequarantine.CrashID(c+1), sagequarantine.Fingerprint(1000*c+i))
 		}
 	}
 	v.advance(5 * time.Second)
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -13,7 +13,7 @@
 
 // rolloutNode is the rollout state of a node of a virtual fleet.
 type rolloutNode struct {
-	tracker sagerollout.Book
+	tracker sagerollout.Tracker
 	answers sageflight.Counter
 }
 
@@ -33,15 +33,15 @@
 func newRolloutFleet(t *testing.T, seed uint64, nodes, centres int) *rolloutFleet {
 	f := &rolloutFleet{virtualFleet: newVirtualFleet(t, seed, nodes, centres)}
 	for _, n := range f.nodes {
-		p := &rolloutNode{tracker: sagerollout.Book{Chance: f.rnd.Float64}}
+		p := &rolloutNode{tracker: sagerollout.Tracker{Rand: f.rnd.Float64}}
 		f.states = append(f.states, p)
 		n.Fill = func(h *Heartbeat) {
 			h.Ready = true
 			p.answers.Set(p.tracker.Counts())
-			h.Answers, h.Plans = p.answers.Tell(), p.tracker.Plans()
+			h.Answers, h.Plans = p.answers.Report(), p.tracker.Plans()
 		}
 		n.FillSum = func(h *Heartbeat, all bool) {
-			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumOf(f.now, n.DataCentre)}
+			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumGroup(f.now, n.DataCentre)}
 			if all {
 				h.Sum.Answers = p.answers.Sum(f.now)
 			}
@@ -49,28 +49,28 @@
 		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) { p.handle(f.now, n.Service, h) }
 	}
 	f.advance(4 * time.Second)
-	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Given: f.now, Deadline: f.now.Add(20 * time.Second)}
+	f.order = sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", FirstSeen: f.now, Deadline: f.now.Add(20 * time.Second)}
 	for _, p := range f.states {
 		p.tracker.Put(f.order)
 	}
-	c := &sagerollout.Controller{Self: f.nodes[0].Name, Bounds: sagerollout.Bounds{Share: 0.1, Slack: 50}}
+	c := &sagerollout.Controller{Self: f.nodes[0].Name, Bounds: sagerollout.Bounds{ExposedShare: 0.1, ExposedSlack: 50}}
 	f.schedule(0, func() { f.step(c) })
 	return f
 }
 
 // handle updates the rollout state from a heartbeat, as a real node does.
 func (p *rolloutNode) handle(now sageclock.Instant, s *Service, h *Heartbeat) {
-	p.answers.Learn(now, h.Node, h.DataCentre, h.Answers)
+	p.answers.UpdateNode(now, h.Node, h.DataCentre, h.Answers)
 	for _, plan := range h.Plans {
-		p.tracker.Learn(plan)
+		p.tracker.MergePlan(plan)
 	}
 	m := h.Member()
 	switch near := h.DataCentre == s.DataCentre; {
 	case h.Sum == nil || !s.IsAggregator(&m):
 	case h.Sum.FleetWide && near:
-		p.answers.LearnTotal(now, h.Sum.Answers)
+		p.answers.UpdateTotal(now, h.Sum.Answers)
 	case !h.Sum.FleetWide && !near:
-		p.answers.LearnGroup(now, h.DataCentre, h.Sum.Answers)
+		p.answers.UpdateGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
 
@@ -81,17 +81,17 @@
 			continue
 		}
 		f.total++
-		if p.tracker.Arm(f.now, "s", "r") != sagerollout.Target {
-			p.tracker.Note("s", "v1", "r", false)
+		if p.tracker.Arm(f.now, "s", "r") != sagerollout.ArmTarget {
+			p.tracker.RecordAnswer("s", "v1", "r", false)
 			continue
 		}
 		f.exposed++
-		p.tracker.Note("s", "v2", "r", f.targetFails && f.rnd.IntN(2) == 0)
+		p.tracker.RecordAnswer("s", "v2", "r", f.targetFails && f.rnd.IntN(2) == 0)
 	}
 	first := f.states[0]
 	e := first.tracker.Entries()[0]
-	evidence := sagerollout.Gather(e.Order.ID, first.answers.Sum(f.now))
-	first.tracker.Learn(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.Fleet{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
+	evidence := sagerollout.CollectEvidence(e.Order.ID, first.answers.Sum(f.now))
+	first.tracker.MergePlan(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.ServiceLoad{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
 	f.schedule(stepInterval, func() { f.step(c) })
 }
 
@@ -107,13 +107,13 @@
 }
 
 // A version that starts to fail at full share must get no more requests from any node of a large fleet.
-func TestBadVersionIsUndoneOnAllNodesOfLargeFleet(t *testing.T) {
+func TestBadVersionIsRolledBackOnAllNodesOfLargeFleet(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 3, largeFleetSize, largeFleetCentres)
-	f.advanceUntil(20*time.Second, func() bool { return f.countInPhase(sagerollout.Full) == largeFleetSize })
+	f.advanceUntil(20*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseFull) == largeFleetSize })
 	f.targetFails = true
-	took := f.advanceUntil(5*time.Second, func() bool { return f.countInPhase(sagerollout.Undone) == largeFleetSize })
-	t.Log("undone by all nodes after", took)
+	took := f.advanceUntil(5*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseRolledBack) == largeFleetSize })
+	t.Log("rolled back by all nodes after", took)
 	exposed := f.exposed
 	f.advance(2 * time.Second)
 	require.Equal(t, exposed, f.exposed)
@@ -124,7 +124,7 @@
 func TestRolloutContinuesWithoutAggregators(t *testing.T) {
 	t.Parallel()
 	f := newRolloutFleet(t, 4, largeFleetSize, largeFleetCentres)
-	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.Canary) == largeFleetSize })
+	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseCanary) == largeFleetSize })
 	aggregators := f.nodes[0].aggregators()
 	for _, n := range f.nodes[1:] {
 		n.down = n.DataCentre < "dc3" && aggregators[n.DataCentre].primary == n.Address
@@ -136,6 +136,6 @@
 			living++
 		}
 	}
-	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.Undone) == living })
+	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseRolledBack) == living })
 	require.LessOrEqual(t, float64(f.exposed), 0.1*float64(f.total)+50)
 }
--- a/internal/sagerouter/await_test.go
+++ b/internal/sagerouter/await_test.go
@@ -32,14 +32,14 @@
 			f := newFleet(t, 2, 0)
 			f.recalled = func() bool { return tt.recalled }
 			if tt.listed {
-				time.AfterFunc(10*time.Millisecond, func() { f.placer.List(sageclock.Now(), "u1", []uint64{1}) })
+				time.AfterFunc(10*time.Millisecond, func() { f.placer.RecordListed(sageclock.Now(), "u1", []uint64{1}) })
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if tt.waits {
 				time.AfterFunc(50*time.Millisecond, cancel)
 			}
-			f.Await(ctx, "s", tt.chain)
+			f.AwaitCacheSync(ctx, "s", tt.chain)
 			require.Equal(t, tt.waits, ctx.Err() != nil)
 		})
 	}
--- a/internal/sagerouter/recall.go
+++ b/internal/sagerouter/recall.go
@@ -44,7 +44,7 @@
 
 // Inspector asks an upstream which prompt parts it holds.
 type Inspector interface {
-	Held(ctx context.Context, u *sageupstream.Entry) ([]uint64, error)
+	CachedParts(ctx context.Context, u *sageupstream.Entry) ([]uint64, error)
 }
 
 // recall finds out at the start which upstreams hold which prompt parts. Its exported fields are set
@@ -147,7 +147,7 @@
 func (r *recall) tell() {
 	r.mu.Lock()
 	for upstream, parts := range r.found {
-		r.Placer.List(sageclock.Now(), upstream, parts)
+		r.Placer.RecordListed(sageclock.Now(), upstream, parts)
 	}
 	r.mu.Unlock()
 	r.Tell()
@@ -210,8 +210,8 @@
 		r.Log.Warn("Peer did not tell what engines hold.", "peer", peer, "err", err)
 		return false
 	}
-	r.Placer.Learn(sageclock.Now(), held.Observed)
-	r.Placer.LearnListed(sageclock.Now(), held.Listed)
+	r.Placer.Merge(sageclock.Now(), held.Observed)
+	r.Placer.MergeListed(sageclock.Now(), held.Listed)
 	r.Log.Info("Learnt from a peer what engines hold.", "peer", peer, "told", len(held.Observed), "listed", len(held.Listed))
 	return true
 }
@@ -247,7 +247,7 @@
 func (r *recall) ask(ctx context.Context, e *sageupstream.Entry) {
 	ctx, cancel := context.WithTimeout(ctx, askWithin)
 	defer cancel()
-	parts, err := r.Inspector.Held(ctx, e)
+	parts, err := r.Inspector.CachedParts(ctx, e)
 	if err != nil {
 		r.Log.Warn("Engine did not tell what it holds.", "upstream", e.ID, "err", err)
 		return
--- a/internal/sagerouter/rollouts_test.go
+++ b/internal/sagerouter/rollouts_test.go
@@ -19,7 +19,7 @@
 
 func usable(v *view) []string {
 	var out []string
-	for _, e := range v.set.Load().Of("s") {
+	for _, e := range v.set.Load().Available("s") {
 		out = append(out, e.ID)
 	}
 	return out
@@ -53,16 +53,16 @@
 func newRollout(t *testing.T, p sagerollout.Plan) *fleet {
 	t.Helper()
 	f := newFleet(t, 10, 0)
-	for _, e := range f.view.set.Load().Of("s") {
+	for _, e := range f.view.set.Load().Available("s") {
 		e.Version = "v1"
 		if e.ID >= "u5" {
 			e.Version = "v2"
 		}
 	}
-	f.rollouts = new(sagerollout.Book)
-	p.Order, p.Version, p.Issued = 1, 1, sageclock.Now()
-	require.True(t, f.rollouts.Put(sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Deadline: p.Issued.Add(time.Minute)}))
-	f.rollouts.Learn(p)
+	f.rollouts = new(sagerollout.Tracker)
+	p.OrderID, p.Sequence, p.IssuedAt = 1, 1, sageclock.Now()
+	require.True(t, f.rollouts.Put(sagerollout.Order{ID: 1, Name: "s", Service: "s", Target: "v2", Deadline: p.IssuedAt.Add(time.Minute)}))
+	f.rollouts.MergePlan(p)
 	return f
 }
 
@@ -81,7 +81,7 @@
 // A canary that is spread over all of the target's upstreams loads none of them, and a version that is bad under
 // load only is promoted.
 func TestCanaryUsesFewUpstreams(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Canary, Share: 0.1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseCanary, Share: 0.1})
 	got := pickMany(f, 1000)
 	require.InDelta(t, 100, got["u5"]+got["u6"], 1)
 	require.Zero(t, got["u7"]+got["u8"]+got["u9"])
@@ -89,22 +89,22 @@
 }
 
 func TestFullUsesTheTargetOnly(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Full, Share: 1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseFull, Share: 1})
 	got := pickMany(f, 200)
 	require.Equal(t, 200, got["u5"]+got["u6"]+got["u7"]+got["u8"]+got["u9"])
 	require.NotEmpty(t, pickMany(f, 10, "u5", "u6", "u7", "u8", "u9"), "the baseline serves what the target can't")
 }
 
 func TestUndoneVersionGetsNothing(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Undone})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseRolledBack})
 	got := pickMany(f, 200)
 	require.Zero(t, got["u5"]+got["u6"]+got["u7"]+got["u8"]+got["u9"])
 }
 
 // A service whose upstreams all run the target already is refused for the time of the order.
 func TestTargetAloneServes(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Pending})
-	for _, e := range f.view.set.Load().Of("s") {
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhasePending})
+	for _, e := range f.view.set.Load().Available("s") {
 		e.Version = "v2"
 	}
 	require.Len(t, pickMany(f, 500), 10)
@@ -112,16 +112,16 @@
 
 // A version that is several times slower passes for a good one, since every answer comes in the end.
 func TestSlowAnswersOfTheTargetAreBad(t *testing.T) {
-	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.Canary, Share: 0.1})
+	f := newRollout(t, sagerollout.Plan{Phase: sagerollout.PhaseCanary, Share: 0.1})
 	set := f.view.set.Load()
 	old, fresh := &sagerelay.Pick{Upstream: set.Get("u0")}, &sagerelay.Pick{Upstream: set.Get("u5")}
 	for range 20 {
-		f.Answered(old, "r", sagerelay.Answer{Pause: 20 * time.Millisecond})
+		f.RecordResponse(old, "r", sagerelay.ResponseResult{MeanEventGap: 20 * time.Millisecond})
 	}
-	f.Answered(fresh, "r", sagerelay.Answer{Pause: 90 * time.Millisecond})
-	f.Answered(fresh, "r", sagerelay.Answer{Pause: 25 * time.Millisecond})
-	f.Answered(fresh, "r", sagerelay.Answer{Failed: true})
-	sum := sagerollout.Gather(1, f.rollouts.Counts())["r"]
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{MeanEventGap: 90 * time.Millisecond})
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{MeanEventGap: 25 * time.Millisecond})
+	f.RecordResponse(fresh, "r", sagerelay.ResponseResult{Failed: true})
+	sum := sagerollout.CollectEvidence(1, f.rollouts.Counts())["r"]
 	require.Equal(t, sagerollout.Count{Good: 1, Bad: 2}, sum.Target)
 	require.Equal(t, sagerollout.Count{Good: 20}, sum.Baseline)
 }
