--- a/internal/sagemesh/bench_test.go
+++ b/internal/sagemesh/bench_test.go
@@ -62,15 +62,15 @@
 				}
 				const measuredSeconds = 5
 				v.advance(measuredSeconds * time.Second)
-				total, most, size, largest := 0, 0, 0, 0
+				total, maxSent, size, largest := 0, 0, 0, 0
 				for i, x := range v.nodes {
-					total, most = total+x.sent-sent[i], max(most, x.sent-sent[i])
+					total, maxSent = total+x.sent-sent[i], max(maxSent, x.sent-sent[i])
 					size, largest = size+x.bytes-bytes[i], max(largest, x.bytes-bytes[i])
 				}
 				v.nodes[n/2].down = true
 				gone := v.advanceUntil(detectionLimit, func() bool { return v.countStaleViews() == 0 })
 				b.ReportMetric(float64(total)/measuredSeconds/float64(n), "datagrams/s")
-				b.ReportMetric(float64(most)/measuredSeconds, "most_datagrams/s")
+				b.ReportMetric(float64(maxSent)/measuredSeconds, "most_datagrams/s")
 				b.ReportMetric(float64(size)/measuredSeconds/float64(n), "B/s")
 				b.ReportMetric(float64(largest)/measuredSeconds, "most_B/s")
 				b.ReportMetric(gone.Seconds(), "s_until_gone")
--- a/internal/sagemesh/large_fleet_test.go
+++ b/internal/sagemesh/large_fleet_test.go
@@ -45,13 +45,13 @@
 	v.advance(4 * time.Second)
 	v.falseDrops = 0
 	pair := v.nodes[1].aggregators()["dc1"]
-	left := largeFleetSize / largeFleetCentres * 2 / 5
+	remaining := largeFleetSize / largeFleetCentres * 2 / 5
 	for _, n := range v.nodes {
 		if n.DataCentre != "dc1" {
 			continue
 		}
-		left--
-		n.down = pair.contains(n.Address) || left < 0
+		remaining--
+		n.down = pair.contains(n.Address) || remaining < 0
 	}
 	v.advanceUntil(detectionLimit, func() bool { return v.countStaleViews() == 0 })
 	require.Zero(t, v.falseDrops)
@@ -62,9 +62,9 @@
 func TestReadinessIsBroadcastImmediately(t *testing.T) {
 	t.Parallel()
 	v := newVirtualFleet(t, 7, largeFleetSize, largeFleetCentres)
-	late := v.nodes[17]
+	started := v.nodes[17]
 	ready := false
-	late.Fill = func(h *Heartbeat) { h.Ready = ready }
+	started.Fill = func(h *Heartbeat) { h.Ready = ready }
 	v.advance(4 * time.Second)
 	ready = true
 	v.advance(500 * time.Millisecond)
@@ -114,14 +114,14 @@
 	v := newVirtualFleet(t, 3, largeFleetSize, largeFleetCentres)
 	v.advance(4 * time.Second)
 	v.falseDrops = 0
-	deaf := v.byAddr[v.nodes[1].aggregators()["dc1"].primary]
-	v.cutOff = func(_, to *virtualNode) bool { return to == deaf }
+	sendOnly := v.byAddr[v.nodes[1].aggregators()["dc1"].primary]
+	v.cutOff = func(_, to *virtualNode) bool { return to == sendOnly }
 	v.advance(6 * time.Second)
 	for _, n := range v.nodes {
-		if n == deaf {
+		if n == sendOnly {
 			continue
 		}
-		others := slices.DeleteFunc(n.Live(), func(m Member) bool { return m.Address == deaf.Address })
+		others := slices.DeleteFunc(n.Live(), func(m Member) bool { return m.Address == sendOnly.Address })
 		require.Len(t, others, largeFleetSize-2, "%s must know all nodes but itself and the aggregator", n.Name)
 	}
 }
--- a/internal/sagemesh/mesh_test.go
+++ b/internal/sagemesh/mesh_test.go
@@ -302,24 +302,24 @@
 		}
 		return known
 	}, waitTimeout, 10*time.Millisecond)
-	elected := nodes[addrs[0]].aggregators()
-	require.Len(t, elected, 2)
+	pairs := nodes[addrs[0]].aggregators()
+	require.Len(t, pairs, 2)
 	for _, n := range nodes {
-		require.Equal(t, elected, n.aggregators(), "all nodes agree")
+		require.Equal(t, pairs, n.aggregators(), "all nodes agree")
 		n.sendViaAggregators()
 	}
 	want := func(a string) []sum {
 		n := nodes[a]
-		own, far := elected[n.DataCentre], elected["north"]
+		own, remote := pairs[n.DataCentre], pairs["north"]
 		if n.DataCentre == "north" {
-			far = elected["south"]
+			remote = pairs["south"]
 		}
 		var out []sum
 		if own.primary != a {
 			out = append(out, sum{own.primary, true})
 		}
 		if own.contains(a) {
-			out = append(out, sum{far.primary, false})
+			out = append(out, sum{remote.primary, false})
 		}
 		return out
 	}
@@ -334,7 +334,7 @@
 		if n.DataCentre != other.DataCentre {
 			continue
 		}
-		if a := elected[n.DataCentre].primary; a != other.Address {
+		if a := pairs[n.DataCentre].primary; a != other.Address {
 			other.handleHeartbeat(&Heartbeat{Identity: Identity{Node: a, DataCentre: n.DataCentre}, Address: a, Leaving: true, Stamp: Stamp{1, 1}})
 			require.NotEqual(t, a, other.aggregators()[n.DataCentre].primary, "it is leaving")
 		}
@@ -345,7 +345,7 @@
 func TestMalformedHeartbeats(t *testing.T) {
 	address, err := packAddress("127.0.0.1:9")
 	require.NoError(t, err)
-	good := func() *heartbeat.Heartbeat {
+	valid := func() *heartbeat.Heartbeat {
 		return &heartbeat.Heartbeat{Address: address, Stamp: &heartbeat.Stamp{Incarnation: 1, At: 1}}
 	}
 	for _, tt := range []struct {
@@ -367,7 +367,7 @@
 		{"plan with a share of NaN", func(m *heartbeat.Heartbeat) { m.Plans = []*heartbeat.Plan{{Share: float32(math.NaN())}} }, ErrHeartbeat},
 		{"malformed known address", func(m *heartbeat.Heartbeat) { m.Known = [][]byte{{1}} }, ErrHeartbeat},
 	} {
-		m := good()
+		m := valid()
 		tt.damage(m)
 		b, err := proto.Marshal(m)
 		require.NoError(t, err)
@@ -391,9 +391,9 @@
 	require.NoError(t, err)
 	b, err := (&receiverFields{h.Echo, &h.Identity, h.KnownAddresses, h.ShortInterval}).append(common)
 	require.NoError(t, err)
-	back, err := decode(h.Stamp.At, b)
+	decoded, err := decode(h.Stamp.At, b)
 	require.NoError(t, err)
-	require.Equal(t, h, back)
+	require.Equal(t, h, decoded)
 }
 
 func FuzzHeartbeat(f *testing.F) {
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -65,11 +65,11 @@
 		p.tracker.MergePlan(plan)
 	}
 	m := h.Member()
-	switch near := h.DataCentre == s.DataCentre; {
+	switch local := h.DataCentre == s.DataCentre; {
 	case h.Sum == nil || !s.IsAggregator(&m):
-	case h.Sum.FleetWide && near:
+	case h.Sum.FleetWide && local:
 		p.answers.UpdateTotal(now, h.Sum.Answers)
-	case !h.Sum.FleetWide && !near:
+	case !h.Sum.FleetWide && !local:
 		p.answers.UpdateGroup(now, h.DataCentre, h.Sum.Answers)
 	}
 }
@@ -88,10 +88,10 @@
 		f.exposed++
 		p.tracker.RecordAnswer("s", "v2", "r", f.targetFails && f.rnd.IntN(2) == 0)
 	}
-	first := f.states[0]
-	e := first.tracker.Entries()[0]
-	evidence := sagerollout.CollectEvidence(e.Order.ID, first.answers.Sum(f.now))
-	first.tracker.MergePlan(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.ServiceLoad{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
+	controllerState := f.states[0]
+	e := controllerState.tracker.Entries()[0]
+	evidence := sagerollout.CollectEvidence(e.Order.ID, controllerState.answers.Sum(f.now))
+	controllerState.tracker.MergePlan(c.Step(f.now, e.Order, e.Plan, evidence, sagerollout.ServiceLoad{TargetSlots: 1000, BaselineSlots: 1000, InFlight: 10, BaselineInFlight: 10}))
 	f.schedule(stepInterval, func() { f.step(c) })
 }
 
@@ -130,12 +130,12 @@
 		n.down = n.DataCentre < "dc3" && aggregators[n.DataCentre].primary == n.Address
 	}
 	f.targetFails = true
-	living := 0
+	upCount := 0
 	for _, n := range f.nodes {
 		if !n.down {
-			living++
+			upCount++
 		}
 	}
-	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseRolledBack) == living })
+	f.advanceUntil(10*time.Second, func() bool { return f.countInPhase(sagerollout.PhaseRolledBack) == upCount })
 	require.LessOrEqual(t, float64(f.exposed), 0.1*float64(f.total)+50)
 }
