--- a/cmd/sagebench/chaos.go
+++ b/cmd/sagebench/chaos.go
@@ -19,14 +19,14 @@
 		Short:   "Kill, freeze and replace routers and fail the platform under load, with real processes",
 		Long:    "chaos runs a fleet of real processes under mixed load while it breaks one thing after another. It exits 0 only\nif no answer was wrong, no booking ran twice, and what callers were told about bookings is true.",
 		Example: "  sagebench chaos --seconds 20 --seed 3 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			r.Until = time.Now().Add(time.Duration(seconds) * time.Second)
 			r.Progress = c.ErrOrStderr()
 			sum, err := r.Do(c.Context())
 			perr := out.Print(c.OutOrStdout(), sum, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "chaos: %d kills, %d freezes, %d outages; %d requests: complete %d, not_run %d, unknown %d, already_run %d, broken off %d, wrong %d; %d bookings: executed twice %d, false not_run %d, false complete %d\n",
-					sum.Kills, sum.Freezes, sum.Outages, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.Wrong, sum.Bookings, sum.ExecutedTwice, sum.FalseNotRun, sum.FalseComplete)
+					sum.Kills, sum.Freezes, sum.Outages, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.WrongAnswers, sum.Bookings, sum.ExecutedTwice, sum.FalseNotRun, sum.FalseComplete)
 				for _, p := range sum.Problems {
 					_, _ = fmt.Fprintln(w, "seen: "+p)
 				}
--- a/cmd/sagestand/demo.go
+++ b/cmd/sagestand/demo.go
@@ -19,7 +19,7 @@
 		Short:   "Run the whole system in this process, under load, and judge it",
 		Long:    "demo starts platform, engines and applications (stand-ins) and three routers on loopback, sends chats and\nbookings, takes a data centre out and back by ticket, and prints what came of every request. It exits 0 only if\nnothing was lost, nothing ran twice and no answer was crossed.",
 		Example: "  sagestand demo --seconds 10\n  sagestand demo --seconds 10 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if seconds < 1 {
 				return fmt.Errorf("%w: --seconds %d: want at least 1", sagecli.ErrUsage, seconds)
@@ -50,7 +50,7 @@
 		v    any
 	}{
 		{"requests", s.Requests}, {"complete", s.Complete}, {"not_run", s.NotRun}, {"unknown", s.Unknown}, {"already_run", s.AlreadyRun},
-		{"lost", s.Lost}, {"wrong", s.Wrong}, {"bookings", s.Bookings}, {"executed_twice", s.ExecutedTwice}, {"false_not_run", s.FalseNotRun},
+		{"lost", s.Lost}, {"wrong", s.WrongAnswers}, {"bookings", s.Bookings}, {"executed_twice", s.ExecutedTwice}, {"false_not_run", s.FalseNotRun},
 		{"cache_reuse", fmt.Sprintf("%.3f", s.CacheReuse)}, {"load_skew", fmt.Sprintf("%.2f", s.LoadSkew)},
 		{"control_bytes_per_second", fmt.Sprintf("%.0f a router", s.ControlBytesPerSecond)},
 		{"claim_bytes_per_booking", fmt.Sprintf("%.0f", s.ClaimBytesPerBooking)},
--- a/cmd/sagestand/serve.go
+++ b/cmd/sagestand/serve.go
@@ -19,7 +19,7 @@
 		Use:     "serve --settings FILE",
 		Short:   "Run the daemon until SIGTERM, then stop gracefully",
 		Example: "  sagestand serve --settings node.json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := load(path)
 			if err != nil {
@@ -42,7 +42,7 @@
 		return sagesettings.Settings{}, fmt.Errorf("%w: --settings FILE is missing", sagecli.ErrUsage)
 	}
 	cfg, err := sagesettings.Load(path)
-	var faults sagesettings.Faults
+	var faults sagesettings.FieldErrors
 	if errors.As(err, &faults) {
 		return cfg, fmt.Errorf("%w: %s: %v", sagecli.ErrSettings, path, faults)
 	}
--- a/cmd/sagestand/settings.go
+++ b/cmd/sagestand/settings.go
@@ -23,19 +23,19 @@
 		Use:     "check FILE",
 		Short:   "Report every fault of a settings file at once",
 		Example: "  sagestand settings check node.json",
-		Args:    sagecli.Exactly("FILE"),
+		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := sagesettings.Load(args[0])
-			var faults sagesettings.Faults
+			var faults sagesettings.FieldErrors
 			if err != nil && !errors.As(err, &faults) {
 				return fmt.Errorf("%w: %v", sagecli.ErrSettings, err)
 			}
 			report := struct {
-				OK     bool                `json:"ok"`
-				Faults sagesettings.Faults `json:"faults"`
+				OK     bool                     `json:"ok"`
+				Faults sagesettings.FieldErrors `json:"faults"`
 			}{OK: len(faults) == 0, Faults: faults}
 			if report.Faults == nil {
-				report.Faults = sagesettings.Faults{}
+				report.Faults = sagesettings.FieldErrors{}
 			}
 			perr := out.Print(c.OutOrStdout(), report, func(w io.Writer) {
 				for _, f := range faults {
@@ -61,7 +61,7 @@
 		Use:     "example",
 		Short:   "Print complete settings of a first node",
 		Example: "  sagestand settings example > node.json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			e := json.NewEncoder(c.OutOrStdout())
 			e.SetIndent("", "  ")
@@ -78,9 +78,9 @@
 		Use:     "page",
 		Short:   "Print docs/SETTINGS.md from the type",
 		Example: "  sagestand settings page > docs/SETTINGS.md",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), sagesettings.Page())
+			_, err := io.WriteString(c.OutOrStdout(), sagesettings.MarkdownPage())
 			return err
 		},
 	}
--- a/internal/sageclaims/backlog.go
+++ b/internal/sageclaims/backlog.go
@@ -171,7 +171,7 @@
 func (s *Service) listLate(ctx context.Context, rec *sageclaim.Record) bool {
 	now := time.Now()
 	key, err := sageclaim.ParseKey(rec.Key)
-	if err != nil || rec.State != sageclaim.StateFinished || !rec.Unresolved(now) || now.Before(key.CreatedAt.Add(s.SettleAfter)) {
+	if err != nil || rec.State != sageclaim.StateFinished || !rec.Unresolved(now) || now.Before(key.CreatedAt.Add(s.SweepAfter)) {
 		return true
 	}
 	return s.addUnknown(ctx, now, []sageclaim.Record{*rec}) == nil
--- a/internal/sageclaims/held.go
+++ b/internal/sageclaims/held.go
@@ -15,8 +15,8 @@
 // maxHeldAnswer is the greatest answer in bytes that is held for repeats.
 const maxHeldAnswer = 64 << 10
 
-// ErrBadAnswer reports a held answer that can't be told.
-var ErrBadAnswer = errors.New("malformed held answer")
+// ErrInvalidAnswer reports a held answer that can't be told.
+var ErrInvalidAnswer = errors.New("malformed held answer")
 
 // heldAnswer is an answer as it travels between nodes.
 type heldAnswer struct {
@@ -28,12 +28,12 @@
 // Check reports a status that no answer has.
 func (a *heldAnswer) Check() error {
 	if a.Status < 200 || a.Status > 599 {
-		return fmt.Errorf("status %d: %w", a.Status, ErrBadAnswer)
+		return fmt.Errorf("status %d: %w", a.Status, ErrInvalidAnswer)
 	}
 	return nil
 }
 
-func encodeAnswer(a *sagedispatch.Answer) []byte {
+func encodeAnswer(a *sagedispatch.BufferedResponse) []byte {
 	if a == nil || len(a.Body) > maxHeldAnswer {
 		return nil
 	}
@@ -44,10 +44,10 @@
 	return b
 }
 
-func decodeAnswer(b []byte) (*sagedispatch.Answer, error) {
+func decodeAnswer(b []byte) (*sagedispatch.BufferedResponse, error) {
 	var a heldAnswer
 	if err := json.Unmarshal(b, &a); err != nil {
-		return nil, fmt.Errorf("decode answer: %v: %w", err, ErrBadAnswer)
+		return nil, fmt.Errorf("decode answer: %v: %w", err, ErrInvalidAnswer)
 	}
 	if err := a.Check(); err != nil {
 		return nil, fmt.Errorf("decode answer: %w", err)
@@ -56,11 +56,11 @@
 	if a.ContentType != "" {
 		h.Set("Content-Type", a.ContentType)
 	}
-	return &sagedispatch.Answer{Status: a.Status, Header: h, Body: a.Body}, nil
+	return &sagedispatch.BufferedResponse{Status: a.Status, Header: h, Body: a.Body}, nil
 }
 
 // heldAnswer decodes the held answer of a repeat; one that can't be read counts as not held.
-func (s *Service) heldAnswer(b []byte) *sagedispatch.Answer {
+func (s *Service) heldAnswer(b []byte) *sagedispatch.BufferedResponse {
 	if len(b) == 0 {
 		return nil
 	}
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -40,12 +40,12 @@
 	// Dial returns the client for a node.
 	Dial func(addr string) claim.Claims
 	// HeldBytes bounds the answers held for repeats.
-	HeldBytes int
+	MaxAnswerBytes int
 	// SettleAfter is how long after its bucket a claim object is searched for unsettled requests; it
 	// exceeds the latest deadline that callers may set.
-	SettleAfter time.Duration
-	Log         sagelog.Logger
-	Metrics     *metrics.Set
+	SweepAfter time.Duration
+	Log        sagelog.Logger
+	Metrics    *metrics.Set
 
 	once     sync.Once
 	held     held
@@ -56,7 +56,7 @@
 
 func (s *Service) init() {
 	s.once.Do(func() {
-		s.held.limit = s.HeldBytes
+		s.held.limit = s.MaxAnswerBytes
 		if s.Metrics == nil {
 			s.Metrics = metrics.NewSet()
 		}
@@ -71,7 +71,7 @@
 }
 
 // Claim implements [sageentry.Claims].
-func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	s.init()
 	now := time.Now()
 	key, err := sageclaim.ParseKey(r.IdempotencyKey)
@@ -100,7 +100,7 @@
 }
 
 // claim commits the claim, and waits while another one of the same key is in flight.
-func (s *Service) claim(ctx context.Context, h *handle) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) claim(ctx context.Context, h *handle) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	for pause, fresh := pollFirst, false; ; pause = min(2*pause, pollMost) {
 		rec, ans, err := s.commit(ctx, h.object, h.entry, nil, fresh)
 		if err == nil && rec.ClaimID != h.entry.ClaimID && !fresh {
@@ -128,7 +128,7 @@
 //
 // It guards against a router that was paused between the claim and here: its caller has left or
 // been told something else, so the request must not go out any more.
-func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if rec.State != sageclaim.StateClaimed || now.After(h.entry.Deadline) {
 		s.release(h)
 		return nil, nil, s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
@@ -194,7 +194,7 @@
 		}
 	case sagewire.Complete:
 		j.entry.Op, j.entry.Outcome, j.entry.Status = sageclaim.OpFinish, sagewire.Complete, res.Status
-		j.answer = encodeAnswer(res.Answer)
+		j.answer = encodeAnswer(res.Response)
 	default:
 		j.entry.Op, j.entry.Outcome = sageclaim.OpFinish, sagewire.Unknown
 	}
--- a/internal/sageclaims/service_test.go
+++ b/internal/sageclaims/service_test.go
@@ -84,7 +84,7 @@
 		s := &Service{
 			Rules:     sageclaim.Rules{Bucket: 2 * time.Second, Shards: 4, Retention: time.Hour, MaxAhead: time.Minute},
 			Committer: &sageclaim.Committer{Store: f.store, BatchWindow: 10 * time.Millisecond}, Store: f.store,
-			Self: self, HeldBytes: 1 << 20, SettleAfter: time.Minute,
+			Self: self, MaxAnswerBytes: 1 << 20, SweepAfter: time.Minute,
 			Dial: func(addr string) claim.Claims { return &directCall{f: f, addr: addr} },
 			Peers: func() []string {
 				var out []string
@@ -140,13 +140,13 @@
 }
 
 func booked(body string) *sagedispatch.Result {
-	return &sagedispatch.Result{Outcome: sagewire.Complete, Status: 201, Answer: &sagedispatch.Answer{
+	return &sagedispatch.Result{Outcome: sagewire.Complete, Status: 201, Response: &sagedispatch.BufferedResponse{
 		Status: 201, Header: http.Header{"Content-Type": {"application/json"}}, Body: []byte(body),
 	}}
 }
 
 // A family's box is baked twice: the app repeats a booking through another router.
-func TestRepeatThroughAnotherNodeGetsTheHeldAnswer(t *testing.T) {
+func TestRepeatThroughOtherNodeGetsCachedAnswer(t *testing.T) {
 	bubble(t, 3, func(t *testing.T, f *fleet) {
 		key := keyNow("a")
 		c, _, ref := f.nodes[0].Claim(t.Context(), request(key, "box"))
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestSameKeyWithAnotherBody(t *testing.T) {
+func TestSameKeyWithOtherBody(t *testing.T) {
 	bubble(t, 2, func(t *testing.T, f *fleet) {
 		key := keyNow("a")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "one box"))
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestBadKeys(t *testing.T) {
+func TestInvalidKeys(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		old := fmt.Sprintf("%d-x", time.Now().Add(-2*time.Hour).UnixMilli())
 		ahead := fmt.Sprintf("%d-x", time.Now().Add(2*time.Minute).UnixMilli())
@@ -191,7 +191,7 @@
 
 // Two sendings of one booking arrive together. The second waits inside its deadline, and gets the
 // answer of the first, or runs if the first did not.
-func TestWaitsForARequestInFlight(t *testing.T) {
+func TestWaitsForRequestInFlight(t *testing.T) {
 	for _, ran := range []bool{true, false} {
 		t.Run(fmt.Sprintf("ran=%v", ran), func(t *testing.T) {
 			bubble(t, 3, func(t *testing.T, f *fleet) {
@@ -235,7 +235,7 @@
 }
 
 // The store is down: the booking is refused at once, and runs when it is sent again later.
-func TestStoreDown(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	bubble(t, 3, func(t *testing.T, f *fleet) {
 		key, ran := keyNow("a"), keyNow("ran")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(ran, "b"))
@@ -256,7 +256,7 @@
 
 // A caller whose booking runs sends it again to the same router during an outage of the store. "Not
 // run" would make it book anew; what the router remembers says better.
-func TestStoreDownWithAClaimInMemory(t *testing.T) {
+func TestStoreUnavailableWithCachedClaim(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		key := keyNow("a")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
@@ -269,7 +269,7 @@
 }
 
 // The owner of an object is frozen or cut off; bookings of its objects go on without it.
-func TestDeadOwner(t *testing.T) {
+func TestOwnerUnreachable(t *testing.T) {
 	bubble(t, 3, func(t *testing.T, f *fleet) {
 		f.mu.Lock()
 		f.dead["n1"], f.dead["n2"] = true, true
@@ -283,7 +283,7 @@
 }
 
 // A router pauses between the claim's commit and the request: by then its caller has given up.
-func TestClaimAfterItsDeadlineIsReleased(t *testing.T) {
+func TestClaimCommittedAfterDeadlineIsReleased(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		r := request(keyNow("a"), "b")
 		f.mu.Lock()
@@ -301,7 +301,7 @@
 
 // Nobody knows whether a booking ran: its router died after the claim. A repeat is told so, and the
 // booking appears on the operators' list until a person settles it.
-func TestRouterDiesAfterTheClaim(t *testing.T) {
+func TestRouterCrashAfterClaim(t *testing.T) {
 	bubble(t, 2, func(t *testing.T, f *fleet) {
 		r := request(keyNow("a"), "b")
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
@@ -313,14 +313,14 @@
 		assert.Equal(t, sagewire.ReasonAnswerLost, ref.Reason)
 
 		time.Sleep(2 * time.Minute)
-		list, err := f.nodes[1].Unknown(t.Context())
+		list, err := f.nodes[1].UnknownOutcomes(t.Context())
 		require.NoError(t, err)
 		require.Len(t, list, 1)
 		assert.Equal(t, r.IdempotencyKey, list[0].Key)
-		rec, err := f.nodes[1].Settle(t.Context(), &Settlement{Account: "haller", Key: r.IdempotencyKey, ClaimID: r.ID, Outcome: sagewire.NotRun})
+		rec, err := f.nodes[1].Resolve(t.Context(), &Resolution{Account: "haller", Key: r.IdempotencyKey, ClaimID: r.ID, Outcome: sagewire.NotRun})
 		require.NoError(t, err)
 		assert.Equal(t, sageclaim.StateReleased, rec.State)
-		list, err = f.nodes[0].Unknown(t.Context())
+		list, err = f.nodes[0].UnknownOutcomes(t.Context())
 		require.NoError(t, err)
 		assert.Empty(t, list)
 		c, _, ref := f.nodes[0].Claim(t.Context(), request(r.IdempotencyKey, "b"))
@@ -331,7 +331,7 @@
 
 // An unknown outcome of a key that was made long before its use, and a store outage just when it is
 // to be recorded: it still reaches the list.
-func TestLateUnknownIsListed(t *testing.T) {
+func TestUnknownOutcomeOfOldKeyIsListed(t *testing.T) {
 	bubble(t, 2, func(t *testing.T, f *fleet) {
 		key := keyNow("old")
 		time.Sleep(10 * time.Minute)
@@ -342,7 +342,7 @@
 		time.Sleep(time.Minute)
 		f.setDown(false)
 		time.Sleep(5 * time.Second)
-		list, err := f.nodes[1].Unknown(t.Context())
+		list, err := f.nodes[1].UnknownOutcomes(t.Context())
 		require.NoError(t, err)
 		require.Len(t, list, 1)
 		assert.Equal(t, key, list[0].Key)
@@ -350,7 +350,7 @@
 }
 
 // Objects go after retention, and with them nothing unsettled.
-func TestDeleteOld(t *testing.T) {
+func TestDeleteExpired(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(keyNow("a"), "b"))
 		require.Nil(t, ref)
@@ -362,13 +362,13 @@
 		metas, err = f.store.List(t.Context(), sageclaim.Prefix)
 		require.NoError(t, err)
 		assert.Empty(t, metas)
-		list, err := f.nodes[0].Unknown(t.Context())
+		list, err := f.nodes[0].UnknownOutcomes(t.Context())
 		require.NoError(t, err)
 		assert.Len(t, list, 1)
 	})
 }
 
-func TestHeldAnswersAreBounded(t *testing.T) {
+func TestAnswerCacheIsBounded(t *testing.T) {
 	h := held{limit: 1000}
 	for i := range 100 {
 		h.put(fmt.Sprint(i), make([]byte, 100))
@@ -376,10 +376,10 @@
 	}
 	assert.Nil(t, h.get("0"))
 	assert.NotNil(t, h.get("99"))
-	assert.Nil(t, encodeAnswer(&sagedispatch.Answer{Status: 200, Body: make([]byte, maxHeldAnswer+1)}))
+	assert.Nil(t, encodeAnswer(&sagedispatch.BufferedResponse{Status: 200, Body: make([]byte, maxHeldAnswer+1)}))
 }
 
-func TestOperatorsInterface(t *testing.T) {
+func TestOperatorAPI(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		r := request(keyNow("a"), "b")
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
@@ -410,7 +410,7 @@
 
 // A booking that ran is told as unknown, or a released one blocks its key: another node wrote the
 // object while this one, its owner, couldn't be reached, and this one goes by what it remembers.
-func TestMemoryBehindTheStore(t *testing.T) {
+func TestStaleCache(t *testing.T) {
 	bubble(t, 1, func(t *testing.T, f *fleet) {
 		other := &sageclaim.Committer{Store: f.store}
 		defer other.Wait()
--- a/internal/sageclaims/sweep.go
+++ b/internal/sageclaims/sweep.go
@@ -45,7 +45,7 @@
 			s.Log.Warn("Can't sweep claims.", "err", err)
 		}
 		if n%deleteEvery == 0 {
-			if err := s.DeleteOld(ctx, time.Now()); err != nil && ctx.Err() == nil {
+			if err := s.DeleteExpired(ctx, time.Now()); err != nil && ctx.Err() == nil {
 				s.Log.Warn("Can't delete old claims.", "err", err)
 			}
 		}
@@ -57,7 +57,7 @@
 // It guards against losing track of a request whose router died: nobody else knows of it but its
 // claim. The list is written before the cursor moves, so a crash between the two only repeats work.
 func (s *Service) Sweep(ctx context.Context, now time.Time) error {
-	until := s.Rules.BucketStart(now.Add(-s.SettleAfter))
+	until := s.Rules.BucketStart(now.Add(-s.SweepAfter))
 	cur, version, err := s.cursor(ctx, now)
 	if err != nil || !cur.SweptUntil.Before(until) {
 		return err
@@ -198,7 +198,7 @@
 
 // DeleteOld deletes claim objects beyond retention, after a last search for unsettled requests: a
 // key may have been used long after its creation, when its bucket had been searched already.
-func (s *Service) DeleteOld(ctx context.Context, now time.Time) error {
+func (s *Service) DeleteExpired(ctx context.Context, now time.Time) error {
 	until := s.Rules.BucketStart(now.Add(-s.Rules.Bucket - s.Rules.Retention - sageclaim.DeleteMargin))
 	cur, version, err := s.cursor(ctx, now)
 	if err != nil || !cur.DeletedUntil.Before(until) {
--- a/internal/sageclaims/unknown.go
+++ b/internal/sageclaims/unknown.go
@@ -19,7 +19,7 @@
 const maxSettleBytes = 4 << 10
 
 // Unknown returns the listed requests whose outcome nobody has settled yet.
-func (s *Service) Unknown(ctx context.Context) ([]sageclaim.Record, error) {
+func (s *Service) UnknownOutcomes(ctx context.Context) ([]sageclaim.Record, error) {
 	metas, err := s.Store.List(ctx, unknownPrefix)
 	if err != nil {
 		return nil, fmt.Errorf("list unknown outcomes: %w", err)
@@ -74,8 +74,8 @@
 	return !ok || (now.ClaimID == r.ClaimID && now.Unresolved(time.Now())), nil
 }
 
-// Settlement is an operator's word on a request whose outcome was unknown.
-type Settlement struct {
+// Resolution is an operator's word on a request whose outcome was unknown.
+type Resolution struct {
 	Account string `json:"account"`
 	Key     string `json:"key"`
 	ClaimID string `json:"claim_id"`
@@ -84,7 +84,7 @@
 }
 
 // Settle records a settlement and returns the key's record after it.
-func (s *Service) Settle(ctx context.Context, set *Settlement) (sageclaim.Record, error) {
+func (s *Service) Resolve(ctx context.Context, set *Resolution) (sageclaim.Record, error) {
 	s.init()
 	key, err := sageclaim.ParseKey(set.Key)
 	if err != nil {
@@ -101,22 +101,22 @@
 	return rec, nil
 }
 
-// ServeHTTP answers GET with the unsettled requests and POST of a [Settlement] with the record.
+// ServeHTTP answers GET with the unsettled requests and POST of a [Resolution] with the record.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		var set Settlement
+		var set Resolution
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes)).Decode(&set); err != nil {
 			sageoperator.WriteJSON(w, http.StatusBadRequest, sageoperator.Problem{Problem: "decode settlement: " + err.Error()})
 			return
 		}
-		rec, err := s.Settle(r.Context(), &set)
+		rec, err := s.Resolve(r.Context(), &set)
 		if err == nil && rec.ClaimID != set.ClaimID {
 			err = fmt.Errorf("the key now belongs to claim %s: %w", rec.ClaimID, sageclaim.ErrNoClaim)
 		}
 		reply(w, &rec, err)
 		return
 	}
-	list, err := s.Unknown(r.Context())
+	list, err := s.UnknownOutcomes(r.Context())
 	reply(w, list, err)
 }
 
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -55,7 +55,7 @@
 	// Since is when this node first heard of that revision there.
 	Since time.Time `json:"since,omitzero"`
 	// HeardAt is when that node was last heard of.
-	HeardAt time.Time `json:"heard_at,omitzero"`
+	LastContact time.Time `json:"heard_at,omitzero"`
 }
 
 // Service is the service "config". Its fields are set before Run.
@@ -126,7 +126,7 @@
 }
 
 // Standing returns what this node knows about its configuration.
-func (s *Service) Standing() sagesync.Status {
+func (s *Service) ReplicaStatus() sagesync.Status {
 	s.init()
 	return s.replica.Status()
 }
@@ -140,7 +140,7 @@
 
 // Serving says why this node may not serve such a request now, or nil.
 func (s *Service) Serving(now time.Time, idempotent bool) *sagewire.Refusal {
-	v := s.Rule.Evaluate(now, s.Standing())
+	v := s.Rule.Evaluate(now, s.ReplicaStatus())
 	if v.Level == sagesync.ServeAll || v.Level == sagesync.ServeIdempotent && idempotent {
 		return nil
 	}
@@ -177,7 +177,7 @@
 	for {
 		now := time.Now()
 		s.noteQuorum(now)
-		st := s.Standing()
+		st := s.ReplicaStatus()
 		if s.Rule.MayAccept(now, st) {
 			return true
 		}
@@ -233,7 +233,7 @@
 		now := time.Now()
 		s.noteQuorum(now)
 		s.track(now)
-		if v := s.Rule.Evaluate(now, s.Standing()); v.Level != may {
+		if v := s.Rule.Evaluate(now, s.ReplicaStatus()); v.Level != may {
 			may = v.Level
 			if may == sagesync.ServeAll {
 				s.Log.Info("Serving.", "revision", s.Revision())
--- a/internal/sageconfigd/service_test.go
+++ b/internal/sageconfigd/service_test.go
@@ -46,7 +46,7 @@
 
 // The store is out for a minute. What requests see depends on the rule that the operators chose;
 // when the store is back, all are served again.
-func TestOutage(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	quorum := &members{live: []string{"vm-0"}, quorum: func(now time.Time) time.Time { return now }}
 	lost := &members{live: []string{"vm-0"}, quorum: func(time.Time) time.Time { return time.Time{} }}
 	for _, c := range []struct {
@@ -103,7 +103,7 @@
 
 // The watch hangs on a broken connection. Without the comparison of versions the node would go on
 // with the old configuration until the watch times out.
-func TestWatchHangs(t *testing.T) {
+func TestWatchStalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		p.hang.Store(true)
@@ -119,7 +119,7 @@
 
 // The store was restored from an old copy. Confirming it would call the node's newer state the
 // newest, though the store no longer holds it.
-func TestStoreGoneBack(t *testing.T) {
+func TestStoreRolledBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		accept(t, p, 1, 3)
@@ -134,7 +134,7 @@
 }
 
 // A node that is not a watcher spares the store, but doesn't starve when no watcher feeds it.
-func TestNotWatcher(t *testing.T) {
+func TestNonWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		accept(t, p, 1, 1)
@@ -185,7 +185,7 @@
 }
 
 // Whoever accepts the ticket that makes the tail long folds it, so that the head stays small.
-func TestFoldWhenDue(t *testing.T) {
+func TestCompactionWhenDue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPlatform()
 		s := start(t, p, nil, sagesync.IsolatedServe)
@@ -228,8 +228,8 @@
 		require.Len(t, st.InForce, 2)
 		assert.Equal(t, []string{"vm-0", "vm-1"}, []string{st.InForce[0].Node, st.InForce[1].Node})
 		assert.WithinDuration(t, begun.Add(5*time.Second), st.InForce[1].Since, tick, "not when it moved on to revision 3")
-		require.Len(t, st.Lacking, 1)
-		assert.Equal(t, "vm-2", st.Lacking[0].Node)
+		require.Len(t, st.NotInForce, 1)
+		assert.Equal(t, "vm-2", st.NotInForce[0].Node)
 
 		p.out.Store(false)
 		_, err = s.Status(t.Context(), 9)
@@ -242,7 +242,7 @@
 
 // A node is replaced by one of the same name that holds nothing yet: what the old one held must not
 // count for the new one.
-func TestTrackerRestart(t *testing.T) {
+func TestRevisionHistoryAfterRestart(t *testing.T) {
 	var tr tracker
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	tr.note(now, []NodeRevision{{Node: "a", Revision: 5}})
@@ -256,7 +256,7 @@
 }
 
 // An operator submits the first ticket right after the nodes were started.
-func TestSubmitWhileMeeting(t *testing.T) {
+func TestSubmitBeforeFirstContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		meets := time.Now().Add(3 * time.Second)
 		s := start(t, newPlatform(), &members{live: []string{"vm-0"}, quorum: func(now time.Time) time.Time {
--- a/internal/sageconfigd/status.go
+++ b/internal/sageconfigd/status.go
@@ -18,7 +18,7 @@
 	InForce []NodeRevision `json:"in_force"`
 	// Lacking lists the nodes that, by their newest heartbeat, do not hold it; Since is zero for one
 	// that was never heard of at its revision.
-	Lacking []NodeRevision `json:"lacking"`
+	NotInForce []NodeRevision `json:"lacking"`
 }
 
 // History returns the newest accepted tickets, newest first.
@@ -42,7 +42,7 @@
 	s.track(time.Now())
 	for _, n := range s.nodes(time.Now()) {
 		if n.Revision < st.Revision {
-			st.Lacking = append(st.Lacking, n)
+			st.NotInForce = append(st.NotInForce, n)
 			continue
 		}
 		n.Since = s.tracker.since(n.Node, st.Revision)
@@ -54,7 +54,7 @@
 // nodes lists all known nodes, this one by its own word.
 func (s *Service) nodes(now time.Time) []NodeRevision {
 	c := s.replica.Current()
-	ns := []NodeRevision{{Node: s.Node, DataCentre: s.DataCentre, Revision: c.Revision, Since: c.AppliedAt, HeardAt: now}}
+	ns := []NodeRevision{{Node: s.Node, DataCentre: s.DataCentre, Revision: c.Revision, Since: c.AppliedAt, LastContact: now}}
 	if s.Members != nil {
 		for _, n := range s.Members.Nodes() {
 			if n.Node != s.Node {
--- a/internal/sageentry/refuse.go
+++ b/internal/sageentry/refuse.go
@@ -47,7 +47,7 @@
 
 // refuseClaim responds to a request whose key is already claimed, with the stored response if there is
 // one.
-func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, storedAnswer *sagedispatch.Answer, ref *sagewire.Refusal) {
+func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, storedAnswer *sagedispatch.BufferedResponse, ref *sagewire.Refusal) {
 	if storedAnswer == nil || ref.Outcome != sagewire.AlreadyRun {
 		s.refuse(w, req, ref, 0)
 		return
--- a/internal/sageentry/serve.go
+++ b/internal/sageentry/serve.go
@@ -95,7 +95,7 @@
 }
 
 // claim claims the idempotency key of a request that must not run twice.
-func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil, nil
 	}
@@ -144,7 +144,7 @@
 
 // awaitRetry reports whether another attempt may follow res, after waiting until the instant for it.
 func (s *Service) awaitRetry(ctx context.Context, req *Request, res *sagedispatch.Result, tried []string) bool {
-	if res.Outcome == sagewire.Complete || res.Started || res.CallerGone || ctx.Err() != nil {
+	if res.Outcome == sagewire.Complete || res.ResponseStarted || res.CallerGone || ctx.Err() != nil {
 		return false
 	}
 	if res.Outcome != sagewire.NotRun && !req.Idempotent {
@@ -193,24 +193,24 @@
 // newAttempt returns the n-th attempt of a request, at the picked upstream.
 func newAttempt(req *Request, p *Pick, n int) *sagedispatch.Attempt {
 	return &sagedispatch.Attempt{
-		RequestID: req.ID + "-" + strconv.Itoa(n),
-		Address:   p.Address,
-		Method:    req.Method,
-		Path:      req.Path,
-		Header:    req.Header,
-		Body:      req.Body,
-		Deadline:  req.Deadline,
-		Priority:  req.Priority,
-		Key:       req.IdempotencyKey,
-		Once:      !req.Idempotent,
-		Stream:    req.Stream,
-		Engine:    p.Engine,
+		RequestID:      req.ID + "-" + strconv.Itoa(n),
+		Address:        p.Address,
+		Method:         req.Method,
+		Path:           req.Path,
+		Header:         req.Header,
+		Body:           req.Body,
+		Deadline:       req.Deadline,
+		Priority:       req.Priority,
+		IdempotencyKey: req.IdempotencyKey,
+		AtMostOnce:     !req.Idempotent,
+		Stream:         req.Stream,
+		Engine:         p.Engine,
 	}
 }
 
 // respond sends a refusal if no response was started, and records the outcome.
 func (s *Service) respond(w http.ResponseWriter, req *Request, res *sagedispatch.Result, pick *Pick, attempts int) {
-	if res.Outcome != sagewire.Complete && !res.Started {
+	if res.Outcome != sagewire.Complete && !res.ResponseStarted {
 		ref := res.Refusal(req.ID)
 		if ref.Outcome == sagewire.Unknown && !req.Idempotent && req.IdempotencyKey == "" {
 			ref.Detail += "; it was sent once and has no " + sagewire.HeaderIdempotencyKey + ", so sending it again may run it twice"
--- a/internal/sageloadd/bytes_test.go
+++ b/internal/sageloadd/bytes_test.go
@@ -69,7 +69,7 @@
 	limits := testLimits
 	limits.GrantDuration, limits.PromiseDuration = 4*time.Second, 4*time.Second
 	for i, m := range roster {
-		s := &Service{Node: m.Name, Roster: roster, Config: f, Peers: &sagepeer.Client{Key: "k"}, Limits: limits, Floor: 1, Ramp: 1}
+		s := &Service{Node: m.Name, Roster: roster, Config: f, Peers: &sagepeer.Client{Key: "k"}, Limits: limits, Floor: 1, RampCompletions: 1}
 		servers[i].Mount(allot.NewAllotServer(s))
 		go func() { _ = servers[i].Run(ctx) }()
 		go func() { _ = s.Run(ctx) }()
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestSizeOfAsk(t *testing.T) {
+func TestSizeOfGrantRequest(t *testing.T) {
 	ask := &allot.AskRequest{Node: "10.0.0.1:7201", Holder: "78gcdu0edbfsb", EchoHome: "njic1gpv6m523"}
 	res := &allot.AskResponse{Home: "njic1gpv6m523"}
 	for i := range 6 {
--- a/internal/sageloadd/dial.go
+++ b/internal/sageloadd/dial.go
@@ -106,7 +106,7 @@
 		return "", err
 	}
 	if res.Close {
-		return "", fmt.Errorf("upstream closes the connection: %w", ErrBadReport)
+		return "", fmt.Errorf("upstream closes the connection: %w", ErrInvalidReport)
 	}
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		return "", fmt.Errorf("reset deadline: %w", err)
--- a/internal/sageloadd/home.go
+++ b/internal/sageloadd/home.go
@@ -28,15 +28,15 @@
 
 // Errors of the service.
 var (
-	ErrBadReport = errors.New("malformed load report")
-	ErrBadAsk    = errors.New("malformed ask")
+	ErrInvalidReport  = errors.New("malformed load report")
+	ErrInvalidRequest = errors.New("malformed ask")
 )
 
 // Ask implements [allot.Allot]: it answers another router as home.
 func (s *Service) Ask(_ context.Context, req *allot.AskRequest) (*allot.AskResponse, error) {
 	s.init()
 	if len(req.Wants) > maxWants || req.Holder == "" {
-		return nil, fmt.Errorf("%d wants of holder %q: %w", len(req.Wants), req.Holder, ErrBadAsk)
+		return nil, fmt.Errorf("%d wants of holder %q: %w", len(req.Wants), req.Holder, ErrInvalidRequest)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +131,7 @@
 	if err != nil {
 		return r, fmt.Errorf("make probe: %w", err)
 	}
-	res, err := s.Probe.Do(req)
+	res, err := s.ProbeClient.Do(req)
 	if err != nil {
 		return r, fmt.Errorf("probe: %w", err)
 	}
@@ -142,17 +142,17 @@
 func decodeReport(res *http.Response) (sageload.Report, error) {
 	var r sageload.Report
 	if res.StatusCode != http.StatusOK {
-		return r, fmt.Errorf("status %d: %w", res.StatusCode, ErrBadReport)
+		return r, fmt.Errorf("status %d: %w", res.StatusCode, ErrInvalidReport)
 	}
 	b, err := io.ReadAll(io.LimitReader(res.Body, maxReport))
 	if err != nil {
 		return r, fmt.Errorf("read load report: %w", err)
 	}
 	if err := json.Unmarshal(b, &r); err != nil {
-		return r, fmt.Errorf("decode load report: %v: %w", err, ErrBadReport)
+		return r, fmt.Errorf("decode load report: %v: %w", err, ErrInvalidReport)
 	}
 	if r.BootID == "" || r.InFlight < 0 || r.Capacity < 0 {
-		return r, fmt.Errorf("boot id %q, in_flight %d, bears %d: %w", r.BootID, r.InFlight, r.Capacity, ErrBadReport)
+		return r, fmt.Errorf("boot id %q, in_flight %d, bears %d: %w", r.BootID, r.InFlight, r.Capacity, ErrInvalidReport)
 	}
 	r.BootID = shortID(r.BootID)
 	return r, nil
--- a/internal/sageloadd/latency.go
+++ b/internal/sageloadd/latency.go
@@ -12,21 +12,21 @@
 // engine's speed rather than that of the network.
 const leastTokens = 16
 
-// Dispatch makes attempts at upstreams.
-type Dispatch interface {
+// Dispatcher makes attempts at upstreams.
+type Dispatcher interface {
 	Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result
 }
 
-// Timed passes attempts on, each bound to the boot of the engine that its unit is for, and feeds the time to the first token, per uncached prompt token, to the
+// TimedDispatcher passes attempts on, each bound to the boot of the engine that its unit is for, and feeds the time to the first token, per uncached prompt token, to the
 // detector of cold engines. Answers that are not streamed come when they are whole, so their time
 // tells the length of the answer and is left out.
-type Timed struct {
-	Next Dispatch
+type TimedDispatcher struct {
+	Next Dispatcher
 	Load *Service
 }
 
-// Do implements [Dispatch].
-func (t *Timed) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
+// Do implements [Dispatcher].
+func (t *TimedDispatcher) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
 	if id, ok := t.Load.boot(a.Address); ok {
 		a.BootID = id
 	}
--- a/internal/sageloadd/service.go
+++ b/internal/sageloadd/service.go
@@ -47,13 +47,13 @@
 	Config Config
 	Peers  Peers
 	// Probe makes the calls to upstreams; nil means a client of its own.
-	Probe  *http.Client
-	Limits sageload.Limits
+	ProbeClient *http.Client
+	Limits      sageload.Limits
 	// Floor is the part of a warm engine's limit that is set aside for the guaranteed shares.
 	Floor int
 	// Ramp is the number of completed requests for one more at once on a cold engine.
-	Ramp uint64
-	Log  sagelog.Logger
+	RampCompletions uint64
+	Log             sagelog.Logger
 
 	mu        sync.Mutex
 	process   string
@@ -77,8 +77,8 @@
 		s.calls = make(map[string]bool)
 		s.processes = make(map[string]string)
 		s.kick = make(chan struct{}, 1)
-		if s.Probe == nil {
-			s.Probe = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+		if s.ProbeClient == nil {
+			s.ProbeClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 		}
 	})
 }
--- a/internal/sageloadd/service_test.go
+++ b/internal/sageloadd/service_test.go
@@ -77,7 +77,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		f.stop[m.Name] = cancel
-		s := &Service{Node: m.Name, Roster: roster, Live: f.live(roster), Config: f, Peers: f, Limits: testLimits, Floor: 1, Ramp: 1}
+		s := &Service{Node: m.Name, Roster: roster, Live: f.live(roster), Config: f, Peers: f, Limits: testLimits, Floor: 1, RampCompletions: 1}
 		h := allot.NewAllotServer(s)
 		muxes[i].Handle(h.PathPrefix(), h)
 		f.nodes = append(f.nodes, s)
@@ -119,7 +119,7 @@
 
 // Story: the VM that is an engine's home dies, and the engine gets no work any more although it and
 // the other routers are well. Another node becomes its home and grants.
-func TestAnotherNodeBecomesHome(t *testing.T) {
+func TestCoordinatorFailover(t *testing.T) {
 	f := newFleet(t)
 	roster := f.nodes[0].Roster
 	home, _ := sageload.Coordinator("engine1", "derby", roster)
@@ -152,7 +152,7 @@
 
 // Story: an engine restarts cold, and a router that has not heard of it sends on units granted for
 // the warm one. A new connection names its boot first, and another than expected carries nothing.
-func TestDialRefusesAnotherBoot(t *testing.T) {
+func TestDialRejectsRestartedEngine(t *testing.T) {
 	f := newFleet(t)
 	s := f.nodes[0]
 	address := strings.TrimPrefix(f.engine.URL, "http://")
@@ -168,7 +168,7 @@
 	require.NoError(t, c.Close())
 }
 
-func TestDialLeavesOtherAddressesAlone(t *testing.T) {
+func TestDialOfUnknownAddress(t *testing.T) {
 	f := newFleet(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/sageloadd/status.go
+++ b/internal/sageloadd/status.go
@@ -13,10 +13,10 @@
 type Status struct {
 	Upstream string `json:"upstream"`
 	// Home is the node that this one takes for the upstream's home.
-	Home string `json:"home,omitempty"`
+	Coordinator string `json:"home,omitempty"`
 	// Cap is what the home lets all routers have together; Known is false if it is out of date.
-	Cap   int  `json:"cap"`
-	Known bool `json:"known"`
+	Cap      int  `json:"cap"`
+	CapKnown bool `json:"known"`
 	// InFlight estimates the requests of all routers, InUse and Free are this router's.
 	InFlight float64 `json:"in_flight"`
 	InUse    int     `json:"in_use"`
@@ -35,9 +35,9 @@
 	out := make([]Status, 0, len(s.upstreams))
 	for _, u := range s.upstreams {
 		v := u.view(now)
-		st := Status{Upstream: u.name, Cap: v.Cap, Known: v.Known, InFlight: v.InFlight, InUse: u.holding.InUse(), Free: v.Free}
+		st := Status{Upstream: u.name, Cap: v.Cap, CapKnown: v.Known, InFlight: v.InFlight, InUse: u.holding.InUse(), Free: v.Free}
 		if u.engine {
-			st.Home, _ = s.homeOf(u, live)
+			st.Coordinator, _ = s.homeOf(u, live)
 		}
 		if u.ledger != nil && u.ledger.CanGrant(now) {
 			st.Granting, st.Committed = true, u.ledger.Committed()
@@ -73,6 +73,6 @@
 	}
 	set.NewGauge("sagestand_allotment_in_use", sum(func(st Status) float64 { return float64(st.InUse) }))
 	set.NewGauge("sagestand_allotment_free", sum(func(st Status) float64 { return float64(st.Free) }))
-	set.NewGauge("sagestand_upstreams_unknown", sum(func(st Status) float64 { return one(!st.Known) }))
+	set.NewGauge("sagestand_upstreams_unknown", sum(func(st Status) float64 { return one(!st.CapKnown) }))
 	set.NewGauge("sagestand_homes_granting", sum(func(st Status) float64 { return one(st.Granting) }))
 }
--- a/internal/sageloadd/upstream.go
+++ b/internal/sageloadd/upstream.go
@@ -111,7 +111,7 @@
 func (s *Service) add(name string, c *sageconfig.Upstream) *upstream {
 	u := &upstream{name: name, engine: c.Kind == sageconfig.Engine, dataCentre: c.DataCentre}
 	u.estimate.MaxReportAge = silentGrants * s.Limits.GrantDuration
-	u.ramp = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: s.Ramp}
+	u.ramp = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: s.RampCompletions}
 	u.electorate = sageload.Voters(name, c.DataCentre, s.Roster)
 	u.holding = sageload.Allotment{
 		Upstream: name, Holder: s.process, Node: s.Node, Limits: s.Limits, Voter: contains(u.electorate, s.Node),
--- a/internal/sageloadd/want_test.go
+++ b/internal/sageloadd/want_test.go
@@ -32,7 +32,7 @@
 // A router that has just started has placed nothing, so it asked for nothing, so it held nothing, and
 // all its chats waited until they were given up; seen in the demo. Asking for all engines instead
 // cost 58 KB/s a node with 172 of them. The first request must ask, and only a few.
-func TestFirstRequestAsksForAFewUnits(t *testing.T) {
+func TestFirstRequestAsksFewUpstreams(t *testing.T) {
 	c, names := manyEngines(40)
 	s := &Service{Node: "10.0.0.1:7201", Roster: []sageload.Member{{Name: "10.0.0.1:7201", DataCentre: "derby"}}, Config: c, Limits: testLimits}
 	asked := func() (n int) {
--- a/internal/sagematrix/router_test.go
+++ b/internal/sagematrix/router_test.go
@@ -165,7 +165,7 @@
 	return func() {}, nil
 }
 
-func (s *steps) Claim(ctx context.Context, req *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *steps) Claim(ctx context.Context, req *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	s.r.w.at(stepClaimCollect, s.r)
 	return s.claims.Claim(ctx, req)
 }
@@ -210,7 +210,7 @@
 	r.claims = &sageclaims.Service{
 		Rules:     sageclaim.Rules{Bucket: 2 * time.Second, Shards: 4, Retention: time.Hour, MaxAhead: time.Minute},
 		Committer: &sageclaim.Committer{Store: store, BatchWindow: 5 * time.Millisecond, CommitTimeout: time.Second},
-		Store:     store, Self: r.name, HeldBytes: 1 << 20, SettleAfter: 30 * time.Second,
+		Store:     store, Self: r.name, MaxAnswerBytes: 1 << 20, SweepAfter: 30 * time.Second,
 		Peers: func() []string { return []string{w.other(r).name} },
 		Dial:  func(string) claim.Claims { return r.call(w.other(r)) },
 	}
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -44,10 +44,10 @@
 		Dial: func(addr string) claim.Claims {
 			return claim.NewClaimsProtobufClient(peers.URL(addr), peers.HTTP())
 		},
-		HeldBytes:   cfg.Limits.HeldAnswersBytes,
-		SettleAfter: millis(cfg.Limits.DeadlineMillis) + settleSlack,
-		Log:         n.Log.Component("claims"),
-		Metrics:     n.metrics,
+		MaxAnswerBytes: cfg.Limits.HeldAnswersBytes,
+		SweepAfter:     millis(cfg.Limits.DeadlineMillis) + settleSlack,
+		Log:            n.Log.Component("claims"),
+		Metrics:        n.metrics,
 	}
 }
 
@@ -70,9 +70,9 @@
 			Store: store, Key: ordersLease, Holder: n.Settings.Node.Name + "/" + uuid.NewString(),
 			Term: orderTerm, Margin: orderMargin, MaxDeliveryDelay: orderDelay,
 		},
-		Candidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
-		HTTP:      &http.Client{Timeout: orderTimeout},
-		Log:       n.Log.Component("orders"),
+		IsCandidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
+		HTTP:        &http.Client{Timeout: orderTimeout},
+		Log:         n.Log.Component("orders"),
 	}
 }
 
--- a/internal/sagenode/load.go
+++ b/internal/sagenode/load.go
@@ -34,7 +34,7 @@
 			RequestLifetime: millis(cfg.Limits.DeadlineMillis) + cutSlack, ReportLag: millis(cfg.Load.ReportLagMillis),
 			MaxClockDrift: clockDrift,
 		},
-		Floor: cfg.Load.Floor, Ramp: uint64(cfg.Load.RampCompletions), Log: n.Log.Component("load"),
+		Floor: cfg.Load.Floor, RampCompletions: uint64(cfg.Load.RampCompletions), Log: n.Log.Component("load"),
 	}
 }
 
--- a/pkg/sagemember/table_test.go
+++ b/pkg/sagemember/table_test.go
@@ -17,15 +17,15 @@
 func newFleet(t *testing.T, n, dcs int) *sagemeasure.MemberFleet {
 	t.Helper()
 	f := sagemeasure.NewMemberFleet(1)
-	require.NoError(t, f.Add(n, dcs, sagemember.DefaultLimits()))
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed())
+	require.NoError(t, f.AddNodes(n, dcs, sagemember.DefaultLimits()))
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged())
 	return f
 }
 
 func runRounds(f *sagemeasure.MemberFleet, n int) {
 	for range n {
-		f.Round()
+		f.RunRound()
 	}
 }
 
@@ -34,10 +34,10 @@
 
 func TestJoinLeaveAndDeathReachEveryNode(t *testing.T) {
 	f := newFleet(t, 8, 4)
-	joiner, err := f.Start("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
+	joiner, err := f.StartNode("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
 	require.NoError(t, err)
-	f.Rounds(40, f.Agreed)
-	require.True(t, f.Agreed(), "a node that starts later is known to all")
+	f.RunUntil(40, f.Converged)
+	require.True(t, f.Converged(), "a node that starts later is known to all")
 
 	joiner.Table.Report(41, 7)
 	joiner.Table.AdvancePhase(sagemember.Leaving)
@@ -57,8 +57,8 @@
 	require.Equal(t, sagemember.Leaving, joiner.Table.LocalNode().Phase, "a phase never moves back")
 
 	joiner.Stopped = true
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "a dead node is removed from every view")
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "a dead node is removed from every view")
 }
 
 // Guards against the eviction of a healthy VM by a node that can't reach it, while it serves all
@@ -68,7 +68,7 @@
 		t.Run(fmt.Sprint(bothWays), func(t *testing.T) {
 			f := newFleet(t, 8, 4)
 			a, b := f.Nodes[0], f.Nodes[4] // the two nodes of dc0
-			f.Cut = func(from, to *sagemeasure.MemberNode) bool {
+			f.LinkDown = func(from, to *sagemeasure.MemberNode) bool {
 				return from == a && to == b || bothWays && from == b && to == a
 			}
 			runRounds(f, 300)
@@ -82,7 +82,7 @@
 func TestIndirectChecksReduceEvictionsUnderLoss(t *testing.T) {
 	evictions := func(checks int) int64 {
 		f := newFleet(t, 24, 4)
-		f.Loss = 0.45
+		f.LossRate = 0.45
 		for _, n := range f.Nodes {
 			n.Table.Limits.IndirectChecks = checks
 			n.Table.Limits.SuspectAfter = 3 * time.Second
@@ -101,7 +101,7 @@
 func TestIsolatedNodeDelaysEvictions(t *testing.T) {
 	f := newFleet(t, 8, 4)
 	isolated := f.Nodes[3]
-	f.Cut = func(from, to *sagemeasure.MemberNode) bool { return from == isolated || to == isolated }
+	f.LinkDown = func(from, to *sagemeasure.MemberNode) bool { return from == isolated || to == isolated }
 	runRounds(f, 60)
 	require.Zero(t, isolated.Table.Evictions())
 	require.Len(t, isolated.Table.Live(), 8)
@@ -110,9 +110,9 @@
 			require.Len(t, n.Table.Live(), 7, "the other nodes checked with each other and evicted it")
 		}
 	}
-	f.Cut = nil
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "the isolated node rejoins")
+	f.LinkDown = nil
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "the isolated node rejoins")
 }
 
 // Guards against confusing a VM with its replacement at the same address: clients would be sent to the
@@ -123,11 +123,11 @@
 	old := f.Nodes[4]
 	oldID := old.Table.LocalNode().Incarnation
 	lateDigest := old.Engine.Digests()[0].Data
-	replacement, err := f.Start(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
+	replacement, err := f.StartNode(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
 	require.NoError(t, err)
 	replacementID := replacement.Table.LocalNode().Incarnation
 	require.NotEqual(t, oldID, replacementID)
-	elapsed := f.Rounds(60, f.Agreed)
+	elapsed := f.RunUntil(60, f.Converged)
 	require.Less(t, elapsed, 12, "the old incarnation is gone by direct evidence, before its time-out")
 
 	d := new(member.Digest)
@@ -137,8 +137,8 @@
 		b, err := proto.Marshal(d)
 		require.NoError(t, err)
 		f.Nodes[i%3].Table.Delta(b, 1000)
-		f.Round()
-		require.True(t, f.Agreed())
+		f.RunRound()
+		require.True(t, f.Converged())
 		x, ok := findNode(f.Nodes[i%3], oldID)
 		require.True(t, ok)
 		require.Equal(t, sagemember.Gone, x.Phase)
@@ -155,8 +155,8 @@
 	runRounds(f, 3)
 	lateDigest := dead.Engine.Digests()[0].Data
 	dead.Stopped = true
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed())
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged())
 	d := new(member.Digest)
 	require.NoError(t, proto.Unmarshal(lateDigest, d))
 	d.Counters[0] += 2
@@ -167,7 +167,7 @@
 	require.True(t, ok)
 	require.Equal(t, sagemember.Dead, x.State)
 	runRounds(f, 20)
-	require.True(t, f.Agreed())
+	require.True(t, f.Converged())
 }
 
 // Guards against a process that is stopped for a minute, continues, and doesn't notice the gap: it
@@ -184,8 +184,8 @@
 	paused.Paused = false
 	require.False(t, paused.Table.Fresh(), "the pause is detected on the first read")
 	require.Len(t, paused.Table.Live(), 1)
-	f.Rounds(40, f.Agreed)
-	require.True(t, f.Agreed())
+	f.RunUntil(40, f.Converged)
+	require.True(t, f.Converged())
 	require.True(t, paused.Table.Fresh())
 	require.Zero(t, paused.Table.Evictions())
 	require.EqualValues(t, 1, paused.Table.Pauses())
@@ -202,7 +202,7 @@
 		flapping.Paused = true
 		runRounds(f, 25)
 		flapping.Paused = false
-		returnRounds = append(returnRounds, f.Rounds(100, func() bool {
+		returnRounds = append(returnRounds, f.RunUntil(100, func() bool {
 			x, ok := findNode(observer, id)
 			return ok && x.State == sagemember.Alive
 		}))
@@ -227,7 +227,7 @@
 	require.NoError(t, err)
 	a.Table.Delta(b, 1000)
 	runRounds(f, 60)
-	require.True(t, f.Agreed(), "the victim's heartbeats exceed the wrong one")
+	require.True(t, f.Converged(), "the victim's heartbeats exceed the wrong one")
 	require.Equal(t, before.Incarnation, victim.Table.LocalNode().Incarnation)
 	require.Zero(t, f.Evictions())
 
@@ -238,8 +238,8 @@
 	b, err = proto.Marshal(&member.Delta{Records: []*member.Record{bad, rec}})
 	require.NoError(t, err)
 	require.ErrorIs(t, a.Table.Merge(b), sagemember.ErrBadNode)
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "the victim continues as another incarnation")
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "the victim continues as another incarnation")
 	require.NotEqual(t, before.Incarnation, victim.Table.LocalNode().Incarnation)
 }
 
@@ -267,13 +267,13 @@
 	for _, n := range []int{8, 50, 150, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := sagemeasure.NewMemberFleet(1)
-			if err := f.Add(n, 9, sagemember.DefaultLimits()); err != nil {
+			if err := f.AddNodes(n, 9, sagemember.DefaultLimits()); err != nil {
 				b.Fatal(err)
 			}
-			f.Rounds(40, f.Agreed)
+			f.RunUntil(40, f.Converged)
 			b.ResetTimer()
 			for range b.N {
-				f.Round()
+				f.RunRound()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/node-second")
 		})
