--- a/cmd/sagestand/serve.go
+++ b/cmd/sagestand/serve.go
@@ -42,7 +42,7 @@
 		return sagesettings.Settings{}, fmt.Errorf("%w: --settings FILE is missing", sagecli.ErrUsage)
 	}
 	cfg, err := sagesettings.Load(path)
-	var faults sagesettings.Faults
+	var faults sagesettings.FieldErrors
 	if errors.As(err, &faults) {
 		return cfg, fmt.Errorf("%w: %s: %v", sagecli.ErrSettings, path, faults)
 	}
--- a/cmd/sagestand/settings.go
+++ b/cmd/sagestand/settings.go
@@ -26,16 +26,16 @@
 		Args:    sagecli.Exactly("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := sagesettings.Load(args[0])
-			var faults sagesettings.Faults
+			var faults sagesettings.FieldErrors
 			if err != nil && !errors.As(err, &faults) {
 				return fmt.Errorf("%w: %v", sagecli.ErrSettings, err)
 			}
 			report := struct {
-				OK     bool                `json:"ok"`
-				Faults sagesettings.Faults `json:"faults"`
+				OK     bool                     `json:"ok"`
+				Faults sagesettings.FieldErrors `json:"faults"`
 			}{OK: len(faults) == 0, Faults: faults}
 			if report.Faults == nil {
-				report.Faults = sagesettings.Faults{}
+				report.Faults = sagesettings.FieldErrors{}
 			}
 			perr := out.Print(c.OutOrStdout(), report, func(w io.Writer) {
 				for _, f := range faults {
@@ -80,7 +80,7 @@
 		Example: "  sagestand settings page > docs/SETTINGS.md",
 		Args:    sagecli.Exactly(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), sagesettings.Page())
+			_, err := io.WriteString(c.OutOrStdout(), sagesettings.MarkdownPage())
 			return err
 		},
 	}
--- a/internal/sageclaims/decode_test.go
+++ b/internal/sageclaims/decode_test.go
@@ -56,7 +56,7 @@
 
 // BenchmarkAnswerCache says what a held answer of 300 bytes costs in memory.
 func BenchmarkAnswerCache(b *testing.B) {
-	a := booked(strings.Repeat("x", 300)).Answer
+	a := booked(strings.Repeat("x", 300)).Response
 	h := held{limit: 8 << 20}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -74,7 +74,7 @@
 }
 
 func FuzzDecodeAnswer(f *testing.F) {
-	f.Add(encodeAnswer(booked("x").Answer))
+	f.Add(encodeAnswer(booked("x").Response))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, err := decodeAnswer(b)
 		if err == nil && (a.Status < 200 || a.Status > 599) {
--- a/internal/sageclaims/held.go
+++ b/internal/sageclaims/held.go
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func encodeAnswer(a *sagedispatch.Answer) []byte {
+func encodeAnswer(a *sagedispatch.BufferedResponse) []byte {
 	if a == nil || len(a.Body) > maxHeldAnswer {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	return b
 }
 
-func decodeAnswer(b []byte) (*sagedispatch.Answer, error) {
+func decodeAnswer(b []byte) (*sagedispatch.BufferedResponse, error) {
 	var a heldAnswer
 	if err := json.Unmarshal(b, &a); err != nil {
 		return nil, fmt.Errorf("decode answer: %v: %w", err, ErrInvalidAnswer)
@@ -56,11 +56,11 @@
 	if a.ContentType != "" {
 		h.Set("Content-Type", a.ContentType)
 	}
-	return &sagedispatch.Answer{Status: a.Status, Header: h, Body: a.Body}, nil
+	return &sagedispatch.BufferedResponse{Status: a.Status, Header: h, Body: a.Body}, nil
 }
 
 // heldAnswer decodes the held answer of a repeat; one that can't be read counts as not held.
-func (s *Service) heldAnswer(b []byte) *sagedispatch.Answer {
+func (s *Service) heldAnswer(b []byte) *sagedispatch.BufferedResponse {
 	if len(b) == 0 {
 		return nil
 	}
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -71,7 +71,7 @@
 }
 
 // Claim implements [sageentry.Claims].
-func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	s.init()
 	now := time.Now()
 	key, err := sageclaim.ParseKey(r.IdempotencyKey)
@@ -100,7 +100,7 @@
 }
 
 // claim commits the claim, and waits while another one of the same key is in flight.
-func (s *Service) claim(ctx context.Context, h *handle) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) claim(ctx context.Context, h *handle) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	for pause, fresh := pollFirst, false; ; pause = min(2*pause, pollMost) {
 		rec, ans, err := s.commit(ctx, h.object, h.entry, nil, fresh)
 		if err == nil && rec.ClaimID != h.entry.ClaimID && !fresh {
@@ -128,7 +128,7 @@
 //
 // It guards against a router that was paused between the claim and here: its caller has left or
 // been told something else, so the request must not go out any more.
-func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if rec.State != sageclaim.StateClaimed || now.After(h.entry.Deadline) {
 		s.release(h)
 		return nil, nil, s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
@@ -194,7 +194,7 @@
 		}
 	case sagewire.Complete:
 		j.entry.Op, j.entry.Outcome, j.entry.Status = sageclaim.OpFinish, sagewire.Complete, res.Status
-		j.answer = encodeAnswer(res.Answer)
+		j.answer = encodeAnswer(res.Response)
 	default:
 		j.entry.Op, j.entry.Outcome = sageclaim.OpFinish, sagewire.Unknown
 	}
--- a/internal/sageclaims/service_test.go
+++ b/internal/sageclaims/service_test.go
@@ -140,7 +140,7 @@
 }
 
 func booked(body string) *sagedispatch.Result {
-	return &sagedispatch.Result{Outcome: sagewire.Complete, Status: 201, Answer: &sagedispatch.Answer{
+	return &sagedispatch.Result{Outcome: sagewire.Complete, Status: 201, Response: &sagedispatch.BufferedResponse{
 		Status: 201, Header: http.Header{"Content-Type": {"application/json"}}, Body: []byte(body),
 	}}
 }
@@ -376,7 +376,7 @@
 	}
 	assert.Nil(t, h.get("0"))
 	assert.NotNil(t, h.get("99"))
-	assert.Nil(t, encodeAnswer(&sagedispatch.Answer{Status: 200, Body: make([]byte, maxHeldAnswer+1)}))
+	assert.Nil(t, encodeAnswer(&sagedispatch.BufferedResponse{Status: 200, Body: make([]byte, maxHeldAnswer+1)}))
 }
 
 func TestOperatorAPI(t *testing.T) {
--- a/internal/sagedispatch/attempt.go
+++ b/internal/sagedispatch/attempt.go
@@ -10,8 +10,8 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrBadAttempt reports an attempt that can't be sent.
-var ErrBadAttempt = errors.New("malformed attempt")
+// ErrInvalidAttempt reports an attempt that can't be sent.
+var ErrInvalidAttempt = errors.New("malformed attempt")
 
 // Attempt is one try of one request at one upstream.
 type Attempt struct {
@@ -27,10 +27,10 @@
 	Deadline time.Time
 	Priority sagewire.Priority
 	// Key is the idempotency key; it is passed on to the upstream.
-	Key string
+	IdempotencyKey string
 	// Once says that the request may not be sent again. It goes out on a fresh connection, and is
 	// not given up when its caller leaves, so that its outcome can be recorded.
-	Once bool
+	AtMostOnce bool
 	// Stream says that the answer is expected as server-sent events.
 	Stream bool
 	// BootID is the boot of the upstream that the attempt is for; empty means any.
@@ -39,23 +39,23 @@
 	Engine bool
 }
 
-// Check reports a missing field, wrapped around [ErrBadAttempt].
+// Check reports a missing field, wrapped around [ErrInvalidAttempt].
 func (a *Attempt) Check() error {
 	switch {
 	case a.RequestID == "":
-		return fmt.Errorf("attempt without a request id: %w", ErrBadAttempt)
+		return fmt.Errorf("attempt without a request id: %w", ErrInvalidAttempt)
 	case a.Address == "":
-		return fmt.Errorf("attempt without an address: %w", ErrBadAttempt)
+		return fmt.Errorf("attempt without an address: %w", ErrInvalidAttempt)
 	case a.Method == "" || len(a.Path) == 0 || a.Path[0] != '/':
-		return fmt.Errorf("attempt %q %q: %w", a.Method, a.Path, ErrBadAttempt)
+		return fmt.Errorf("attempt %q %q: %w", a.Method, a.Path, ErrInvalidAttempt)
 	case a.Deadline.IsZero():
-		return fmt.Errorf("attempt without a deadline: %w", ErrBadAttempt)
+		return fmt.Errorf("attempt without a deadline: %w", ErrInvalidAttempt)
 	}
 	return nil
 }
 
-// Answer is a whole answer that was held in memory.
-type Answer struct {
+// BufferedResponse is a whole answer that was held in memory.
+type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -74,7 +74,7 @@
 	// Connected says that a connection to the upstream was had.
 	Connected bool
 	// Started says that the caller was sent a part of an answer: no other attempt may follow.
-	Started bool
+	ResponseStarted bool
 	// Abort says that the caller's connection must be broken off, since nothing else can tell it
 	// that the answer is not whole: the handler panics with [http.ErrAbortHandler].
 	Abort bool
@@ -90,8 +90,8 @@
 	BootID       string
 	// FirstByteAt is when the first part of the answer's body came; zero if none did.
 	FirstByteAt time.Time
-	// Answer is set for a whole answer of an attempt that may run only once and was small enough.
-	Answer *Answer
+	// BufferedResponse is set for a whole answer of an attempt that may run only once and was small enough.
+	Response *BufferedResponse
 }
 
 // Refusal returns what to tell a caller that was sent nothing yet.
--- a/internal/sagedispatch/dispatcher.go
+++ b/internal/sagedispatch/dispatcher.go
@@ -19,12 +19,12 @@
 
 // Defaults of the fields of a [Dispatcher].
 const (
-	DefaultMaxHeld      = 1 << 20
-	DefaultMaxEvent     = 1 << 20
-	DefaultMaxResumes   = 4
-	DefaultStallTimeout = 10 * time.Second
-	DefaultWriteTimeout = 10 * time.Second
-	DefaultDialTimeout  = time.Second
+	DefaultMaxBufferedBytes = 1 << 20
+	DefaultMaxEventBytes    = 1 << 20
+	DefaultMaxResumes       = 4
+	DefaultStallTimeout     = 10 * time.Second
+	DefaultWriteTimeout     = 10 * time.Second
+	DefaultDialTimeout      = time.Second
 
 	idleTimeout    = 20 * time.Second
 	cancelTimeout  = 2 * time.Second
@@ -38,9 +38,9 @@
 	// Dial connects to an upstream; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// MaxHeld is the greatest answer in bytes that is held until it is whole.
-	MaxHeld int
+	MaxBufferedBytes int
 	// MaxEvent is the greatest event of a stream in bytes.
-	MaxEvent int
+	MaxEventBytes int
 	// MaxResumes bounds the resumptions in a row that bring no event.
 	MaxResumes int
 	// StallTimeout is how long a stream may bring nothing before it counts as broken.
@@ -123,7 +123,7 @@
 		return x.res
 	}
 	caller := ctx
-	if a.Once {
+	if a.AtMostOnce {
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithDeadline(ctx, a.Deadline)
@@ -192,11 +192,11 @@
 	req.Header.Set(sagewire.HeaderRequestID, a.RequestID)
 	req.Header.Set(sagewire.HeaderPriority, a.Priority.String())
 	req.Header.Set(sagewire.HeaderDeadline, a.Deadline.UTC().Format(time.RFC3339Nano))
-	if a.Key != "" {
-		req.Header.Set(sagewire.HeaderIdempotencyKey, a.Key)
+	if a.IdempotencyKey != "" {
+		req.Header.Set(sagewire.HeaderIdempotencyKey, a.IdempotencyKey)
 	}
 	t := x.d.reused
-	if a.Once {
+	if a.AtMostOnce {
 		t = x.d.fresh
 	}
 	return t.RoundTrip(req)
--- a/internal/sagedispatch/dispatcher_test.go
+++ b/internal/sagedispatch/dispatcher_test.go
@@ -105,7 +105,7 @@
 			d := &Dispatcher{}
 			defer d.Close()
 			a := attempt(s.address())
-			a.Method, a.Body, a.Key = tt.method, []byte(tt.body), "k"
+			a.Method, a.Body, a.IdempotencyKey = tt.method, []byte(tt.body), "k"
 			res := d.Do(t.Context(), httptest.NewRecorder(), a)
 			require.Equal(t, sagewire.Complete, res.Outcome, res.Detail)
 			a.RequestID = "r-2"
@@ -180,13 +180,13 @@
 			d := &Dispatcher{}
 			defer d.Close()
 			a := attempt(s.address())
-			a.Once = true
+			a.AtMostOnce = true
 			w := httptest.NewRecorder()
 			res := d.Do(t.Context(), w, a)
 			assert.Equal(t, tt.outcome, res.Outcome, res.Detail)
 			assert.Equal(t, tt.reason, res.Reason)
-			assert.Equal(t, tt.started, res.Started)
-			assert.Equal(t, tt.outcome == sagewire.Complete, res.Answer != nil)
+			assert.Equal(t, tt.started, res.ResponseStarted)
+			assert.Equal(t, tt.outcome == sagewire.Complete, res.Response != nil)
 			if !tt.started {
 				assert.Empty(t, w.Body.String())
 			}
@@ -233,7 +233,7 @@
 	d := &Dispatcher{}
 	defer d.Close()
 	a := attempt(s.address())
-	a.Once = true
+	a.AtMostOnce = true
 	for i := range 3 {
 		a.RequestID = fmt.Sprint(i)
 		res := d.Do(t.Context(), httptest.NewRecorder(), a)
@@ -254,10 +254,10 @@
 	d := &Dispatcher{}
 	defer d.Close()
 	a := attempt(s.address())
-	a.Once = true
+	a.AtMostOnce = true
 	res := d.Do(ctx, httptest.NewRecorder(), a)
 	assert.Equal(t, sagewire.Complete, res.Outcome, res.Detail)
 	assert.True(t, res.CallerGone)
-	require.NotNil(t, res.Answer)
-	assert.Equal(t, "booked", string(res.Answer.Body))
+	require.NotNil(t, res.Response)
+	assert.Equal(t, "booked", string(res.Response.Body))
 }
--- a/internal/sagedispatch/plain.go
+++ b/internal/sagedispatch/plain.go
@@ -37,7 +37,7 @@
 
 // plain passes on an answer that is not a stream.
 func (x *exchange) plain(ctx context.Context, res *http.Response, sent *sageconn.Tracker) {
-	if !x.a.Once && retriable(res.StatusCode) {
+	if !x.a.AtMostOnce && retriable(res.StatusCode) {
 		x.res.fail(sagewire.Unknown, sagewire.ReasonUpstreamFailed, "upstream status %d", res.StatusCode)
 		x.res.RetryAt = retryAt(res.Header, time.Now())
 		return
@@ -47,7 +47,7 @@
 		x.res.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the answer has no checkable end")
 		return
 	}
-	limit := orInt(x.d.MaxHeld, DefaultMaxHeld)
+	limit := orInt(x.d.MaxBufferedBytes, DefaultMaxBufferedBytes)
 	held, err := io.ReadAll(io.LimitReader(res.Body, int64(limit)+1))
 	if len(held) > 0 {
 		x.res.FirstByteAt = time.Now()
@@ -75,8 +75,8 @@
 // whole passes on an answer that is held completely.
 func (x *exchange) whole(res *http.Response, body []byte) {
 	x.res.Outcome = sagewire.Complete
-	if x.a.Once {
-		x.res.Answer = &Answer{Status: res.StatusCode, Header: answerHeader(res.Header), Body: body}
+	if x.a.AtMostOnce {
+		x.res.Response = &BufferedResponse{Status: res.StatusCode, Header: answerHeader(res.Header), Body: body}
 	}
 	h := x.w.Header()
 	sageheader.Copy(h, res.Header)
@@ -84,7 +84,7 @@
 	if len(body) > 0 {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	x.res.Started = true
+	x.res.ResponseStarted = true
 	x.deadline()
 	x.w.WriteHeader(res.StatusCode)
 	if err := x.write(body); err != nil {
@@ -105,7 +105,7 @@
 	h := x.w.Header()
 	sageheader.Copy(h, res.Header)
 	h.Set("Trailer", sagewire.HeaderOutcome)
-	x.res.Started = true
+	x.res.ResponseStarted = true
 	x.w.WriteHeader(res.StatusCode)
 	buf := make([]byte, copyChunk)
 	part, err := held, error(nil)
--- a/internal/sagedispatch/stream.go
+++ b/internal/sagedispatch/stream.go
@@ -92,7 +92,7 @@
 
 // events passes on the events of one connection; nil means that the end mark was passed on.
 func (x *exchange) events(res *http.Response, sent *sageconn.Tracker, last *uint64) error {
-	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: orInt(x.d.MaxEvent, DefaultMaxEvent)}
+	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: orInt(x.d.MaxEventBytes, DefaultMaxEventBytes)}
 	// A connection that is cut without a word brings no error. The timer closes it, and the read
 	// then fails; it is stopped while the caller is written to, whose slowness isn't the upstream's.
 	stall := orDuration(x.d.StallTimeout, DefaultStallTimeout)
@@ -130,7 +130,7 @@
 func (x *exchange) judge(e *sagesse.Event, last uint64) (bool, error) {
 	switch {
 	case e.IsKeepAlive():
-		return x.res.Started, nil
+		return x.res.ResponseStarted, nil
 	case e.Type == "error":
 		return false, fmt.Errorf("%q: %w", e.Data, errUpstreamEnd)
 	case e.ID == 0:
@@ -146,9 +146,9 @@
 
 // pass writes one event to the caller; the first one is preceded by the header.
 func (x *exchange) pass(res *http.Response, e *sagesse.Event) error {
-	if !x.res.Started {
+	if !x.res.ResponseStarted {
 		x.res.FirstByteAt = time.Now()
-		x.res.Started = true
+		x.res.ResponseStarted = true
 		h := x.w.Header()
 		sageheader.Copy(h, res.Header)
 		h.Set("Trailer", sagewire.HeaderOutcome)
@@ -214,7 +214,7 @@
 		x.res.CallerGone, x.res.Abort = true, true
 		return
 	}
-	if !x.res.Started {
+	if !x.res.ResponseStarted {
 		return
 	}
 	b, err := json.Marshal(x.res.Refusal(x.a.RequestID))
--- a/internal/sagedispatch/stream_test.go
+++ b/internal/sagedispatch/stream_test.go
@@ -146,7 +146,7 @@
 	a.Stream, a.Engine = true, true
 	w := httptest.NewRecorder()
 	res := d.Do(t.Context(), w, a)
-	assert.False(t, res.Started)
+	assert.False(t, res.ResponseStarted)
 	assert.Equal(t, sagewire.Unknown, res.Outcome)
 	assert.Empty(t, w.Header())
 	assert.Empty(t, w.Body.String())
@@ -237,12 +237,12 @@
 				}
 			}))
 			defer up.Close()
-			d := &Dispatcher{MaxHeld: 1000}
+			d := &Dispatcher{MaxBufferedBytes: 1000}
 			defer d.Close()
 			var res Result
 			entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				a := attempt(up.Listener.Addr().String())
-				a.Once = true
+				a.AtMostOnce = true
 				res = d.Do(r.Context(), w, a)
 				if res.Abort {
 					panic(http.ErrAbortHandler)
@@ -261,7 +261,7 @@
 			require.NoError(t, err)
 			assert.Len(t, b, 100_000)
 			assert.Equal(t, "complete", got.Trailer.Get(sagewire.HeaderOutcome))
-			assert.Nil(t, res.Answer, "too large to hold")
+			assert.Nil(t, res.Response, "too large to hold")
 		})
 	}
 }
--- a/internal/sageentry/handler_test.go
+++ b/internal/sageentry/handler_test.go
@@ -27,7 +27,7 @@
 	serving *sagewire.Refusal
 	results []sagedispatch.Result
 	claim   *sagewire.Refusal
-	held    *sagedispatch.Answer
+	held    *sagedispatch.BufferedResponse
 
 	attempts []*sagedispatch.Attempt
 	finished []sagewire.Outcome
@@ -56,7 +56,7 @@
 	return func() {}, nil
 }
 
-func (f *fakeSteps) Claim(context.Context, *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (f *fakeSteps) Claim(context.Context, *Request) (*Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if f.claim != nil {
 		return nil, f.held, f.claim
 	}
@@ -77,7 +77,7 @@
 	if res.Outcome == sagewire.Complete {
 		w.Header().Set(sagewire.HeaderOutcome, string(sagewire.Complete))
 		w.WriteHeader(http.StatusOK)
-		res.Started = true
+		res.ResponseStarted = true
 	}
 	return res
 }
@@ -158,7 +158,7 @@
 func TestAttempts(t *testing.T) {
 	notRun := sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamRefused}
 	unknown := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}
-	cut := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost, Started: true}
+	cut := sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost, ResponseStarted: true}
 	complete := sagedispatch.Result{Outcome: sagewire.Complete}
 	type results = []sagedispatch.Result
 	tests := []struct {
@@ -205,7 +205,7 @@
 func TestRepeatGetsStoredAnswer(t *testing.T) {
 	f := &fakeSteps{
 		claim: &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: sagewire.ReasonKeyInUse},
-		held:  &sagedispatch.Answer{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
+		held:  &sagedispatch.BufferedResponse{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
 	}
 	w := call(testService(f), "POST", "/v1/services/orders/x", "", sagewire.HeaderIdempotencyKey, "k")
 	assert.Equal(t, 201, w.Code)
--- a/internal/sageentry/refuse.go
+++ b/internal/sageentry/refuse.go
@@ -45,7 +45,7 @@
 }
 
 // refuseClaim answers a request whose key is claimed: with the stored answer while it is held.
-func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, held *sagedispatch.Answer, ref *sagewire.Refusal) {
+func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, held *sagedispatch.BufferedResponse, ref *sagewire.Refusal) {
 	if held == nil || ref.Outcome != sagewire.AlreadyRun {
 		s.refuse(w, req, ref, 0)
 		return
--- a/internal/sageentry/serve.go
+++ b/internal/sageentry/serve.go
@@ -94,7 +94,7 @@
 }
 
 // claim claims the key of a request that must not run twice.
-func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) claim(ctx context.Context, req *Request) (*Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil, nil
 	}
@@ -142,7 +142,7 @@
 
 // again reports whether one more attempt may follow a result, after waiting for its instant.
 func (s *Service) again(ctx context.Context, req *Request, res *sagedispatch.Result, tried []string) bool {
-	if res.Outcome == sagewire.Complete || res.Started || res.CallerGone || ctx.Err() != nil {
+	if res.Outcome == sagewire.Complete || res.ResponseStarted || res.CallerGone || ctx.Err() != nil {
 		return false
 	}
 	if res.Outcome != sagewire.NotRun && !req.Idempotent {
@@ -190,24 +190,24 @@
 // attempt makes the n-th attempt of a request at the picked upstream.
 func attempt(req *Request, p *Pick, n int) *sagedispatch.Attempt {
 	return &sagedispatch.Attempt{
-		RequestID: req.ID + "-" + strconv.Itoa(n),
-		Address:   p.Address,
-		Method:    req.Method,
-		Path:      req.Path,
-		Header:    req.Header,
-		Body:      req.Body,
-		Deadline:  req.Deadline,
-		Priority:  req.Priority,
-		Key:       req.IdempotencyKey,
-		Once:      !req.Idempotent,
-		Stream:    req.Stream,
-		Engine:    p.Engine,
+		RequestID:      req.ID + "-" + strconv.Itoa(n),
+		Address:        p.Address,
+		Method:         req.Method,
+		Path:           req.Path,
+		Header:         req.Header,
+		Body:           req.Body,
+		Deadline:       req.Deadline,
+		Priority:       req.Priority,
+		IdempotencyKey: req.IdempotencyKey,
+		AtMostOnce:     !req.Idempotent,
+		Stream:         req.Stream,
+		Engine:         p.Engine,
 	}
 }
 
 // end tells the caller a refusal if nothing was told yet, and records the outcome.
 func (s *Service) end(w http.ResponseWriter, req *Request, res *sagedispatch.Result, pick *Pick, attempts int) {
-	if res.Outcome != sagewire.Complete && !res.Started {
+	if res.Outcome != sagewire.Complete && !res.ResponseStarted {
 		ref := res.Refusal(req.ID)
 		if ref.Outcome == sagewire.Unknown && !req.Idempotent && req.IdempotencyKey == "" {
 			ref.Detail += "; it was sent once and has no " + sagewire.HeaderIdempotencyKey + ", so sending it again may run it twice"
--- a/internal/sageentry/steps.go
+++ b/internal/sageentry/steps.go
@@ -64,7 +64,7 @@
 type Claims interface {
 	// Claim returns the claim, or why the request may not run. A refusal with outcome already_run
 	// may come with the stored answer.
-	Claim(ctx context.Context, r *Request) (*Claim, *sagedispatch.Answer, *sagewire.Refusal)
+	Claim(ctx context.Context, r *Request) (*Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal)
 	// Finish records the end of a claimed request.
 	Finish(ctx context.Context, c *Claim, res *sagedispatch.Result)
 }
--- a/internal/sagegossipd/service.go
+++ b/internal/sagegossipd/service.go
@@ -15,8 +15,8 @@
 
 // Bounds of the service.
 const (
-	// Budget is the greatest number of delta bytes that one message carries.
-	Budget = 16 << 10
+	// MaxDeltaBytes is the greatest number of delta bytes that one message carries.
+	MaxDeltaBytes = 16 << 10
 	// meetWithin bounds one exchange. A paused peer accepts connections and never answers.
 	meetWithin = 2 * time.Second
 	// maxMeetings bounds the exchanges under way, so that peers that don't answer hold up none that do.
@@ -43,7 +43,7 @@
 	Peers   Peers
 	Members Members
 	Engine  sagegossip.Engine
-	Every   time.Duration
+	Period  time.Duration
 	// Metrics may be nil.
 	Metrics *metrics.Set
 	Log     sagelog.Logger
@@ -62,7 +62,7 @@
 		s.nudge = make(chan struct{}, 1)
 		s.free = make(chan struct{}, maxMeetings)
 		if s.Engine.Budget == 0 {
-			s.Engine.Budget = Budget
+			s.Engine.Budget = MaxDeltaBytes
 		}
 		if s.Metrics == nil {
 			s.Metrics = metrics.NewSet()
@@ -75,7 +75,7 @@
 }
 
 // Nudge makes the node meet a few peers at once, after a change that can't wait for the period.
-func (s *Service) Nudge() {
+func (s *Service) TriggerExchange() {
 	s.init()
 	select {
 	case s.nudge <- struct{}{}:
@@ -88,7 +88,7 @@
 	s.init()
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	t := time.NewTicker(s.Every)
+	t := time.NewTicker(s.Period)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/sagegossipd/service_test.go
+++ b/internal/sagegossipd/service_test.go
@@ -31,7 +31,7 @@
 	}
 	client := &sagepeer.Client{Key: key}
 	s := &sagegossipd.Service{
-		Self: sagegossip.Peer{Address: addr, DataCentre: "derby"}, Peers: client, Members: tab, Every: 10 * time.Millisecond,
+		Self: sagegossip.Peer{Address: addr, DataCentre: "derby"}, Peers: client, Members: tab, Period: 10 * time.Millisecond,
 		Engine: sagegossip.Engine{Sections: []sagegossip.Section{tab}},
 	}
 	srv := &sagepeer.Server{Listener: l, Key: key}
--- a/internal/sagematrix/mutant_test.go
+++ b/internal/sagematrix/mutant_test.go
@@ -20,14 +20,14 @@
 // unclaimed grants every claim.
 type unclaimed struct{ sageentry.Claims }
 
-func (unclaimed) Claim(context.Context, *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (unclaimed) Claim(context.Context, *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	return &sageentry.Claim{}, nil, nil
 }
 
 // impatient runs a request whose claim was refused because the store is down.
 type impatient struct{ sageentry.Claims }
 
-func (c impatient) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (c impatient) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	cl, ans, ref := c.Claims.Claim(ctx, r)
 	if ref != nil && ref.Reason == sagewire.ReasonStoreUnavailable {
 		return &sageentry.Claim{}, nil, nil
@@ -75,7 +75,7 @@
 
 func (d again) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
 	res := d.Dispatch.Do(ctx, w, a)
-	if res.Outcome == sagewire.Unknown && !res.Started {
+	if res.Outcome == sagewire.Unknown && !res.ResponseStarted {
 		return d.Dispatch.Do(ctx, w, a)
 	}
 	return res
@@ -115,7 +115,7 @@
 	body, _ := io.ReadAll(res.Body)
 	w.Header().Set(sagewire.HeaderOutcome, string(sagewire.Complete))
 	_, _ = w.Write(body)
-	return sagedispatch.Result{Outcome: sagewire.Complete, Started: true, Status: res.StatusCode}
+	return sagedispatch.Result{Outcome: sagewire.Complete, ResponseStarted: true, Status: res.StatusCode}
 }
 
 // TestGuardsAreNeeded switches off one guard after another and names a cell that fails without it.
--- a/internal/sagematrix/router_test.go
+++ b/internal/sagematrix/router_test.go
@@ -165,7 +165,7 @@
 	return func() {}, nil
 }
 
-func (s *steps) Claim(ctx context.Context, req *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *steps) Claim(ctx context.Context, req *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	s.r.w.at(stepClaimCollect, s.r)
 	return s.claims.Claim(ctx, req)
 }
--- a/internal/sagemembers/platform.go
+++ b/internal/sagemembers/platform.go
@@ -16,8 +16,8 @@
 // maxList bounds the answer that is read.
 const maxList = 1 << 20
 
-// Platform reads the VM list over HTTP. URL and HTTP are set before first use.
-type Platform struct {
+// VMListClient reads the VM list over HTTP. URL and HTTP are set before first use.
+type VMListClient struct {
 	URL  string
 	HTTP *http.Client
 }
@@ -28,8 +28,8 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// VMs implements [VMs]. Leaving ones are left out: there is no point in meeting them.
-func (p *Platform) VMs(ctx context.Context) ([]string, error) {
+// VMLister implements [VMLister]. Leaving ones are left out: there is no point in meeting them.
+func (p *VMListClient) ListVMs(ctx context.Context) ([]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL+"/v1/vms", nil)
 	if err != nil {
 		return nil, fmt.Errorf("read VM list: %w", err)
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -19,27 +19,27 @@
 // startEvery is how often a starting node looks whether it is ready.
 const startEvery = 100 * time.Millisecond
 
-// VMs reads the addresses of the platform's VM list.
-type VMs interface {
-	VMs(ctx context.Context) ([]string, error)
+// VMLister reads the addresses of the platform's VM list.
+type VMLister interface {
+	ListVMs(ctx context.Context) ([]string, error)
 }
 
 // Service is the service "members". Its exported fields are set before Run; the table is started
 // before Run.
 type Service struct {
-	Table *sagemember.Table
-	Every time.Duration
+	Table           *sagemember.Table
+	HeartbeatPeriod time.Duration
 	// Seeds are addresses of the settings where nodes may be.
 	Seeds []string
-	// VMs may be nil.
-	VMs VMs
+	// VMLister may be nil.
+	VMs VMLister
 	// Ready says that the node can serve callers; it is not named to them before.
 	Ready func() bool
 	// Revision and Load are what the heartbeat reports.
 	Revision func() uint64
 	Load     func() int64
 	// Nudge hurries the exchange after a change that can't wait.
-	Nudge func()
+	TriggerExchange func()
 	// Drain holds the periods of the stop.
 	Drain sagedrain.Machine
 	// Metrics may be nil.
@@ -61,7 +61,7 @@
 func (s *Service) Run(ctx context.Context) error {
 	s.register()
 	s.Table.AddSeeds(s.Seeds...)
-	t := time.NewTicker(s.Every)
+	t := time.NewTicker(s.HeartbeatPeriod)
 	defer t.Stop()
 	start := time.NewTicker(startEvery)
 	defer start.Stop()
@@ -78,7 +78,7 @@
 		select {
 		case <-ctx.Done():
 			s.Table.AdvancePhase(sagemember.Gone)
-			s.Nudge()
+			s.TriggerExchange()
 			return nil
 		case now := <-t.C:
 			s.tick(now)
@@ -102,7 +102,7 @@
 		return false
 	}
 	s.Table.AdvancePhase(sagemember.Serving)
-	s.Nudge()
+	s.TriggerExchange()
 	s.Log.Info("Announced as serving.")
 	return true
 }
@@ -114,7 +114,7 @@
 	if err != nil {
 		return
 	}
-	vms, err := s.VMs.VMs(ctx)
+	vms, err := s.VMs.ListVMs(ctx)
 	if err != nil {
 		return // a hint that isn't there; the platform's outage shows elsewhere
 	}
@@ -163,7 +163,7 @@
 	until := s.Drain.AcceptsUntil()
 	s.mu.Unlock()
 	s.Table.AdvancePhase(sagemember.Leaving)
-	s.Nudge()
+	s.TriggerExchange()
 	s.Log.Info("Announced as leaving.", "serve_until", until)
 	return until
 }
--- a/internal/sagemembers/service_test.go
+++ b/internal/sagemembers/service_test.go
@@ -17,7 +17,7 @@
 
 type vmList []string
 
-func (l vmList) VMs(context.Context) ([]string, error) { return l, nil }
+func (l vmList) ListVMs(context.Context) ([]string, error) { return l, nil }
 
 func TestLifeOfAProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -26,9 +26,9 @@
 		var ready atomic.Bool
 		var nudges atomic.Int64
 		s := &sagemembers.Service{
-			Table: tab, Every: time.Second, Seeds: []string{"10.0.0.7:7000"}, VMs: vmList{"10.0.0.9", "10.0.0.8:80", "10.0.0.1", "junk"},
+			Table: tab, HeartbeatPeriod: time.Second, Seeds: []string{"10.0.0.7:7000"}, VMs: vmList{"10.0.0.9", "10.0.0.8:80", "10.0.0.1", "junk"},
 			Ready: ready.Load, Revision: func() uint64 { return 12 }, Load: func() int64 { return 3 },
-			Nudge: func() { nudges.Add(1) }, Drain: sagedrain.Machine{AnswerTTL: 5 * time.Second, PropagationDelay: 10 * time.Second},
+			TriggerExchange: func() { nudges.Add(1) }, Drain: sagedrain.Machine{AnswerTTL: 5 * time.Second, PropagationDelay: 10 * time.Second},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
--- a/internal/sagemetrics/sagemetrics.go
+++ b/internal/sagemetrics/sagemetrics.go
@@ -2,7 +2,7 @@
 //
 // # Usage
 //
-//	m := &sagemetrics.Requests{Set: metrics.NewSet()}
+//	m := &sagemetrics.RequestMetrics{Set: metrics.NewSet()}
 //	m.Record(observation)
 package sagemetrics
 
@@ -14,13 +14,13 @@
 	"sagestand.example/sagestand/internal/sageentry"
 )
 
-// Requests counts requests by outcome and priority, with their time to the first byte.
-type Requests struct {
+// RequestMetrics counts requests by outcome and priority, with their time to the first byte.
+type RequestMetrics struct {
 	Set *metrics.Set
 }
 
 // Record implements [sageentry.Recorder].
-func (m *Requests) Record(o sageentry.Observation) {
+func (m *RequestMetrics) Record(o sageentry.Observation) {
 	m.Set.GetOrCreateCounter(fmt.Sprintf(`sagestand_requests_total{outcome=%q,reason=%q,priority=%q}`, o.Outcome, o.Reason, o.Priority)).Inc()
 	if o.Attempts > 1 {
 		m.Set.GetOrCreateCounter("sagestand_retries_total").Add(o.Attempts - 1)
@@ -32,11 +32,11 @@
 	}
 }
 
-// Fan passes each observation to several recorders.
-type Fan []sageentry.Recorder
+// MultiRecorder passes each observation to several recorders.
+type MultiRecorder []sageentry.Recorder
 
 // Record implements [sageentry.Recorder].
-func (f Fan) Record(o sageentry.Observation) {
+func (f MultiRecorder) Record(o sageentry.Observation) {
 	for _, r := range f {
 		r.Record(o)
 	}
--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -70,9 +70,9 @@
 			Store: store, Key: ordersLease, Holder: n.Settings.Node.Name + "/" + uuid.NewString(),
 			Term: orderTerm, Margin: orderMargin, MaxDeliveryDelay: orderDelay,
 		},
-		Candidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
-		HTTP:      &http.Client{Timeout: orderTimeout},
-		Log:       n.Log.Component("orders"),
+		IsCandidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
+		HTTP:        &http.Client{Timeout: orderTimeout},
+		Log:         n.Log.Component("orders"),
 	}
 }
 
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -38,17 +38,17 @@
 	}
 	n.gossip = &sagegossipd.Service{
 		Self:  sagegossip.Peer{Address: n.table.Self.Address, DataCentre: cfg.Node.DataCentre},
-		Peers: peers, Members: n.table, Every: heartbeatEvery,
+		Peers: peers, Members: n.table, Period: heartbeatEvery,
 		Engine:  sagegossip.Engine{Sections: []sagegossip.Section{n.table, conf.Section()}},
 		Metrics: n.metrics, Log: n.Log.Component("gossip"),
 	}
 	srv.Mount(exchange.NewExchangeServer(n.gossip))
 	n.kernel.Register("gossip", n.gossip)
 	members := &sagemembers.Service{
-		Table: n.table, Every: heartbeatEvery, Seeds: n.otherSeeds(),
-		VMs:      &sagemembers.Platform{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.CountedTransport(&n.control), Timeout: listTimeout}},
+		Table: n.table, HeartbeatPeriod: heartbeatEvery, Seeds: n.otherSeeds(),
+		VMs:      &sagemembers.VMListClient{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.control), Timeout: listTimeout}},
 		Ready:    func() bool { return conf.Serving(time.Now(), true) == nil },
-		Revision: conf.Revision, Nudge: n.gossip.Nudge, Drain: n.drain(),
+		Revision: conf.Revision, TriggerExchange: n.gossip.TriggerExchange, Drain: n.drain(),
 		Metrics: n.metrics, Log: n.Log.Component("members"),
 	}
 	n.kernel.Register("members", members)
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -132,7 +132,7 @@
 	k.Log = n.Log.Component("kernel")
 	k.StopTimeout = millis(cfg.Stop.WithinMillis) + stopSlack
 
-	store := &sageobject.Client{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.CountedTransport(&n.control), Timeout: storeTimeout}}
+	store := &sageobject.Client{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.control), Timeout: storeTimeout}}
 	k.Register("store", store)
 	peers := &sagepeer.Client{Key: n.peerKey, TLS: n.tls}
 	k.Register("peer_client", peers)
@@ -162,24 +162,24 @@
 	retries.Export(n.metrics)
 	k.Register("retry", retries)
 	placement := &sageplacement.Service{
-		Config: conf, Load: load, Circuits: retries, Multiple: cfg.Placement.LoadBound,
-		Sealer:     sageplace.TokenSigner{Keys: [][]byte{[]byte(n.peerKey)}},
-		TokenValid: millis(cfg.Placement.TokenValidMillis), Metrics: n.metrics,
+		Config: conf, Load: load, Circuits: retries, LoadBound: cfg.Placement.LoadBound,
+		TokenSigner: sageplace.TokenSigner{Keys: [][]byte{[]byte(n.peerKey)}},
+		TokenTTL:    millis(cfg.Placement.TokenValidMillis), Metrics: n.metrics,
 	}
 	k.Register("placement", placement)
 	n.claimPeers = &sagepeer.Client{Key: n.peerKey, TLS: n.tls}
 	claims := n.claimService(n.claimStore(), n.claimPeers)
-	peerServer.MountApart(claim.NewClaimsServer(claims))
+	peerServer.MountRequestService(claim.NewClaimsServer(claims))
 	n.peerServer = peerServer
 	k.Register("claims", claims)
 	k.Register("orders", n.orderService(store, conf))
-	requests := &sagemetrics.Requests{Set: n.metrics}
+	requests := &sagemetrics.RequestMetrics{Set: n.metrics}
 	entry := &sageentry.Service{
 		Listener: n.listeners["entry"], Config: conf,
 		Admission: admission,
 		Claims:    claims, Placement: placement, Retries: retries,
 		Dispatch: &sageloadd.TimedDispatcher{Next: &sagedispatch.Dispatcher{Dial: load.Dial}, Load: load},
-		Locator:  locator, Leaver: &resigner{Next: members, Load: load}, Recorder: sagemetrics.Fan{requests, burn},
+		Locator:  locator, Leaver: &resigner{Next: members, Load: load}, Recorder: sagemetrics.MultiRecorder{requests, burn},
 		Limits: cfg.Limits, Stop: cfg.Stop, Log: n.Log.Component("entry"),
 	}
 	members.Load = entry.InFlight
@@ -259,7 +259,7 @@
 // claimStore returns a client of the Object API whose traffic is counted apart: claims are part of the
 // requests that they belong to and grow with them, control traffic does not.
 func (n *Node) claimStore() *sageobject.Client {
-	return &sageobject.Client{URL: n.Settings.Platform.URL, HTTP: &http.Client{Transport: sagepeer.CountedTransport(&n.claims), Timeout: storeTimeout}}
+	return &sageobject.Client{URL: n.Settings.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.claims), Timeout: storeTimeout}}
 }
 
 // ClaimBytes returns the bytes exchanged so far for claims of idempotency keys, with the platform and
--- a/internal/sageoperator/server.go
+++ b/internal/sageoperator/server.go
@@ -56,7 +56,7 @@
 	s.private.HandleFunc("GET /v1/debug/heap", pprof.Handler("heap").ServeHTTP)
 	s.private.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, s.Status()) })
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", sagepeer.Authenticated(s.Key, &s.private))
+	mux.Handle("/v1/", sagepeer.RequireKey(s.Key, &s.private))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", s.ready)
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -42,9 +42,9 @@
 	Lease  *sagelease.Elector
 	// Candidate reports whether this node may take the lease; a few of all nodes suffice, and each
 	// candidate costs the store a read a step. Nil means yes.
-	Candidate func() bool
-	HTTP      *http.Client
-	Log       sagelog.Logger
+	IsCandidate func() bool
+	HTTP        *http.Client
+	Log         sagelog.Logger
 
 	applied map[string]applied
 }
@@ -93,7 +93,7 @@
 // needed reports whether there are orders for this node to care for.
 func (s *Service) needed() bool {
 	state := s.Config.State()
-	return state != nil && len(orders(state)) > 0 && (s.Candidate == nil || s.Candidate())
+	return state != nil && len(orders(state)) > 0 && (s.IsCandidate == nil || s.IsCandidate())
 }
 
 // Apply sends every order that its engine hasn't confirmed lately, if this node holds the lease.
--- a/internal/sagepeer/client.go
+++ b/internal/sagepeer/client.go
@@ -44,14 +44,14 @@
 	if h := c.http.Load(); h != nil {
 		return h
 	}
-	t := CountedTransport(&c.bytes)
+	t := NewCountingTransport(&c.bytes)
 	t.TLSClientConfig = c.TLS
 	c.http.CompareAndSwap(nil, &http.Client{Transport: &keyed{key: c.Key, next: t}, Timeout: callTimeout})
 	return c.http.Load()
 }
 
-// CountedTransport returns a transport that adds what passes its connections to n.
-func CountedTransport(n *atomic.Int64) *http.Transport {
+// NewCountingTransport returns a transport that adds what passes its connections to n.
+func NewCountingTransport(n *atomic.Int64) *http.Transport {
 	d := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
 		MaxIdleConnsPerHost: idlePerHost,
--- a/internal/sagepeer/peer_test.go
+++ b/internal/sagepeer/peer_test.go
@@ -110,7 +110,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &Server{Listener: l, Key: "secret"}
-	s.MountApart(echo{})
+	s.MountRequestService(echo{})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
--- a/internal/sagepeer/server.go
+++ b/internal/sagepeer/server.go
@@ -52,7 +52,7 @@
 
 // MountApart adds a service whose traffic belongs to callers' requests, not to coordination: it
 // counts to [Server.RequestBytes]. With TLS it counts to [Server.Bytes] like any other.
-func (s *Server) MountApart(m Mountable) { s.mount(m, countedApart(m, &s.requests)) }
+func (s *Server) MountRequestService(m Mountable) { s.mount(m, countedApart(m, &s.requests)) }
 
 // Mount adds a service.
 func (s *Server) Mount(m Mountable) { s.mount(m, m) }
@@ -101,7 +101,7 @@
 // Run serves until ctx ends, then finishes the calls in hand.
 func (s *Server) Run(ctx context.Context) error {
 	srv := &http.Server{
-		Handler:           http.MaxBytesHandler(Authenticated(s.Key, &s.mux), maxCallBytes),
+		Handler:           http.MaxBytesHandler(RequireKey(s.Key, &s.mux), maxCallBytes),
 		ReadHeaderTimeout: readTimeout,
 		ReadTimeout:       readTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// Authenticated passes on only requests that carry the key as a bearer token.
-func Authenticated(key string, next http.Handler) http.Handler {
+// RequireKey passes on only requests that carry the key as a bearer token.
+func RequireKey(key string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/internal/sagepeer/tls.go
+++ b/internal/sagepeer/tls.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadCA reports a file of authorities without a usable certificate.
-var ErrBadCA = errors.New("no certificate in the authorities' file")
+// ErrInvalidCA reports a file of authorities without a usable certificate.
+var ErrInvalidCA = errors.New("no certificate in the authorities' file")
 
 // LoadTLS reads a node's certificate and the project's own authority. Both directions require a
 // certificate of that authority; the system's authorities count for nothing.
@@ -25,7 +25,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s: %w", caFile, ErrBadCA)
+		return nil, fmt.Errorf("%s: %w", caFile, ErrInvalidCA)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/sageplacement/load.go
+++ b/internal/sageplacement/load.go
@@ -22,14 +22,14 @@
 // Circuits keeps requests from upstreams that fail.
 type Circuits interface {
 	// Lets reports whether the upstream may get a request with that deadline now.
-	Lets(now time.Time, upstream string, deadline time.Time) bool
+	AllowSend(now time.Time, upstream string, deadline time.Time) bool
 	// Ended takes the end of a request that was let through.
-	Ended(now time.Time, upstream string, res *sagedispatch.Result)
+	RecordResult(now time.Time, upstream string, res *sagedispatch.Result)
 }
 
-// OwnLoad is a [Load] that knows only this node's own requests. It serves a node that is alone; with
+// LocalLoad is a [Load] that knows only this node's own requests. It serves a node that is alone; with
 // several, each would fill every upstream to its whole capacity.
-type OwnLoad struct {
+type LocalLoad struct {
 	Config interface{ State() *sageconfig.State }
 
 	mu  sync.Mutex
@@ -37,13 +37,13 @@
 }
 
 // View implements [Load].
-func (l *OwnLoad) View(name string) sageload.View {
+func (l *LocalLoad) View(name string) sageload.View {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view(name)
 }
 
-func (l *OwnLoad) view(name string) sageload.View {
+func (l *LocalLoad) view(name string) sageload.View {
 	v := sageload.View{Upstream: name, InFlight: float64(l.own[name]), Known: true}
 	if u, ok := l.Config.State().Upstream(name); ok {
 		v.Cap, v.Free = u.MaxInFlight, u.MaxInFlight-l.own[name]
@@ -52,7 +52,7 @@
 }
 
 // Acquire implements [Load].
-func (l *OwnLoad) Acquire(name string, _ time.Time) bool {
+func (l *LocalLoad) Acquire(name string, _ time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.view(name).Free < 1 {
@@ -66,7 +66,7 @@
 }
 
 // Release implements [Load].
-func (l *OwnLoad) Release(name string, _ time.Time, _ bool) {
+func (l *LocalLoad) Release(name string, _ time.Time, _ bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.own[name]--; l.own[name] <= 0 {
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -39,10 +39,10 @@
 	// Circuits may be nil: then every upstream gets requests however often it fails.
 	Circuits Circuits
 	// Multiple is the multiple of the mean load that no upstream is to exceed.
-	Multiple float64
+	LoadBound float64
 	// Sealer makes and opens the placement tokens, which hold for TokenValid.
-	Sealer     sageplace.TokenSigner
-	TokenValid time.Duration
+	TokenSigner sageplace.TokenSigner
+	TokenTTL    time.Duration
 	// Metrics may be nil.
 	Metrics *metrics.Set
 
@@ -164,7 +164,7 @@
 // lets reports whether the circuit lets a request to the upstream that has a unit; else the unit goes
 // back.
 func (s *Service) lets(now time.Time, name string, deadline time.Time) bool {
-	if s.Circuits == nil || s.Circuits.Lets(now, name, deadline) {
+	if s.Circuits == nil || s.Circuits.AllowSend(now, name, deadline) {
 		return true
 	}
 	s.Load.Release(name, now, false)
@@ -191,7 +191,7 @@
 // the first request after it, so nothing is placed by an earlier state.
 func (s *Service) group(state *sageconfig.State, key groupKey) *group {
 	if s.placer == nil {
-		bound, fresh := sageplace.LoadBounds(s.Multiple)
+		bound, fresh := sageplace.LoadBounds(s.LoadBound)
 		s.placer = &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(hotContexts)}
 		s.evidence = sageplace.NewPrefixLocations(evidenceSize)
 	}
@@ -235,7 +235,7 @@
 		return q
 	}
 	q.Chat = chatKey(r)
-	if place, ok := s.Sealer.Verify(r.PlacementToken, r.Account, r.ChatID, now); ok {
+	if place, ok := s.TokenSigner.Verify(r.PlacementToken, r.Account, r.ChatID, now); ok {
 		q.Location = place
 	} else if place, ok := s.evidence.Lookup(q.Chat); ok {
 		q.Location = place
@@ -251,7 +251,7 @@
 	p := &sageentry.Pick{Upstream: name, Address: u.Address, Engine: u.Kind == sageconfig.Engine}
 	place := sageplace.Location{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
 	if p.Engine {
-		p.PlacementToken = s.Sealer.Sign(r.Account, r.ChatID, place, now.Add(s.TokenValid))
+		p.PlacementToken = s.TokenSigner.Sign(r.Account, r.ChatID, place, now.Add(s.TokenTTL))
 	}
 	var once sync.Once
 	p.Release = func(res *sagedispatch.Result) { once.Do(func() { s.done(r, g, i, place, res) }) }
@@ -267,7 +267,7 @@
 	g.loads.AddRequests(i, -1)
 	s.ended++
 	if s.Circuits != nil {
-		s.Circuits.Ended(now, name, res)
+		s.Circuits.RecordResult(now, name, res)
 	}
 	if completed && r.Kind == sageconfig.RouteChat && r.ChatID != "" {
 		s.evidence.RecordStored(chatKey(r), place.Upstream, place.Generation)
--- a/internal/sageplacement/service_test.go
+++ b/internal/sageplacement/service_test.go
@@ -52,7 +52,7 @@
 	return thing(sageconfig.KindUpstreamSet, name, sageconfig.Change{UpstreamSet: &sageconfig.UpstreamSet{Upstreams: ups}})
 }
 
-func testService() (*Service, *fakeConfig, *OwnLoad) {
+func testService() (*Service, *fakeConfig, *LocalLoad) {
 	c := new(fakeConfig)
 	c.apply(1,
 		dataCentre("derby", true), dataCentre("leys", true),
@@ -65,9 +65,9 @@
 		thing(sageconfig.KindRoute, "empty", sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: "none"}}),
 		thing(sageconfig.KindClientAccount, "special", sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{UpstreamSet: "own", Weight: 1}}),
 	)
-	l := &OwnLoad{Config: c}
-	s := &Service{Config: c, Load: l, Multiple: 1.5, TokenValid: time.Hour, Metrics: metrics.NewSet(),
-		Sealer: sageplace.TokenSigner{Keys: [][]byte{[]byte("key")}}}
+	l := &LocalLoad{Config: c}
+	s := &Service{Config: c, Load: l, LoadBound: 1.5, TokenTTL: time.Hour, Metrics: metrics.NewSet(),
+		TokenSigner: sageplace.TokenSigner{Keys: [][]byte{[]byte("key")}}}
 	return s, c, l
 }
 
@@ -235,12 +235,12 @@
 
 // booted is a load whose upstreams all run as one boot.
 type booted struct {
-	OwnLoad
+	LocalLoad
 	boot string
 }
 
 func (l *booted) View(name string) sageload.View {
-	v := l.OwnLoad.View(name)
+	v := l.LocalLoad.View(name)
 	v.BootID = l.boot
 	return v
 }
@@ -249,7 +249,7 @@
 // to fit; sent there, the chat crowds out those that the first engine of its order holds.
 func TestRestartedEngineHoldsNothing(t *testing.T) {
 	s, c, _ := testService()
-	l := &booted{OwnLoad: OwnLoad{Config: c}, boot: "b1"}
+	l := &booted{LocalLoad: LocalLoad{Config: c}, boot: "b1"}
 	s.Load = l
 	p, _ := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 	home := p.Upstream
@@ -267,19 +267,19 @@
 
 // raced is a load whose views promise units that are gone when asked for.
 type raced struct {
-	OwnLoad
+	LocalLoad
 	gone map[string]bool
 }
 
 func (l *raced) Acquire(name string, now time.Time) bool {
-	return !l.gone[name] && l.OwnLoad.Acquire(name, now)
+	return !l.gone[name] && l.LocalLoad.Acquire(name, now)
 }
 
 // Story: the last unit of an engine's allotment goes to another request between reading the loads and
 // taking it. Sent all the same, the engine would carry more than its bound.
 func TestLostRaceTakesNextUpstream(t *testing.T) {
 	s, c, _ := testService()
-	l := &raced{OwnLoad: OwnLoad{Config: c}, gone: names("d1", "d2")}
+	l := &raced{LocalLoad: LocalLoad{Config: c}, gone: names("d1", "d2")}
 	s.Load = l
 	require.Equal(t, names("l1"), reached(t, s, "a", "m"))
 	l.gone["l1"] = true
@@ -293,9 +293,9 @@
 	ended int
 }
 
-func (b *broken) Lets(_ time.Time, name string, _ time.Time) bool     { return name != b.name }
-func (b *broken) Ended(_ time.Time, _ string, _ *sagedispatch.Result) { b.ended++ }
-func (b *broken) view(l *OwnLoad) sageload.View                       { return l.View(b.name) }
+func (b *broken) AllowSend(_ time.Time, name string, _ time.Time) bool       { return name != b.name }
+func (b *broken) RecordResult(_ time.Time, _ string, _ *sagedispatch.Result) { b.ended++ }
+func (b *broken) view(l *LocalLoad) sageload.View                            { return l.View(b.name) }
 
 func TestOpenCircuitIsPassedOver(t *testing.T) {
 	s, _, l := testService()
--- a/internal/sageplacement/wait_test.go
+++ b/internal/sageplacement/wait_test.go
@@ -88,7 +88,7 @@
 
 // partly is a load service where this node lacks units of one upstream until the grant comes.
 type partly struct {
-	OwnLoad
+	LocalLoad
 	lacks string
 	grant time.Time
 	asks  int
@@ -99,7 +99,7 @@
 }
 
 func (l *partly) View(name string) sageload.View {
-	v := l.OwnLoad.View(name)
+	v := l.LocalLoad.View(name)
 	if l.lacking(name) {
 		v.Free = 0
 	}
@@ -111,7 +111,7 @@
 		l.asks++
 		return false
 	}
-	return l.OwnLoad.Acquire(name, now)
+	return l.LocalLoad.Acquire(name, now)
 }
 
 // Story: a chat comes by a router that holds no unit of the chat's engine but some of others. The chat
@@ -136,7 +136,7 @@
 				p, _ := s.Pick(context.Background(), chat("a", "m", "x"), nil)
 				home := p.Upstream
 				p.Release(nil)
-				l := &partly{OwnLoad: OwnLoad{Config: c}, lacks: home}
+				l := &partly{LocalLoad: LocalLoad{Config: c}, lacks: home}
 				s.Load = l
 				time.Sleep(refreshEvery)
 				start := time.Now()
--- a/internal/sageretryd/sageretryd.go
+++ b/internal/sageretryd/sageretryd.go
@@ -47,7 +47,7 @@
 }
 
 // Lets reports whether the circuit of an upstream lets a request through, and counts it if so.
-func (s *Service) Lets(now time.Time, upstream string, deadline time.Time) bool {
+func (s *Service) AllowSend(now time.Time, upstream string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.Policy.Allow(now, upstream, deadline) {
@@ -59,7 +59,7 @@
 
 // Ended takes the end of a request that was let through. What the caller did, and an orderly refusal
 // of the upstream, say nothing against the upstream.
-func (s *Service) Ended(now time.Time, upstream string, res *sagedispatch.Result) {
+func (s *Service) RecordResult(now time.Time, upstream string, res *sagedispatch.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/internal/sageretryd/sageretryd_test.go
+++ b/internal/sageretryd/sageretryd_test.go
@@ -30,9 +30,9 @@
 	} {
 		s := &Service{Policy: sageretry.Policy{Rand: rand.New(rand.NewPCG(1, 1))}}
 		for range 10 {
-			s.Lets(now, "engine1", later)
-			s.Ended(now, "engine1", c.res)
+			s.AllowSend(now, "engine1", later)
+			s.RecordResult(now, "engine1", c.res)
 		}
-		require.Equal(t, c.lets, s.Lets(now, "engine1", later), c.name)
+		require.Equal(t, c.lets, s.AllowSend(now, "engine1", later), c.name)
 	}
 }
--- a/internal/sagesettings/check.go
+++ b/internal/sagesettings/check.go
@@ -8,8 +8,8 @@
 )
 
 // Check returns every fault of the values. The shapes are those of the types.
-func (s *Settings) Check() Faults {
-	var f Faults
+func (s *Settings) Validate() FieldErrors {
+	var f FieldErrors
 	s.checkNode(&f)
 	s.checkFiles(&f)
 	s.checkLimits(&f)
@@ -25,7 +25,7 @@
 	return f
 }
 
-func (s *Settings) checkNode(f *Faults) {
+func (s *Settings) checkNode(f *FieldErrors) {
 	f.filled("node.name", s.Node.Name)
 	f.filled("node.data_centre", s.Node.DataCentre)
 	f.address("listen.entry", s.Listen.Entry)
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *Settings) checkFiles(f *Faults) {
+func (s *Settings) checkFiles(f *FieldErrors) {
 	f.filled("keys.peer_file", s.Keys.PeerFile)
 	f.filled("keys.operator_file", s.Keys.OperatorFile)
 	n := 0
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *Settings) checkLimits(f *Faults) {
+func (s *Settings) checkLimits(f *FieldErrors) {
 	l := s.Limits
 	f.positive("limits.body_bytes", l.BodyBytes)
 	f.positive("limits.header_bytes", int64(l.HeaderBytes))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *Settings) checkRules(f *Faults) {
+func (s *Settings) checkRules(f *FieldErrors) {
 	switch s.Isolated.Rule {
 	case IsolatedFence, IsolatedIdempotent, IsolatedServe, IsolatedQuorum:
 	default:
@@ -101,19 +101,19 @@
 	f.positive("claims.collect_millis", int64(s.Claims.CollectMillis))
 }
 
-func (f *Faults) filled(path, s string) {
+func (f *FieldErrors) filled(path, s string) {
 	if s == "" {
 		f.add(path, "missing")
 	}
 }
 
-func (f *Faults) positive(path string, n int64) {
+func (f *FieldErrors) positive(path string, n int64) {
 	if n < 1 {
 		f.add(path, "have %d, want at least 1", n)
 	}
 }
 
-func (f *Faults) address(path, s string) {
+func (f *FieldErrors) address(path, s string) {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		f.add(path, "have %q, want IP:port", s)
--- a/internal/sagesettings/decode.go
+++ b/internal/sagesettings/decode.go
@@ -14,31 +14,31 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadSettings is wrapped by every [Faults].
-var ErrBadSettings = errors.New("settings are not usable")
+// ErrInvalidSettings is wrapped by every [FieldErrors].
+var ErrInvalidSettings = errors.New("settings are not usable")
 
-// Fault is one thing wrong with the settings.
-type Fault struct {
+// FieldError is one thing wrong with the settings.
+type FieldError struct {
 	// Path names the field, such as "limits.body_bytes" or "seeds[1].peer".
 	Path string `json:"path"`
 	// Problem says what is wrong and what is wanted.
 	Problem string `json:"problem"`
 }
 
-// Faults lists everything wrong with the settings.
-type Faults []Fault
+// FieldErrors lists everything wrong with the settings.
+type FieldErrors []FieldError
 
 // Error joins all faults in one line.
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	parts := make([]string, len(f))
 	for i, x := range f {
 		parts[i] = x.Path + ": " + x.Problem
 	}
-	return ErrBadSettings.Error() + ": " + strings.Join(parts, "; ")
+	return ErrInvalidSettings.Error() + ": " + strings.Join(parts, "; ")
 }
 
-// Unwrap returns [ErrBadSettings].
-func (f Faults) Unwrap() error { return ErrBadSettings }
+// Unwrap returns [ErrInvalidSettings].
+func (f FieldErrors) Unwrap() error { return ErrInvalidSettings }
 
 // Load reads, decodes and checks a settings file. Fields that the file leaves out keep their
 // [Default].
@@ -50,11 +50,11 @@
 	return Decode(b)
 }
 
-// Decode decodes and checks settings. The error is a [Faults] that holds every fault.
+// Decode decodes and checks settings. The error is a [FieldErrors] that holds every fault.
 func Decode(b []byte) (Settings, error) {
 	s := Default()
 	faults := decodeInto(b, &s)
-	faults = append(faults, s.Check()...)
+	faults = append(faults, s.Validate()...)
 	if len(faults) > 0 {
 		return Settings{}, faults
 	}
@@ -63,30 +63,30 @@
 
 // decodeInto decodes strictly, collecting unknown fields and wrong types, and leaves out of s what
 // it can't decode.
-func decodeInto(b []byte, s *Settings) Faults {
+func decodeInto(b []byte, s *Settings) FieldErrors {
 	var raw any
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
 	if err := d.Decode(&raw); err != nil {
-		return Faults{{Path: "settings", Problem: "not JSON: " + err.Error()}}
+		return FieldErrors{{Path: "settings", Problem: "not JSON: " + err.Error()}}
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return Faults{{Path: "settings", Problem: "data after the JSON value"}}
+		return FieldErrors{{Path: "settings", Problem: "data after the JSON value"}}
 	}
-	var faults Faults
+	var faults FieldErrors
 	set(&faults, "", raw, reflect.ValueOf(s).Elem())
 	return faults
 }
 
-func (f *Faults) add(path, format string, args ...any) {
+func (f *FieldErrors) add(path, format string, args ...any) {
 	if path == "" {
 		path = "settings"
 	}
-	*f = append(*f, Fault{Path: path, Problem: fmt.Sprintf(format, args...)})
+	*f = append(*f, FieldError{Path: path, Problem: fmt.Sprintf(format, args...)})
 }
 
 // set stores the decoded value raw in v.
-func set(f *Faults, path string, raw any, v reflect.Value) {
+func set(f *FieldErrors, path string, raw any, v reflect.Value) {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		setText(f, path, raw, u)
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-func setText(f *Faults, path string, raw any, u encoding.TextUnmarshaler) {
+func setText(f *FieldErrors, path string, raw any, u encoding.TextUnmarshaler) {
 	s, ok := raw.(string)
 	if !ok {
 		f.add(path, "want a string, have %s", kindOf(raw))
@@ -128,7 +128,7 @@
 	}
 }
 
-func setInt(f *Faults, path string, raw any, v reflect.Value) {
+func setInt(f *FieldErrors, path string, raw any, v reflect.Value) {
 	n, ok := raw.(json.Number)
 	if !ok {
 		f.add(path, "want a whole number, have %s", kindOf(raw))
@@ -142,7 +142,7 @@
 	v.SetInt(x)
 }
 
-func setSlice(f *Faults, path string, raw any, v reflect.Value) {
+func setSlice(f *FieldErrors, path string, raw any, v reflect.Value) {
 	list, ok := raw.([]any)
 	if !ok {
 		f.add(path, "want a list, have %s", kindOf(raw))
@@ -154,7 +154,7 @@
 	}
 }
 
-func setStruct(f *Faults, path string, raw any, v reflect.Value) {
+func setStruct(f *FieldErrors, path string, raw any, v reflect.Value) {
 	m, ok := raw.(map[string]any)
 	if !ok {
 		f.add(path, "want an object, have %s", kindOf(raw))
--- a/internal/sagesettings/page.go
+++ b/internal/sagesettings/page.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Page returns docs/SETTINGS.md, made from the type and the defaults.
-func Page() string {
+// MarkdownPage returns docs/SETTINGS.md, made from the type and the defaults.
+func MarkdownPage() string {
 	var b strings.Builder
 	b.WriteString("# Settings\n\nOne JSON file a node. Made by `sagestand settings page`; `sagestand settings example` prints a\n")
 	b.WriteString("complete file and `sagestand settings check FILE` reports every fault at once. Unknown fields are\n")
--- a/internal/sagesettings/page_test.go
+++ b/internal/sagesettings/page_test.go
@@ -12,5 +12,5 @@
 func TestPageIsUpToDate(t *testing.T) {
 	b, err := os.ReadFile("../../docs/SETTINGS.md")
 	require.NoError(t, err)
-	assert.Equal(t, Page(), string(b), "run: sagestand settings page > docs/SETTINGS.md")
+	assert.Equal(t, MarkdownPage(), string(b), "run: sagestand settings page > docs/SETTINGS.md")
 }
--- a/internal/sagesettings/settings_test.go
+++ b/internal/sagesettings/settings_test.go
@@ -60,8 +60,8 @@
 			b, err := json.Marshal(m)
 			require.NoError(t, err)
 			_, err = Decode(b)
-			require.ErrorIs(t, err, ErrBadSettings)
-			var faults Faults
+			require.ErrorIs(t, err, ErrInvalidSettings)
+			var faults FieldErrors
 			require.True(t, errors.As(err, &faults))
 			var got []string
 			for _, f := range faults {
@@ -75,7 +75,7 @@
 func TestNotJSON(t *testing.T) {
 	for _, s := range []string{"", "{", "{} {}", "[]"} {
 		_, err := Decode([]byte(s))
-		require.ErrorIs(t, err, ErrBadSettings, "settings %q", s)
+		require.ErrorIs(t, err, ErrInvalidSettings, "settings %q", s)
 	}
 }
 
