--- a/internal/sagedispatch/attempt.go
+++ b/internal/sagedispatch/attempt.go
@@ -10,36 +10,36 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrInvalidAttempt reports an attempt that can't be sent.
+// ErrInvalidAttempt is returned for an attempt with a missing or malformed field.
 var ErrInvalidAttempt = errors.New("malformed attempt")
 
-// Attempt is one try of one request at one upstream.
+// Attempt is one attempt to send a request to one upstream.
 type Attempt struct {
-	// RequestID names this attempt; no other attempt of any request bears it.
+	// RequestID is unique among all attempts of all requests.
 	RequestID string
 	Address   string
 	Method    string
-	// Path is the path with its query.
+	// Path includes the query string.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Deadline is the instant after which the caller no longer waits.
+	// Deadline is the time after which the caller no longer waits for the response.
 	Deadline time.Time
 	Priority sagewire.Priority
-	// Key is the idempotency key; it is passed on to the upstream.
+	// IdempotencyKey is forwarded to the upstream in a header unless it is empty.
 	IdempotencyKey string
-	// Once says that the request may not be sent again. It goes out on a fresh connection, and is
-	// not given up when its caller leaves, so that its outcome can be recorded.
+	// AtMostOnce marks a request that must not be sent a second time. It is sent on a new connection, and it is
+	// not canceled when its caller disconnects, so that its outcome can be recorded.
 	AtMostOnce bool
-	// Stream says that the answer is expected as server-sent events.
+	// Stream reports whether the response is expected as server-sent events.
 	Stream bool
-	// BootID is the boot of the upstream that the attempt is for; empty means any.
+	// BootID is the upstream boot that the attempt may be sent to. Empty means any.
 	BootID string
-	// Engine says that the upstream resumes and cancels by request id.
+	// Engine reports whether the upstream is an engine, which can resume and cancel a stream by its request id.
 	Engine bool
 }
 
-// Check reports a missing field, wrapped around [ErrInvalidAttempt].
+// Check returns an error that wraps [ErrInvalidAttempt] if a field is missing or malformed.
 func (a *Attempt) Check() error {
 	switch {
 	case a.RequestID == "":
@@ -54,47 +54,48 @@
 	return nil
 }
 
-// BufferedResponse is a whole answer that was held in memory.
+// BufferedResponse is a complete response that was buffered in memory.
 type BufferedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Result is the end of an attempt.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome sagewire.Outcome
 	// Reason and Detail are set unless Outcome is Complete.
 	Reason sagewire.Reason
 	Detail string
-	// RetryAt is the upstream's own Retry-After.
+	// RetryAt is computed from the upstream's Retry-After header. It is zero if there was none.
 	RetryAt time.Time
-	// Status is the upstream's status code; 0 if no answer came.
+	// Status is the upstream's status code, or 0 if no response was received.
 	Status int
-	// Connected says that a connection to the upstream was had.
+	// Connected reports whether a connection to the upstream was established.
 	Connected bool
-	// Started says that the caller was sent a part of an answer: no other attempt may follow.
+	// ResponseStarted reports whether part of a response was written to the caller. No other attempt may follow.
 	ResponseStarted bool
-	// Abort says that the caller's connection must be broken off, since nothing else can tell it
-	// that the answer is not whole: the handler panics with [http.ErrAbortHandler].
+	// Abort reports whether the handler must panic with [http.ErrAbortHandler]. Closing the connection is then
+	// the only way to show the caller that the response is incomplete.
 	Abort bool
-	// CallerGone says that the caller left or stopped reading.
+	// CallerGone reports whether the caller disconnected or stopped reading.
 	CallerGone bool
 	BytesSent  int64
-	// Resumes counts how often a broken stream was taken up again.
+	// Resumes is the number of attempts to resume a broken stream.
 	Resumes int
-	// Duplicates counts events that came a second time and were dropped.
+	// Duplicates is the number of repeated events that were dropped.
 	Duplicates   int
 	CachedTokens int
 	PromptTokens int
 	BootID       string
-	// FirstByteAt is when the first part of the answer's body came; zero if none did.
+	// FirstByteAt is when the first part of the response body arrived. It is zero if none did.
 	FirstByteAt time.Time
-	// BufferedResponse is set for a whole answer of an attempt that may run only once and was small enough.
+	// Response is set for an AtMostOnce attempt whose response is complete and no larger than
+	// Dispatcher.MaxBufferedBytes.
 	Response *BufferedResponse
 }
 
-// Refusal returns what to tell a caller that was sent nothing yet.
+// Refusal returns the refusal for a caller to which nothing has been written yet.
 func (r *Result) Refusal(requestID string) *sagewire.Refusal {
 	return &sagewire.Refusal{
 		Outcome: r.Outcome, Reason: r.Reason, Detail: r.Detail, RequestID: requestID, RetryAt: r.RetryAt,
--- a/internal/sagedispatch/boot_test.go
+++ b/internal/sagedispatch/boot_test.go
@@ -14,17 +14,16 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// bootedConn leads to a boot named by its dialer.
-type bootedConn struct {
+// bootConn is a connection that reports the given boot id.
+type bootConn struct {
 	net.Conn
 	boot string
 }
 
-func (c *bootedConn) BootID() string { return c.boot }
+func (c *bootConn) BootID() string { return c.boot }
 
-// Story: an engine restarts between the moment at which a request gets its unit and the moment at
-// which it is sent. The cold engine gets the load of the warm one and falls over. An attempt for
-// another boot than that of the connection must not leave, and count as not run.
+// Prevents sending a cold engine the load of a warm one: an engine may restart after a request was assigned to
+// it and before the request is sent. An attempt for another boot than the connection's must count as not run.
 func TestAttemptForAnotherBootIsNotSent(t *testing.T) {
 	var served atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +33,7 @@
 	defer srv.Close()
 	d := &Dispatcher{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, address)
-		return &bootedConn{Conn: c, boot: "second"}, err
+		return &bootConn{Conn: c, boot: "second"}, err
 	}}
 	defer d.Close()
 	for _, c := range []struct {
@@ -42,7 +41,7 @@
 		want sagewire.Outcome
 		sent int64
 	}{{"second", sagewire.Complete, 1}, {"first", sagewire.NotRun, 1}, {"", sagewire.Complete, 2}} {
-		a := attempt(strings.TrimPrefix(srv.URL, "http://"))
+		a := newAttempt(strings.TrimPrefix(srv.URL, "http://"))
 		a.BootID = c.boot
 		res := d.Do(context.Background(), httptest.NewRecorder(), a)
 		require.Equal(t, c.want, res.Outcome, "attempt for boot %q: %s", c.boot, res.Detail)
--- a/internal/sagedispatch/dispatcher.go
+++ b/internal/sagedispatch/dispatcher.go
@@ -26,42 +26,42 @@
 	DefaultWriteTimeout     = 10 * time.Second
 	DefaultDialTimeout      = time.Second
 
-	idleTimeout    = 20 * time.Second
-	cancelTimeout  = 2 * time.Second
-	resumePause    = 20 * time.Millisecond
-	idlePerAddress = 64
+	idleTimeout       = 20 * time.Second
+	cancelTimeout     = 2 * time.Second
+	resumeBackoff     = 20 * time.Millisecond // doubled with each consecutive resume that brings no event
+	maxIdlePerAddress = 64
 )
 
-// Dispatcher sends attempts to upstreams. The zero value is ready for use; fields are set before
+// Dispatcher sends attempts to upstreams. The zero value is ready for use. Fields must not be changed after
 // the first attempt.
 type Dispatcher struct {
-	// Dial connects to an upstream; nil means TCP.
+	// Dial connects to an upstream. Nil means TCP with a timeout of DefaultDialTimeout.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// MaxHeld is the greatest answer in bytes that is held until it is whole.
+	// MaxBufferedBytes is the size of the largest response that is buffered until it is complete.
 	MaxBufferedBytes int
-	// MaxEvent is the greatest event of a stream in bytes.
+	// MaxEventBytes is the size of the largest accepted event of a stream.
 	MaxEventBytes int
-	// MaxResumes bounds the resumptions in a row that bring no event.
+	// MaxResumes limits consecutive attempts to resume a stream without receiving a new event.
 	MaxResumes int
-	// StallTimeout is how long a stream may bring nothing before it counts as broken.
+	// StallTimeout is how long a stream may deliver no data before it counts as broken.
 	StallTimeout time.Duration
-	// WriteTimeout is how long one write to the caller may take.
+	// WriteTimeout limits one write to the caller.
 	WriteTimeout time.Duration
 
-	once   sync.Once
-	reused *http.Transport
-	fresh  *http.Transport
-	cancel sync.WaitGroup
+	once            sync.Once
+	reusedTransport *http.Transport
+	freshTransport  *http.Transport
+	cancels         sync.WaitGroup
 }
 
-func orInt(v, d int) int {
+func intOrDefault(v, d int) int {
 	if v > 0 {
 		return v
 	}
 	return d
 }
 
-func orDuration(v, d time.Duration) time.Duration {
+func durationOrDefault(v, d time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
@@ -82,109 +82,109 @@
 	}
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
-	d.reused = &http.Transport{
+	d.reusedTransport = &http.Transport{
 		DialContext: wrapped, Protocols: protocols, DisableCompression: true,
-		MaxIdleConnsPerHost: idlePerAddress, IdleConnTimeout: idleTimeout,
+		MaxIdleConnsPerHost: maxIdlePerAddress, IdleConnTimeout: idleTimeout,
 	}
-	d.fresh = &http.Transport{
+	d.freshTransport = &http.Transport{
 		DialContext: wrapped, Protocols: protocols, DisableCompression: true, DisableKeepAlives: true,
 	}
 }
 
-// Close ends idle connections and waits for cancels under way.
+// Close waits for pending cancel requests and closes idle connections.
 func (d *Dispatcher) Close() {
 	d.once.Do(d.init)
-	d.cancel.Wait()
-	d.reused.CloseIdleConnections()
+	d.cancels.Wait()
+	d.reusedTransport.CloseIdleConnections()
 }
 
-// onceBody is a request body that net/http neither rewinds nor takes for absent, which switches off
-// its own repeats (package documentation).
-type onceBody struct{ *bytes.Reader }
+// noRewindBody is a request body that net/http can neither rewind nor treat as absent. This disables the
+// automatic retries of [http.Transport]; see the package documentation.
+type noRewindBody struct{ *bytes.Reader }
 
 // Close implements [io.Closer].
-func (onceBody) Close() error { return nil }
+func (noRewindBody) Close() error { return nil }
 
-// exchange is an attempt under way.
+// exchange is the state of an attempt in progress.
 type exchange struct {
-	d   *Dispatcher
-	a   *Attempt
-	w   http.ResponseWriter
-	res Result
+	d      *Dispatcher
+	a      *Attempt
+	w      http.ResponseWriter
+	result Result
 }
 
-// Do sends a and passes its answer on to w, whose headers the caller may have set beforehand. It
-// writes to w only what belongs to an answer: when the result is not Started, w is untouched.
+// Do sends a and forwards the response to w, which may already have headers set. It writes nothing but the
+// response: if ResponseStarted is false in the result, w is unchanged.
 func (d *Dispatcher) Do(ctx context.Context, w http.ResponseWriter, a *Attempt) Result {
 	d.once.Do(d.init)
 	x := &exchange{d: d, a: a, w: w}
 	if err := a.Check(); err != nil {
-		x.res.fail(sagewire.NotRun, sagewire.ReasonBadRequest, "%v", err)
-		return x.res
+		x.result.fail(sagewire.NotRun, sagewire.ReasonBadRequest, "%v", err)
+		return x.result
 	}
-	caller := ctx
+	callerCtx := ctx
 	if a.AtMostOnce {
 		ctx = context.WithoutCancel(ctx)
 	}
 	ctx, cancel := context.WithDeadline(ctx, a.Deadline)
 	defer cancel()
 	x.run(ctx)
-	if caller.Err() != nil {
-		x.res.CallerGone = true
+	if callerCtx.Err() != nil {
+		x.result.CallerGone = true
 	}
-	if a.Engine && x.res.Connected && x.res.Outcome == sagewire.Unknown {
+	if a.Engine && x.result.Connected && x.result.Outcome == sagewire.Unknown {
 		d.sendCancel(a)
 	}
-	return x.res
+	return x.result
 }
 
 func (x *exchange) run(ctx context.Context) {
-	sent := &sageconn.Tracker{BootID: x.a.BootID}
-	res, err := x.send(ctx, sent)
-	x.res.Connected = sent.Connected()
+	tracker := &sageconn.Tracker{BootID: x.a.BootID}
+	res, err := x.send(ctx, tracker)
+	x.result.Connected = tracker.Connected()
 	if err != nil {
-		x.lost(ctx, sent, err)
+		x.handleSendError(ctx, tracker, err)
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
-	x.res.Status = res.StatusCode
+	x.result.Status = res.StatusCode
 	if got := res.Header.Get(sagewire.HeaderRequestID); got != x.a.RequestID {
-		sent.Close()
-		x.res.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the answer bears the id %q", got)
+		tracker.Close()
+		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the response has request id %q", got)
 		return
 	}
 	x.readHeader(res.Header)
-	if notRun(res) {
-		x.res.fail(sagewire.NotRun, sagewire.ReasonUpstreamRefused, "upstream status %d", res.StatusCode)
-		x.res.RetryAt = retryAt(res.Header, time.Now())
+	if isNotRun(res) {
+		x.result.fail(sagewire.NotRun, sagewire.ReasonUpstreamRefused, "upstream status %d", res.StatusCode)
+		x.result.RetryAt = parseRetryAfter(res.Header, time.Now())
 		return
 	}
 	if x.a.Stream && sageheader.IsEventStream(res) {
-		x.stream(ctx, res, sent)
+		x.forwardStream(ctx, res, tracker)
 		return
 	}
-	x.plain(ctx, res, sent)
+	x.forwardPlain(ctx, res, tracker)
 }
 
-// lost settles an attempt that brought no answer.
-func (x *exchange) lost(ctx context.Context, sent *sageconn.Tracker, err error) {
+// handleSendError sets the result of an attempt without a response.
+func (x *exchange) handleSendError(ctx context.Context, tracker *sageconn.Tracker, err error) {
 	reason := sagewire.ReasonUpstreamFailed
 	if ctx.Err() != nil {
 		reason = sagewire.ReasonDeadline
 	}
-	if sent.Seal() {
-		x.res.fail(sagewire.NotRun, reason, "nothing was sent: %v", err)
+	if tracker.Seal() {
+		x.result.fail(sagewire.NotRun, reason, "nothing was sent: %v", err)
 		return
 	}
 	if reason == sagewire.ReasonUpstreamFailed {
 		reason = sagewire.ReasonAnswerLost
 	}
-	x.res.fail(sagewire.Unknown, reason, "no answer: %v", err)
+	x.result.fail(sagewire.Unknown, reason, "no response: %v", err)
 }
 
-func (x *exchange) send(ctx context.Context, sent *sageconn.Tracker) (*http.Response, error) {
+func (x *exchange) send(ctx context.Context, tracker *sageconn.Tracker) (*http.Response, error) {
 	a := x.a
-	req, err := newRequest(ctx, a.Method, a.Address, a.Path, a.Body, sent)
+	req, err := newRequest(ctx, a.Method, a.Address, a.Path, a.Body, tracker)
 	if err != nil {
 		return nil, err
 	}
@@ -195,23 +195,23 @@
 	if a.IdempotencyKey != "" {
 		req.Header.Set(sagewire.HeaderIdempotencyKey, a.IdempotencyKey)
 	}
-	t := x.d.reused
+	t := x.d.reusedTransport
 	if a.AtMostOnce {
-		t = x.d.fresh
+		t = x.d.freshTransport
 	}
 	return t.RoundTrip(req)
 }
 
-func newRequest(ctx context.Context, method, address, path string, body []byte, sent *sageconn.Tracker) (*http.Request, error) {
+func newRequest(ctx context.Context, method, address, path string, body []byte, tracker *sageconn.Tracker) (*http.Request, error) {
 	u, err := url.ParseRequestURI(path)
 	if err != nil {
 		return nil, fmt.Errorf("parse path: %w", err)
 	}
 	u.Scheme, u.Host = "http", address
-	if sent != nil {
-		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: sent.GotConn})
+	if tracker != nil {
+		ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: tracker.GotConn})
 	}
-	req, err := http.NewRequestWithContext(ctx, method, u.String(), onceBody{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, method, u.String(), noRewindBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fmt.Errorf("make request: %w", err)
 	}
@@ -219,12 +219,12 @@
 	return req, nil
 }
 
-// sendCancel tells an engine, without waiting, that nobody wants the answer any more.
+// sendCancel asks an engine in the background to stop generating a response that is no longer needed.
 //
-// It goes on a fresh connection: an idle one that the engine has closed meanwhile would swallow it
-// without an error that could be told from others, and the engine would generate on for nobody.
+// It uses a new connection. If the engine has closed an idle connection in the meantime, a cancel request
+// written to it would be lost, and the engine would continue to generate.
 func (d *Dispatcher) sendCancel(a *Attempt) {
-	d.cancel.Go(func() {
+	d.cancels.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		req, err := newRequest(ctx, http.MethodDelete, a.Address, streamPath(a.RequestID), nil, nil)
@@ -232,7 +232,7 @@
 			return
 		}
 		req.Header.Set(sagewire.HeaderRequestID, a.RequestID)
-		if res, err := d.fresh.RoundTrip(req); err == nil {
+		if res, err := d.freshTransport.RoundTrip(req); err == nil {
 			_ = res.Body.Close()
 		}
 	})
@@ -240,12 +240,12 @@
 
 func streamPath(id string) string { return "/v1/streams/" + url.PathEscape(id) }
 
-func notRun(res *http.Response) bool {
+func isNotRun(res *http.Response) bool {
 	refused := res.StatusCode == http.StatusTooManyRequests || res.StatusCode == http.StatusServiceUnavailable
 	return refused && res.Header.Get(sagewire.HeaderNotRun) == "true"
 }
 
-func retryAt(h http.Header, now time.Time) time.Time {
+func parseRetryAfter(h http.Header, now time.Time) time.Time {
 	s, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || s < 0 {
 		return time.Time{}
--- a/internal/sagedispatch/dispatcher_test.go
+++ b/internal/sagedispatch/dispatcher_test.go
@@ -21,26 +21,26 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-func attempt(address string) *Attempt {
+func newAttempt(address string) *Attempt {
 	return &Attempt{
 		RequestID: "r-1", Address: address, Method: http.MethodPost, Path: "/book",
 		Body: []byte("{}"), Deadline: time.Now().Add(time.Minute),
 	}
 }
 
-// script is an upstream that handles each request on a connection by the next of its steps; a step
-// returns false to end the connection.
-type script struct {
+// scriptedUpstream is an upstream that handles each request with a step function. The function gets the number
+// of the request and returns false to close the connection.
+type scriptedUpstream struct {
 	net.Listener
 	reads atomic.Int64
 	wg    sync.WaitGroup
 }
 
-func upstream(t *testing.T, step func(n int64, c net.Conn, req *http.Request) bool) *script {
+func startUpstream(t *testing.T, step func(n int64, c net.Conn, req *http.Request) bool) *scriptedUpstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{Listener: l}
+	s := &scriptedUpstream{Listener: l}
 	s.wg.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *script) serve(c net.Conn, step func(int64, net.Conn, *http.Request) bool) {
+func (s *scriptedUpstream) serve(c net.Conn, step func(int64, net.Conn, *http.Request) bool) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
@@ -74,15 +74,15 @@
 	}
 }
 
-func (s *script) address() string { return s.Addr().String() }
+func (s *scriptedUpstream) address() string { return s.Addr().String() }
 
-func answer(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nSagestand-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// A booking is doubled: the upstream reads it and closes the connection, which had been idle;
-// net/http takes the break for a stale connection and sends the request a second time, because a
-// header Idempotency-Key makes it believe that this is harmless.
+// Prevents duplicate bookings: the upstream reads a request on a reused connection and closes it. Without the
+// body that can't be rewound, net/http would take the connection for stale and send the request again, since
+// the header Idempotency-Key marks it as idempotent.
 func TestBrokenReusedConnectionIsNotRepeated(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -95,16 +95,16 @@
 		{name: "delete", method: http.MethodDelete},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := upstream(t, func(n int64, c net.Conn, req *http.Request) bool {
+			s := startUpstream(t, func(n int64, c net.Conn, req *http.Request) bool {
 				if n == 1 {
-					answer(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
+					writeResponse(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
 					return true
 				}
 				return false
 			})
 			d := &Dispatcher{}
 			defer d.Close()
-			a := attempt(s.address())
+			a := newAttempt(s.address())
 			a.Method, a.Body, a.IdempotencyKey = tt.method, []byte(tt.body), "k"
 			res := d.Do(t.Context(), httptest.NewRecorder(), a)
 			require.Equal(t, sagewire.Complete, res.Outcome, res.Detail)
@@ -116,12 +116,12 @@
 	}
 }
 
-// The guard above is needed: the same request with a body that can be rewound is sent three times
-// by net/http, though its caller asked once.
+// Shows that net/http needs the protection tested above: of two requests with a rewindable body, the second is
+// retried, so that the upstream reads three.
 func TestNetHTTPRepeatsARewindableRequest(t *testing.T) {
-	s := upstream(t, func(n int64, c net.Conn, _ *http.Request) bool {
+	s := startUpstream(t, func(n int64, c net.Conn, _ *http.Request) bool {
 		if n == 1 {
-			answer(c, "r", "ok")
+			writeResponse(c, "r", "ok")
 			return true
 		}
 		return false
@@ -159,27 +159,27 @@
 		reason  sagewire.Reason
 		started bool
 	}{
-		{"whole", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nContent-Length: 2", "ok"), sagewire.Complete, "", true},
-		{"whole in chunks", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nTransfer-Encoding: chunked", "2\r\nok\r\n0\r\n\r\n"), sagewire.Complete, "", true},
-		{"short", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nContent-Length: 3", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
-		{"short in chunks", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nTransfer-Encoding: chunked", "2\r\nok\r\n"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
-		{"ends with the connection", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nConnection: close", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
-		{"crossed", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: other\r\nContent-Length: 2", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"complete", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nContent-Length: 2", "ok"), sagewire.Complete, "", true},
+		{"complete, chunked", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nTransfer-Encoding: chunked", "2\r\nok\r\n0\r\n\r\n"), sagewire.Complete, "", true},
+		{"truncated", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nContent-Length: 3", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"truncated, chunked", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nTransfer-Encoding: chunked", "2\r\nok\r\n"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"delimited by end of connection", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: ID\r\nConnection: close", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"id of another request", reply("HTTP/1.1 200 OK\r\nSagestand-Request-Id: other\r\nContent-Length: 2", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
 		{"without id", reply("HTTP/1.1 200 OK\r\nContent-Length: 2", "ok"), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
 		{"not run", reply("HTTP/1.1 503 No\r\nSagestand-Request-Id: ID\r\nSagestand-Not-Run: true\r\nContent-Length: 0", ""), sagewire.NotRun, sagewire.ReasonUpstreamRefused, false},
-		{"not run of another", reply("HTTP/1.1 503 No\r\nSagestand-Request-Id: other\r\nSagestand-Not-Run: true\r\nContent-Length: 0", ""), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"not run, id of another request", reply("HTTP/1.1 503 No\r\nSagestand-Request-Id: other\r\nSagestand-Not-Run: true\r\nContent-Length: 0", ""), sagewire.Unknown, sagewire.ReasonAnswerLost, false},
 		{"not run with status 500", reply("HTTP/1.1 500 No\r\nSagestand-Request-Id: ID\r\nSagestand-Not-Run: true\r\nContent-Length: 0", ""), sagewire.Complete, "", true},
 		{"plain 503", reply("HTTP/1.1 503 No\r\nSagestand-Request-Id: ID\r\nContent-Length: 0", ""), sagewire.Complete, "", true},
 		{"redirect is not followed", reply("HTTP/1.1 307 Go\r\nSagestand-Request-Id: ID\r\nLocation: /book\r\nContent-Length: 0", ""), sagewire.Complete, "", true},
-		{"no answer", func(net.Conn, string) bool { return false }, sagewire.Unknown, sagewire.ReasonAnswerLost, false},
+		{"no response", func(net.Conn, string) bool { return false }, sagewire.Unknown, sagewire.ReasonAnswerLost, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := upstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
+			s := startUpstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
 				return tt.reply(c, req.Header.Get(sagewire.HeaderRequestID))
 			})
 			d := &Dispatcher{}
 			defer d.Close()
-			a := attempt(s.address())
+			a := newAttempt(s.address())
 			a.AtMostOnce = true
 			w := httptest.NewRecorder()
 			res := d.Do(t.Context(), w, a)
@@ -210,7 +210,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := &Dispatcher{Dial: tt.dial}
 				defer d.Close()
-				res := d.Do(t.Context(), httptest.NewRecorder(), attempt("127.0.0.1:1"))
+				res := d.Do(t.Context(), httptest.NewRecorder(), newAttempt("127.0.0.1:1"))
 				assert.Equal(t, sagewire.NotRun, res.Outcome)
 				assert.False(t, res.Connected)
 			})
@@ -218,21 +218,21 @@
 	}
 }
 
-// Bookings end as unknown though the application is well: it closes idle connections, and a booking
-// that takes one just then is written into the void. A fresh connection has no idle time.
+// Prevents bookings with an unknown outcome at a healthy application: a booking could be written to an idle
+// connection that the application is just closing. A new connection has no idle time.
 func TestOnceUsesAFreshConnection(t *testing.T) {
 	var mu sync.Mutex
 	seen := make(map[string]bool)
-	s := upstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
+	s := startUpstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
 		mu.Lock()
 		seen[c.RemoteAddr().String()] = true
 		mu.Unlock()
-		answer(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
+		writeResponse(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
 		return true
 	})
 	d := &Dispatcher{}
 	defer d.Close()
-	a := attempt(s.address())
+	a := newAttempt(s.address())
 	a.AtMostOnce = true
 	for i := range 3 {
 		a.RequestID = fmt.Sprint(i)
@@ -242,18 +242,18 @@
 	assert.Len(t, seen, 3, "connections")
 }
 
-// A booking's outcome is unknown though the application answered: its caller closed the connection
-// while the application worked, and the attempt was given up with it.
+// Prevents losing the outcome of a booking that the application completed: the caller closes its connection
+// while the application is working, and the attempt must not be canceled with it.
 func TestOnceGoesOnWithoutItsCaller(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := upstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
+	s := startUpstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
 		cancel()
-		answer(c, req.Header.Get(sagewire.HeaderRequestID), "booked")
+		writeResponse(c, req.Header.Get(sagewire.HeaderRequestID), "booked")
 		return false
 	})
 	d := &Dispatcher{}
 	defer d.Close()
-	a := attempt(s.address())
+	a := newAttempt(s.address())
 	a.AtMostOnce = true
 	res := d.Do(ctx, httptest.NewRecorder(), a)
 	assert.Equal(t, sagewire.Complete, res.Outcome, res.Detail)
--- a/internal/sagedispatch/doc.go
+++ b/internal/sagedispatch/doc.go
@@ -1,34 +1,33 @@
-// Package sagedispatch is one exchange with one upstream: it sends a request, checks that the answer
-// is the whole answer of that very request, passes it on, and says truthfully how it ended.
+// Package sagedispatch performs one exchange with one upstream: it sends a request, verifies that the response
+// is complete and belongs to that request, forwards it to the caller, and reports the outcome.
 //
-// # What counts as not run
+// # Requests that were not run
 //
-// A result is [sagewire.NotRun] in two cases only. Either no byte of the request can have left this
-// process: the connection failed, or the request was given up before its first write, and the
-// connection was sealed so that no later write can follow. Or the upstream itself says so: status
-// 429 or 503 with the header Sagestand-Not-Run: true and the id of this request. Everything else
-// that is not a whole answer is [sagewire.Unknown].
+// A result is [sagewire.NotRun] in two cases only. In the first, no byte of the request can have left this
+// process: the connection failed, or the attempt ended before its first write and the connection was sealed
+// against later writes. In the second, the upstream itself reports that it did not run the request, by status
+// 429 or 503 with the header Sagestand-Not-Run: true and the id of this request. Any other attempt without a
+// complete response is [sagewire.Unknown].
 //
-// # Repeats inside net/http
+// # Automatic retries of net/http
 //
-// [http.Transport] sends a request again by itself when a reused connection breaks and it holds the
-// request for idempotent; a header Idempotency-Key is enough for that, and a nil body too. Here each
-// request has a body that is not nil and can't be rewound (GetBody is nil), which switches both
-// repeats off, and redirects are not followed. A request that may run only once is moreover sent
-// on a fresh connection: on a reused one an upstream's idle timeout would turn many of them into
-// unknown ones.
+// [http.Transport] retries a request when a reused connection breaks and it considers the request idempotent,
+// for which a nil body or a header Idempotency-Key is enough. Each request here has a non-nil body that can't
+// be rewound (GetBody is nil), which disables these retries. Redirects are not followed. A request that must
+// run at most once is also sent on a new connection: on a reused connection, the upstream's idle timeout would
+// leave many such requests with an unknown outcome.
 //
-// # Answers
+// # Responses
 //
-// An answer must echo the request's id; another one is dropped and its connection closed. An answer
-// whose end can't be checked (neither Content-Length nor chunks) is never passed as complete. Small
-// answers are held until they are whole; larger ones are passed on as they come, with the outcome in
-// a trailer, and broken off on a shortfall. Streams are read event by event: positions must follow
-// each other, a broken stream is resumed at the same upstream from the last position passed on, and
-// only `data: [DONE]` ends it. One that can't be completed ends with an event named error.
+// A response must echo the request id; otherwise it is dropped and its connection is closed. A response whose
+// end can't be verified (neither Content-Length nor chunked encoding) is never reported as complete. Small
+// responses are buffered until they are complete. Larger ones are forwarded as they arrive, with the outcome
+// in a trailer, and the caller's connection is aborted if the response is truncated. Streams are read event by
+// event. Event ids must be consecutive, a broken stream is resumed at the same upstream after the last event
+// forwarded, and only `data: [DONE]` ends it. A stream that can't be completed ends with an event of type error.
 //
-// Reading and writing are one loop, so that a slow caller holds one event in memory, and each write
-// has a deadline.
+// One loop reads and writes, so that a slow caller causes at most one event to be buffered. Each write has a
+// deadline.
 //
 // # Usage
 //
@@ -41,6 +40,6 @@
 //		panic(http.ErrAbortHandler)
 //	}
 //	if !res.Started {
-//		... another attempt, or a refusal made from res
+//		... // start another attempt, or send res.Refusal to the caller
 //	}
 package sagedispatch
--- a/internal/sagedispatch/header.go
+++ b/internal/sagedispatch/header.go
@@ -8,13 +8,13 @@
 )
 
 func (x *exchange) readHeader(h http.Header) {
-	x.res.BootID = h.Get(sagewire.HeaderBootID)
-	x.res.CachedTokens = count(h.Get(sagewire.HeaderCachedTokens))
-	x.res.PromptTokens = count(h.Get(sagewire.HeaderPromptTokens))
+	x.result.BootID = h.Get(sagewire.HeaderBootID)
+	x.result.CachedTokens = parseTokenCount(h.Get(sagewire.HeaderCachedTokens))
+	x.result.PromptTokens = parseTokenCount(h.Get(sagewire.HeaderPromptTokens))
 }
 
-// count reads a number of tokens; anything but a small non-negative number counts as 0.
-func count(s string) int {
+// parseTokenCount parses a number of tokens. It returns 0 for anything but a non-negative 31-bit integer.
+func parseTokenCount(s string) int {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err != nil {
 		return 0
--- a/internal/sagedispatch/plain.go
+++ b/internal/sagedispatch/plain.go
@@ -12,11 +12,11 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// copyChunk is how much of a large answer is in memory at a time.
-const copyChunk = 32 << 10
+// copyBufferBytes is the size of the buffer through which a large response is copied.
+const copyBufferBytes = 32 << 10
 
-// retriable reports a status with which another upstream may be asked instead.
-func retriable(status int) bool {
+// isRetriable reports whether another upstream may be tried after a response with this status.
+func isRetriable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusInternalServerError, http.StatusBadGateway,
 		http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -25,9 +25,9 @@
 	return false
 }
 
-// delimited reports whether the end of an answer can be checked. An answer that ends with its
-// connection looks whole when it was cut short.
-func delimited(res *http.Response) bool {
+// isDelimited reports whether the end of a response can be verified. A truncated response that is delimited
+// only by the end of its connection looks complete.
+func isDelimited(res *http.Response) bool {
 	if res.ContentLength >= 0 {
 		return true
 	}
@@ -35,48 +35,48 @@
 	return n > 0 && res.TransferEncoding[n-1] == "chunked"
 }
 
-// plain passes on an answer that is not a stream.
-func (x *exchange) plain(ctx context.Context, res *http.Response, sent *sageconn.Tracker) {
-	if !x.a.AtMostOnce && retriable(res.StatusCode) {
-		x.res.fail(sagewire.Unknown, sagewire.ReasonUpstreamFailed, "upstream status %d", res.StatusCode)
-		x.res.RetryAt = retryAt(res.Header, time.Now())
+// forwardPlain forwards a response that is not a stream.
+func (x *exchange) forwardPlain(ctx context.Context, res *http.Response, tracker *sageconn.Tracker) {
+	if !x.a.AtMostOnce && isRetriable(res.StatusCode) {
+		x.result.fail(sagewire.Unknown, sagewire.ReasonUpstreamFailed, "upstream status %d", res.StatusCode)
+		x.result.RetryAt = parseRetryAfter(res.Header, time.Now())
 		return
 	}
-	if !delimited(res) {
-		sent.Close()
-		x.res.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the answer has no checkable end")
+	if !isDelimited(res) {
+		tracker.Close()
+		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the response has neither Content-Length nor chunked encoding")
 		return
 	}
-	limit := orInt(x.d.MaxBufferedBytes, DefaultMaxBufferedBytes)
-	held, err := io.ReadAll(io.LimitReader(res.Body, int64(limit)+1))
-	if len(held) > 0 {
-		x.res.FirstByteAt = time.Now()
+	limit := intOrDefault(x.d.MaxBufferedBytes, DefaultMaxBufferedBytes)
+	body, err := io.ReadAll(io.LimitReader(res.Body, int64(limit)+1))
+	if len(body) > 0 {
+		x.result.FirstByteAt = time.Now()
 	}
 	if err != nil {
-		sent.Close()
-		x.broken(ctx, err)
+		tracker.Close()
+		x.failBody(ctx, err)
 		return
 	}
-	if len(held) <= limit {
-		x.whole(res, held)
+	if len(body) <= limit {
+		x.forwardBuffered(res, body)
 		return
 	}
-	x.large(ctx, res, held, sent)
+	x.forwardLarge(ctx, res, body, tracker)
 }
 
-func (x *exchange) broken(ctx context.Context, err error) {
+func (x *exchange) failBody(ctx context.Context, err error) {
 	reason := sagewire.ReasonAnswerLost
 	if ctx.Err() != nil {
 		reason = sagewire.ReasonDeadline
 	}
-	x.res.fail(sagewire.Unknown, reason, "the answer broke off: %v", err)
+	x.result.fail(sagewire.Unknown, reason, "the response was truncated: %v", err)
 }
 
-// whole passes on an answer that is held completely.
-func (x *exchange) whole(res *http.Response, body []byte) {
-	x.res.Outcome = sagewire.Complete
+// forwardBuffered forwards a response that is completely buffered.
+func (x *exchange) forwardBuffered(res *http.Response, body []byte) {
+	x.result.Outcome = sagewire.Complete
 	if x.a.AtMostOnce {
-		x.res.Response = &BufferedResponse{Status: res.StatusCode, Header: answerHeader(res.Header), Body: body}
+		x.result.Response = &BufferedResponse{Status: res.StatusCode, Header: bufferedHeader(res.Header), Body: body}
 	}
 	h := x.w.Header()
 	sageheader.Copy(h, res.Header)
@@ -84,15 +84,15 @@
 	if len(body) > 0 {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	x.res.ResponseStarted = true
-	x.deadline()
+	x.result.ResponseStarted = true
+	x.setWriteDeadline()
 	x.w.WriteHeader(res.StatusCode)
 	if err := x.write(body); err != nil {
-		x.res.CallerGone = true
+		x.result.CallerGone = true
 	}
 }
 
-func answerHeader(h http.Header) http.Header {
+func bufferedHeader(h http.Header) http.Header {
 	c := make(http.Header, 1)
 	if t := h.Get("Content-Type"); t != "" {
 		c.Set("Content-Type", t)
@@ -100,43 +100,43 @@
 	return c
 }
 
-// large passes on an answer as it comes. Its outcome stands in the trailer.
-func (x *exchange) large(ctx context.Context, res *http.Response, held []byte, sent *sageconn.Tracker) {
+// forwardLarge forwards a response as it arrives and sends its outcome in the trailer.
+func (x *exchange) forwardLarge(ctx context.Context, res *http.Response, buffered []byte, tracker *sageconn.Tracker) {
 	h := x.w.Header()
 	sageheader.Copy(h, res.Header)
 	h.Set("Trailer", sagewire.HeaderOutcome)
-	x.res.ResponseStarted = true
+	x.result.ResponseStarted = true
 	x.w.WriteHeader(res.StatusCode)
-	buf := make([]byte, copyChunk)
-	part, err := held, error(nil)
+	buf := make([]byte, copyBufferBytes)
+	chunk, err := buffered, error(nil)
 	for {
-		if werr := x.write(part); werr != nil {
-			sent.Close()
-			x.res.CallerGone, x.res.Abort = true, true
-			x.res.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the caller stopped reading: %v", werr)
+		if werr := x.write(chunk); werr != nil {
+			tracker.Close()
+			x.result.CallerGone, x.result.Abort = true, true
+			x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the caller stopped reading: %v", werr)
 			return
 		}
 		if err == io.EOF {
-			x.res.Outcome = sagewire.Complete
+			x.result.Outcome = sagewire.Complete
 			h.Set(sagewire.HeaderOutcome, string(sagewire.Complete))
 			return
 		}
 		if err != nil {
-			sent.Close()
-			x.broken(ctx, err)
-			x.res.Abort = true
+			tracker.Close()
+			x.failBody(ctx, err)
+			x.result.Abort = true
 			return
 		}
 		var n int
 		n, err = res.Body.Read(buf)
-		part = buf[:n]
+		chunk = buf[:n]
 	}
 }
 
-// deadline limits the next write to the caller. It guards against a caller that reads nothing and
-// so holds an upstream's work and this attempt's memory; writers without deadlines are left alone.
-func (x *exchange) deadline() {
-	at := time.Now().Add(orDuration(x.d.WriteTimeout, DefaultWriteTimeout))
+// setWriteDeadline limits the next write to the caller. Without it, a caller that stops reading would occupy
+// the upstream and the memory of this attempt indefinitely. Writers that don't support deadlines are unaffected.
+func (x *exchange) setWriteDeadline() {
+	at := time.Now().Add(durationOrDefault(x.d.WriteTimeout, DefaultWriteTimeout))
 	_ = http.NewResponseController(x.w).SetWriteDeadline(at)
 }
 
@@ -144,8 +144,8 @@
 	if len(b) == 0 {
 		return nil
 	}
-	x.deadline()
+	x.setWriteDeadline()
 	n, err := x.w.Write(b)
-	x.res.BytesSent += int64(n)
+	x.result.BytesSent += int64(n)
 	return err
 }
--- a/internal/sagedispatch/stream.go
+++ b/internal/sagedispatch/stream.go
@@ -17,26 +17,26 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Errors that end a stream.
+// Errors that interrupt a stream. isFinal lists those after which it isn't resumed.
 var (
-	errGap         = errors.New("gap in the stream")
-	errNoPosition  = errors.New("event without a position")
-	errCallerGone  = errors.New("the caller stopped reading")
-	errUpstreamEnd = errors.New("the upstream ended the stream with an error")
-	errRestarted   = errors.New("the upstream was started anew")
-	errNotResumed  = errors.New("the upstream can't resume the stream")
-	errForeign     = errors.New("the answer belongs to another request")
+	errSequenceGap   = errors.New("gap in the stream")
+	errNoEventID     = errors.New("event without an id")
+	errCallerGone    = errors.New("the caller stopped reading")
+	errUpstreamError = errors.New("the upstream ended the stream with an error")
+	errRestarted     = errors.New("the upstream restarted")
+	errNotResumed    = errors.New("the upstream can't resume the stream")
+	errIDMismatch    = errors.New("the response belongs to another request")
 )
 
 // doneData is the data of the event that ends a stream.
 const doneData = "[DONE]"
 
-// done reports the event that ends a stream.
-func done(e *sagesse.Event) bool { return e.Type == "" && string(e.Data) == doneData }
+// isDone reports whether e is the event that ends a stream.
+func isDone(e *sagesse.Event) bool { return e.Type == "" && string(e.Data) == doneData }
 
-// final reports an error after which resuming is of no use.
-func final(err error) bool {
-	for _, f := range []error{errCallerGone, errUpstreamEnd, errRestarted, errNotResumed, sagesse.ErrTooLarge, sagesse.ErrMalformed, errNoPosition} {
+// isFinal reports whether the stream can't be resumed after err.
+func isFinal(err error) bool {
+	for _, f := range []error{errCallerGone, errUpstreamError, errRestarted, errNotResumed, sagesse.ErrTooLarge, sagesse.ErrMalformed, errNoEventID} {
 		if errors.Is(err, f) {
 			return true
 		}
@@ -44,35 +44,35 @@
 	return false
 }
 
-// stream passes on events up to the end mark, taking a broken stream up again at the same upstream.
-// It never restarts the answer elsewhere: another upstream would continue with other words.
-func (x *exchange) stream(ctx context.Context, res *http.Response, sent *sageconn.Tracker) {
+// forwardStream forwards events up to the done event and resumes a broken stream at the same upstream. It
+// never continues at another upstream, which would generate a different text.
+func (x *exchange) forwardStream(ctx context.Context, res *http.Response, tracker *sageconn.Tracker) {
 	var last uint64
-	fruitless := 0
+	emptyResumes := 0
 	for {
 		before := last
-		err := x.events(res, sent, &last)
+		err := x.forwardEvents(res, tracker, &last)
 		if err == nil {
-			x.res.Outcome = sagewire.Complete
+			x.result.Outcome = sagewire.Complete
 			x.w.Header().Set(sagewire.HeaderOutcome, string(sagewire.Complete))
 			return
 		}
-		sent.Close()
+		tracker.Close()
 		_ = res.Body.Close()
 		if last > before {
-			fruitless = 0
+			emptyResumes = 0
 		}
-		for !final(err) && ctx.Err() == nil && fruitless < orInt(x.d.MaxResumes, DefaultMaxResumes) {
-			pause(ctx, resumePause<<fruitless)
-			fruitless++
-			x.res.Resumes++
-			sent = new(sageconn.Tracker)
-			var rerr error
-			if res, rerr = x.resume(ctx, sent, last); rerr == nil {
+		for !isFinal(err) && ctx.Err() == nil && emptyResumes < intOrDefault(x.d.MaxResumes, DefaultMaxResumes) {
+			sleep(ctx, resumeBackoff<<emptyResumes)
+			emptyResumes++
+			x.result.Resumes++
+			tracker = new(sageconn.Tracker)
+			var resumeErr error
+			if res, resumeErr = x.resume(ctx, tracker, last); resumeErr == nil {
 				err = nil
 				break
 			}
-			err = rerr
+			err = resumeErr
 		}
 		if err != nil {
 			x.endStream(ctx, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -90,69 +90,69 @@
 	}
 }
 
-// events passes on the events of one connection; nil means that the end mark was passed on.
-func (x *exchange) events(res *http.Response, sent *sageconn.Tracker, last *uint64) error {
-	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: orInt(x.d.MaxEventBytes, DefaultMaxEventBytes)}
-	// A connection that is cut without a word brings no error. The timer closes it, and the read
-	// then fails; it is stopped while the caller is written to, whose slowness isn't the upstream's.
-	stall := orDuration(x.d.StallTimeout, DefaultStallTimeout)
-	watch := time.AfterFunc(stall, sent.Close)
-	defer watch.Stop()
+// forwardEvents forwards the events of one connection. It returns nil once the done event has been forwarded.
+func (x *exchange) forwardEvents(res *http.Response, tracker *sageconn.Tracker, last *uint64) error {
+	r := &sagesse.Reader{R: bufio.NewReader(res.Body), MaxEventBytes: intOrDefault(x.d.MaxEventBytes, DefaultMaxEventBytes)}
+	// A connection that is cut without FIN or RST produces no read error, so the timer closes it after the stall
+	// timeout. The timer is stopped during writes: a slow caller must not count as a stalled upstream.
+	stall := durationOrDefault(x.d.StallTimeout, DefaultStallTimeout)
+	stallTimer := time.AfterFunc(stall, tracker.Close)
+	defer stallTimer.Stop()
 	for {
-		watch.Reset(stall)
+		stallTimer.Reset(stall)
 		e, err := r.Next()
 		if err != nil {
 			return fmt.Errorf("read event: %w", err)
 		}
-		watch.Stop()
-		pass, err := x.judge(e, *last)
+		stallTimer.Stop()
+		forward, err := x.checkEvent(e, *last)
 		if err != nil {
 			return err
 		}
-		if !pass {
+		if !forward {
 			continue
 		}
-		if err := x.pass(res, e); err != nil {
+		if err := x.forwardEvent(res, e); err != nil {
 			return err
 		}
 		if e.ID > 0 {
 			*last = e.ID
 		}
-		if done(e) {
+		if isDone(e) {
 			return nil
 		}
 	}
 }
 
-// judge decides whether an event is the one that follows position last. An event that came before
-// is dropped: a resumed stream may repeat some. A gap is never passed: the caller would take an
-// answer with missing words for a whole one.
-func (x *exchange) judge(e *sagesse.Event, last uint64) (bool, error) {
+// checkEvent reports whether an event is to be forwarded after the event with id last. Events that were
+// already forwarded are dropped, since a resumed stream may repeat some. A gap is an error: the caller would
+// take a response with missing events for a complete one.
+func (x *exchange) checkEvent(e *sagesse.Event, last uint64) (bool, error) {
 	switch {
 	case e.IsKeepAlive():
-		return x.res.ResponseStarted, nil
+		return x.result.ResponseStarted, nil
 	case e.Type == "error":
-		return false, fmt.Errorf("%q: %w", e.Data, errUpstreamEnd)
+		return false, fmt.Errorf("%q: %w", e.Data, errUpstreamError)
 	case e.ID == 0:
-		return false, errNoPosition
+		return false, errNoEventID
 	case e.ID <= last:
-		x.res.Duplicates++
+		x.result.Duplicates++
 		return false, nil
 	case e.ID > last+1:
-		return false, fmt.Errorf("position %d after %d: %w", e.ID, last, errGap)
+		return false, fmt.Errorf("event id %d after %d: %w", e.ID, last, errSequenceGap)
 	}
 	return true, nil
 }
 
-// pass writes one event to the caller; the first one is preceded by the header.
-func (x *exchange) pass(res *http.Response, e *sagesse.Event) error {
-	if !x.res.ResponseStarted {
-		x.res.FirstByteAt = time.Now()
-		x.res.ResponseStarted = true
+// forwardEvent writes one event to the caller, preceded by the response header if it is the first.
+func (x *exchange) forwardEvent(res *http.Response, e *sagesse.Event) error {
+	if !x.result.ResponseStarted {
+		x.result.FirstByteAt = time.Now()
+		x.result.ResponseStarted = true
 		h := x.w.Header()
 		sageheader.Copy(h, res.Header)
 		h.Set("Trailer", sagewire.HeaderOutcome)
-		x.deadline()
+		x.setWriteDeadline()
 		x.w.WriteHeader(res.StatusCode)
 	}
 	if err := x.write(e.Raw); err != nil {
@@ -164,24 +164,24 @@
 	return nil
 }
 
-// resume asks the same upstream for the rest of the stream, on a fresh connection: after a break the
-// idle ones are likely broken too.
-func (x *exchange) resume(ctx context.Context, sent *sageconn.Tracker, last uint64) (*http.Response, error) {
+// resume requests the rest of the stream from the same upstream. It uses a new connection, since idle ones
+// are likely to be broken too.
+func (x *exchange) resume(ctx context.Context, tracker *sageconn.Tracker, last uint64) (*http.Response, error) {
 	if !x.a.Engine {
 		return nil, errNotResumed
 	}
 	path := streamPath(x.a.RequestID) + "?after=" + strconv.FormatUint(last, 10)
-	req, err := newRequest(ctx, http.MethodGet, x.a.Address, path, nil, sent)
+	req, err := newRequest(ctx, http.MethodGet, x.a.Address, path, nil, tracker)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set(sagewire.HeaderRequestID, x.a.RequestID)
-	res, err := x.d.fresh.RoundTrip(req)
+	res, err := x.d.freshTransport.RoundTrip(req)
 	if err != nil {
 		return nil, fmt.Errorf("resume: %w", err)
 	}
 	if err := x.checkResumed(res); err != nil {
-		sent.Close()
+		tracker.Close()
 		_ = res.Body.Close()
 		return nil, err
 	}
@@ -191,8 +191,8 @@
 func (x *exchange) checkResumed(res *http.Response) error {
 	switch {
 	case res.Header.Get(sagewire.HeaderRequestID) != x.a.RequestID:
-		return errForeign
-	case res.Header.Get(sagewire.HeaderBootID) != x.res.BootID:
+		return errIDMismatch
+	case res.Header.Get(sagewire.HeaderBootID) != x.result.BootID:
 		return errRestarted
 	case res.StatusCode == http.StatusNotFound, res.StatusCode == http.StatusGone:
 		return errNotResumed
@@ -202,29 +202,29 @@
 	return nil
 }
 
-// endStream settles a stream that can't be completed. The caller is told so by an event: without it
-// an answer that was cut short would look finished to one that ignores the end mark.
+// endStream sets the result of a stream that can't be completed and sends the caller an error event. Without
+// it, the truncated response would look complete to a caller that doesn't check for the done event.
 func (x *exchange) endStream(ctx context.Context, cause error) {
 	reason := sagewire.ReasonAnswerLost
 	if ctx.Err() != nil {
 		reason = sagewire.ReasonDeadline
 	}
-	x.res.fail(sagewire.Unknown, reason, "the stream broke off: %v", cause)
+	x.result.fail(sagewire.Unknown, reason, "the stream was interrupted: %v", cause)
 	if errors.Is(cause, errCallerGone) {
-		x.res.CallerGone, x.res.Abort = true, true
+		x.result.CallerGone, x.result.Abort = true, true
 		return
 	}
-	if !x.res.ResponseStarted {
+	if !x.result.ResponseStarted {
 		return
 	}
-	b, err := json.Marshal(x.res.Refusal(x.a.RequestID))
+	b, err := json.Marshal(x.result.Refusal(x.a.RequestID))
 	if err != nil {
-		x.res.Abort = true
+		x.result.Abort = true
 		return
 	}
 	x.w.Header().Set(sagewire.HeaderOutcome, string(sagewire.Unknown))
 	if err := x.write(fmt.Appendf(nil, "event: error\ndata: %s\n\n", b)); err != nil {
-		x.res.CallerGone, x.res.Abort = true, true
+		x.result.CallerGone, x.result.Abort = true, true
 		return
 	}
 	_ = http.NewResponseController(x.w).Flush()
--- a/internal/sagedispatch/stream_test.go
+++ b/internal/sagedispatch/stream_test.go
@@ -20,7 +20,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-func ev(from, to int) string {
+func wordEvents(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		_, _ = fmt.Fprintf(&b, "id: %d\ndata: w%d\n\n", i, i)
@@ -28,17 +28,17 @@
 	return b.String()
 }
 
-func end(at int) string { return fmt.Sprintf("id: %d\ndata: [DONE]\n\n", at) }
+func doneEvent(at int) string { return fmt.Sprintf("id: %d\ndata: [DONE]\n\n", at) }
 
-// engine answers the n-th request for a stream by the n-th part; a part that ends with "!" breaks
-// the connection, and "404" says that the stream is gone.
+// engine responds to the n-th request for a stream with the n-th part. A part that ends with "!" aborts the
+// connection, and "404" means that the stream no longer exists.
 type engine struct {
-	mu       sync.Mutex
-	parts    []string
-	ids      []string
-	asked    []string
-	boots    []string
-	canceled chan struct{}
+	mu          sync.Mutex
+	parts       []string
+	ids         []string
+	requestURIs []string
+	boots       []string
+	canceled    chan struct{}
 }
 
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -47,8 +47,8 @@
 		return
 	}
 	e.mu.Lock()
-	n := len(e.asked)
-	e.asked = append(e.asked, r.URL.RequestURI())
+	n := len(e.requestURIs)
+	e.requestURIs = append(e.requestURIs, r.URL.RequestURI())
 	part := e.parts[min(n, len(e.parts)-1)]
 	e.mu.Unlock()
 	id := r.Header.Get(sagewire.HeaderRequestID)
@@ -81,29 +81,29 @@
 
 func TestStreams(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		parts   []string
-		boots   []string
-		ids     []string
-		want    string
-		whole   bool
-		resumes int
-		asked   string
+		name      string
+		parts     []string
+		boots     []string
+		ids       []string
+		want      string
+		complete  bool
+		resumes   int
+		resumeURI string
 	}{
-		{name: "whole", parts: []string{ev(1, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true},
-		{name: "keep-alive", parts: []string{ev(1, 1) + ": hi\n\n" + end(2)}, want: ev(1, 1) + ": hi\n\n" + end(2), whole: true},
-		{name: "broken and resumed", parts: []string{ev(1, 2) + "id: 3\nda!", ev(3, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true, resumes: 1, asked: "/v1/streams/r-1?after=2"},
-		{name: "ends without the mark", parts: []string{ev(1, 2), ev(3, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true, resumes: 1, asked: "/v1/streams/r-1?after=2"},
-		{name: "resumed too early", parts: []string{ev(1, 2) + "!", ev(1, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true, resumes: 1},
-		{name: "duplicate", parts: []string{ev(1, 2) + ev(2, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true},
-		{name: "gap filled by resuming", parts: []string{ev(1, 1) + ev(3, 3), ev(2, 3) + end(4)}, want: ev(1, 3) + end(4), whole: true, resumes: 1, asked: "/v1/streams/r-1?after=1"},
-		{name: "end mark after a gap", parts: []string{ev(1, 1) + end(4)}, want: ev(1, 1), resumes: DefaultMaxResumes},
-		{name: "gap for ever", parts: []string{ev(1, 1) + ev(3, 3), ev(3, 3)}, want: ev(1, 1), resumes: DefaultMaxResumes},
-		{name: "event without position", parts: []string{ev(1, 1) + "data: x\n\n"}, want: ev(1, 1)},
-		{name: "stream gone", parts: []string{ev(1, 1) + "!", "404"}, want: ev(1, 1), resumes: 1},
-		{name: "upstream restarted", parts: []string{ev(1, 1) + "!", ev(2, 2) + end(3)}, boots: []string{"b1", "b2"}, want: ev(1, 1), resumes: 1},
-		{name: "resumed with another's stream", parts: []string{ev(1, 1) + "!", ev(2, 2) + end(3)}, ids: []string{"", "r-2", "r-2", "r-2", "r-2"}, want: ev(1, 1), resumes: DefaultMaxResumes},
-		{name: "upstream error", parts: []string{ev(1, 1) + "event: error\ndata: oom\n\n"}, want: ev(1, 1)},
+		{name: "complete", parts: []string{wordEvents(1, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true},
+		{name: "keep-alive", parts: []string{wordEvents(1, 1) + ": hi\n\n" + doneEvent(2)}, want: wordEvents(1, 1) + ": hi\n\n" + doneEvent(2), complete: true},
+		{name: "broken and resumed", parts: []string{wordEvents(1, 2) + "id: 3\nda!", wordEvents(3, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true, resumes: 1, resumeURI: "/v1/streams/r-1?after=2"},
+		{name: "ends without done event", parts: []string{wordEvents(1, 2), wordEvents(3, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true, resumes: 1, resumeURI: "/v1/streams/r-1?after=2"},
+		{name: "resumed with repeated events", parts: []string{wordEvents(1, 2) + "!", wordEvents(1, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true, resumes: 1},
+		{name: "duplicate", parts: []string{wordEvents(1, 2) + wordEvents(2, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true},
+		{name: "gap filled by resuming", parts: []string{wordEvents(1, 1) + wordEvents(3, 3), wordEvents(2, 3) + doneEvent(4)}, want: wordEvents(1, 3) + doneEvent(4), complete: true, resumes: 1, resumeURI: "/v1/streams/r-1?after=1"},
+		{name: "done event after a gap", parts: []string{wordEvents(1, 1) + doneEvent(4)}, want: wordEvents(1, 1), resumes: DefaultMaxResumes},
+		{name: "permanent gap", parts: []string{wordEvents(1, 1) + wordEvents(3, 3), wordEvents(3, 3)}, want: wordEvents(1, 1), resumes: DefaultMaxResumes},
+		{name: "event without id", parts: []string{wordEvents(1, 1) + "data: x\n\n"}, want: wordEvents(1, 1)},
+		{name: "stream no longer exists", parts: []string{wordEvents(1, 1) + "!", "404"}, want: wordEvents(1, 1), resumes: 1},
+		{name: "upstream restarted", parts: []string{wordEvents(1, 1) + "!", wordEvents(2, 2) + doneEvent(3)}, boots: []string{"b1", "b2"}, want: wordEvents(1, 1), resumes: 1},
+		{name: "resumed with the stream of another request", parts: []string{wordEvents(1, 1) + "!", wordEvents(2, 2) + doneEvent(3)}, ids: []string{"", "r-2", "r-2", "r-2", "r-2"}, want: wordEvents(1, 1), resumes: DefaultMaxResumes},
+		{name: "upstream error", parts: []string{wordEvents(1, 1) + "event: error\ndata: oom\n\n"}, want: wordEvents(1, 1)},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &engine{parts: tt.parts, ids: tt.ids, boots: append(tt.boots, "b1")[:max(1, len(tt.boots))], canceled: make(chan struct{})}
@@ -111,38 +111,37 @@
 			defer srv.Close()
 			d := &Dispatcher{}
 			defer d.Close()
-			a := attempt(srv.Listener.Addr().String())
+			a := newAttempt(srv.Listener.Addr().String())
 			a.Stream, a.Engine = true, true
 			w := httptest.NewRecorder()
 			res := d.Do(t.Context(), w, a)
 			got, tail, failed := strings.Cut(w.Body.String(), "event: error\n")
 			assert.Equal(t, tt.want, got)
-			assert.Equal(t, !tt.whole, failed, "error event")
-			assert.Equal(t, tt.whole, res.Outcome == sagewire.Complete, res.Detail)
+			assert.Equal(t, !tt.complete, failed, "error event")
+			assert.Equal(t, tt.complete, res.Outcome == sagewire.Complete, res.Detail)
 			assert.Equal(t, tt.resumes, res.Resumes)
-			if tt.asked != "" {
-				assert.Equal(t, tt.asked, e.asked[1])
+			if tt.resumeURI != "" {
+				assert.Equal(t, tt.resumeURI, e.requestURIs[1])
 			}
 			if failed {
 				ref, err := sagewire.DecodeRefusal([]byte(strings.TrimSpace(strings.TrimPrefix(tail, "data: "))))
 				require.NoError(t, err)
 				assert.Equal(t, sagewire.Unknown, ref.Outcome)
-				d.cancel.Wait()
+				d.cancels.Wait()
 				assert.True(t, e.wasCanceled())
 			}
 		})
 	}
 }
 
-// A chat's first event never comes: the caller may be served by another engine, so nothing may have
-// been written to it.
-func TestStreamWithoutFirstEventLeavesTheCallerUntouched(t *testing.T) {
+// If the first event never arrives, another engine may serve the caller, so nothing may have been written.
+func TestStreamWithoutFirstEventWritesNothing(t *testing.T) {
 	e := &engine{parts: []string{"!", "404"}, boots: []string{"b"}, canceled: make(chan struct{})}
 	srv := httptest.NewServer(e)
 	defer srv.Close()
 	d := &Dispatcher{}
 	defer d.Close()
-	a := attempt(srv.Listener.Addr().String())
+	a := newAttempt(srv.Listener.Addr().String())
 	a.Stream, a.Engine = true, true
 	w := httptest.NewRecorder()
 	res := d.Do(t.Context(), w, a)
@@ -152,25 +151,25 @@
 	assert.Empty(t, w.Body.String())
 }
 
-// brokenWriter fails every write, like a caller that has gone.
+// brokenWriter fails every write, like a caller that has disconnected.
 type brokenWriter struct{ *httptest.ResponseRecorder }
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("gone") }
 
-// A caller leaves in the middle of a long stream; without a word to the engine it would generate on
-// for nobody.
+// If the caller disconnects during a long stream, the engine must be sent a cancel request. Without it, the
+// engine would generate the rest of the response for nobody.
 func TestCancelIsSentWhenTheCallerLeaves(t *testing.T) {
 	t.Run("write fails", func(t *testing.T) {
-		e := &engine{parts: []string{ev(1, 2)}, boots: []string{"b"}, canceled: make(chan struct{})}
+		e := &engine{parts: []string{wordEvents(1, 2)}, boots: []string{"b"}, canceled: make(chan struct{})}
 		srv := httptest.NewServer(e)
 		defer srv.Close()
 		d := &Dispatcher{}
 		defer d.Close()
-		a := attempt(srv.Listener.Addr().String())
+		a := newAttempt(srv.Listener.Addr().String())
 		a.Stream, a.Engine = true, true
 		res := d.Do(t.Context(), brokenWriter{httptest.NewRecorder()}, a)
 		assert.True(t, res.CallerGone)
-		d.cancel.Wait()
+		d.cancels.Wait()
 		assert.True(t, e.wasCanceled())
 	})
 	t.Run("context ends", func(t *testing.T) {
@@ -187,7 +186,7 @@
 		defer srv.Close()
 		d := &Dispatcher{}
 		defer d.Close()
-		a := attempt(srv.Listener.Addr().String())
+		a := newAttempt(srv.Listener.Addr().String())
 		a.Engine, a.Body = true, nil
 		a.Method = http.MethodGet
 		res := d.Do(ctx, httptest.NewRecorder(), a)
@@ -197,26 +196,26 @@
 	})
 }
 
-// An engine generates on for a caller that left: the cancel was written to an idle connection that the
-// engine had closed. It happened to the tests above when the machine was busy.
+// Prevents losing a cancel request: written to an idle connection that the engine has closed, it would never
+// arrive, and the engine would generate for a caller that has left.
 func TestCancelAvoidsIdleConnections(t *testing.T) {
 	canceled := make(chan struct{})
-	s := upstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
+	s := startUpstream(t, func(_ int64, c net.Conn, req *http.Request) bool {
 		if req.Method == http.MethodDelete {
 			if req.Close {
 				close(canceled)
 			}
 			return false
 		}
-		answer(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
+		writeResponse(c, req.Header.Get(sagewire.HeaderRequestID), "ok")
 		return true
 	})
 	d := &Dispatcher{}
 	defer d.Close()
-	a := attempt(s.address())
+	a := newAttempt(s.address())
 	require.Equal(t, sagewire.Complete, d.Do(t.Context(), httptest.NewRecorder(), a).Outcome)
 	d.sendCancel(a)
-	d.cancel.Wait()
+	d.cancels.Wait()
 	select {
 	case <-canceled:
 	default:
@@ -224,8 +223,8 @@
 	}
 }
 
-// A large answer breaks off after half of it was passed on: the caller must see a broken connection
-// and no outcome, since a closed chunked body would look whole.
+// If a large response is truncated after part of it was forwarded, the caller's connection must be aborted
+// without an outcome: a properly terminated chunked body would look complete.
 func TestLargeAnswerBrokenOff(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cut=%v", cut), func(t *testing.T) {
@@ -241,7 +240,7 @@
 			defer d.Close()
 			var res Result
 			entry := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				a := attempt(up.Listener.Addr().String())
+				a := newAttempt(up.Listener.Addr().String())
 				a.AtMostOnce = true
 				res = d.Do(r.Context(), w, a)
 				if res.Abort {
@@ -267,12 +266,12 @@
 }
 
 func BenchmarkStream(b *testing.B) {
-	e := &engine{parts: []string{ev(1, 500) + end(501)}, boots: []string{"b"}, canceled: make(chan struct{})}
+	e := &engine{parts: []string{wordEvents(1, 500) + doneEvent(501)}, boots: []string{"b"}, canceled: make(chan struct{})}
 	srv := httptest.NewServer(e)
 	defer srv.Close()
 	d := &Dispatcher{}
 	defer d.Close()
-	a := attempt(srv.Listener.Addr().String())
+	a := newAttempt(srv.Listener.Addr().String())
 	a.Stream, a.Engine = true, true
 	for b.Loop() {
 		if res := d.Do(b.Context(), httptest.NewRecorder(), a); res.Outcome != sagewire.Complete {
@@ -281,8 +280,8 @@
 	}
 }
 
-// A chat hangs for ever: the network to the engine is cut without a word after the second event, so
-// that no read fails. Virtual time: the silence is taken for a break, and the rest is resumed.
+// Prevents a stream that hangs forever: the network path to the engine is cut after the second event, and no
+// read fails. After the stall timeout, the stream must be resumed.
 func TestSilentStreamIsResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := 0
@@ -298,22 +297,22 @@
 				_, _ = fmt.Fprintf(b, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n%s: %s\r\nConnection: close\r\n\r\n",
 					sagewire.HeaderRequestID, req.Header.Get(sagewire.HeaderRequestID))
 				if first {
-					_, _ = io.WriteString(b, ev(1, 2))
+					_, _ = io.WriteString(b, wordEvents(1, 2))
 					_, _ = io.Copy(io.Discard, b)
 					return
 				}
-				_, _ = io.WriteString(b, ev(3, 3)+end(4))
+				_, _ = io.WriteString(b, wordEvents(3, 3)+doneEvent(4))
 				_ = b.Close()
 			}()
 			return a, nil
 		}}
 		defer d.Close()
-		a := attempt("engine:1")
+		a := newAttempt("engine:1")
 		a.Stream, a.Engine = true, true
 		w := httptest.NewRecorder()
 		res := d.Do(t.Context(), w, a)
 		assert.Equal(t, sagewire.Complete, res.Outcome, res.Detail)
-		assert.Equal(t, ev(1, 3)+end(4), w.Body.String())
+		assert.Equal(t, wordEvents(1, 3)+doneEvent(4), w.Body.String())
 		assert.Equal(t, 1, res.Resumes)
 	})
 }
