--- a/internal/sageplacement/doc.go
+++ b/internal/sageplacement/doc.go
@@ -1,17 +1,18 @@
-// Package sageplacement is the service "placement": it chooses the upstream of each attempt by
-// [sageplace] over the configuration in force and the load that this node knows of.
+// Package sageplacement is the service "placement". It selects the upstream for each attempt with package
+// [sageplace], based on the configuration in force and the load known to this node.
 //
-// Candidates are the upstreams of the account's set, or else the route's, that serve a model version
-// of the route, stand in a data centre in service and are not leaving. They change with the
-// configuration only; each pair of upstream set and model set is compiled once for each state of it.
+// The candidates are the upstreams in the account's upstream set, or the route's if the account has none, that
+// serve a model version of the route, are in a data centre in service and are not leaving. They depend only on
+// the configuration, so the candidates of each upstream set and model set are compiled once per configuration
+// state.
 //
-// A request that finds no upstream is refused at once, as not run, with an instant at which to come
-// back. The refusal tells two cases apart: no_upstream, where only a change of configuration or a
-// recovered upstream helps, and overloaded, where waiting does.
+// A request for which no upstream can be selected is refused as not run, with a time for the retry. The refusal
+// distinguishes two reasons: no_upstream, which only a configuration change or the recovery of an upstream can
+// resolve, and overloaded, where waiting helps.
 //
 // # Usage
 //
-//	p := &sageplacement.Service{Config: cfg, Load: load, Multiple: settings.Placement.LoadBound,
-//		Sealer: sageplace.TokenSigner{Keys: [][]byte{key}}, TokenValid: time.Hour, Metrics: set}
+//	p := &sageplacement.Service{Config: cfg, Load: load, LoadBound: settings.Placement.LoadBound,
+//		TokenSigner: sageplace.TokenSigner{Keys: [][]byte{key}}, TokenTTL: time.Hour, Metrics: set}
 //	pick, ref := p.Pick(ctx, r, tried)
 package sageplacement
--- a/internal/sageplacement/group.go
+++ b/internal/sageplacement/group.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// maxGroups bounds the compiled groups. Each takes some 40 KB at 256 upstreams, so all of them
-	// stay within a few MB.
+	// maxGroups limits the compiled groups to a few MB of memory: each takes about 40 KB with 256 upstreams.
 	maxGroups = 128
-	// refreshEvery is the greatest age of the loads that a decision reads, besides own requests.
-	refreshEvery = 20 * time.Millisecond
+	// maxLoadAge limits the age of the load data used for a decision. This node's own requests are counted
+	// without delay.
+	maxLoadAge = 20 * time.Millisecond
 )
 
-// groupKey names the candidates that a route and an account lead to.
+// groupKey identifies the set of candidates for a route and an account.
 type groupKey struct {
 	kind     sageconfig.RouteKind
 	set      string
 	modelSet string
 }
 
-// group is the compiled form of a groupKey under one state of the configuration.
+// group holds the candidates for a groupKey under one configuration state.
 type group struct {
-	table     *sageplace.Table
-	upstreams []*sageconfig.Upstream
-	loads     *sageplace.Loads
-	readAt    time.Time
-	used      uint64
-	// endedBefore is the number of requests that had ended when the loads were read.
-	endedBefore uint64
+	table       *sageplace.Table
+	upstreams   []*sageconfig.Upstream
+	loads       *sageplace.Loads
+	loadsReadAt time.Time
+	lastUse     uint64
+	// releasesAtRead is Service.releases at the time the loads were read.
+	releasesAtRead uint64
 }
 
-// compile returns the candidates of a key.
-func compile(s *sageconfig.State, key groupKey) *group {
+// compileGroup returns the candidates for a key.
+func compileGroup(s *sageconfig.State, key groupKey) *group {
 	g := new(group)
 	var ups []sageplace.Upstream
 	set, ok := s.UpstreamSet(key.set)
@@ -48,7 +48,7 @@
 	drained := drainedUpstreams(s)
 	for _, name := range set.Upstreams {
 		u, ok := s.Upstream(name)
-		if !ok || drained[name] || !candidate(s, u, key) {
+		if !ok || drained[name] || !isCandidate(s, u, key) {
 			continue
 		}
 		ups = append(ups, sageplace.Upstream{Name: name, Weight: u.MaxInFlight})
@@ -58,11 +58,11 @@
 	return g
 }
 
-// candidate reports whether an upstream may get new work of a group.
+// isCandidate reports whether an upstream may get new requests of a group.
 //
-// A data centre that is missing from the configuration counts as out of service: an operator who
-// deletes one must not find that its upstreams are served again.
-func candidate(s *sageconfig.State, u *sageconfig.Upstream, key groupKey) bool {
+// A data centre that is missing from the configuration counts as out of service. Otherwise, deleting a data
+// centre that was out of service would put its upstreams back into use.
+func isCandidate(s *sageconfig.State, u *sageconfig.Upstream, key groupKey) bool {
 	dc, ok := s.DataCentre(u.DataCentre)
 	if u.Leaving || !ok || !dc.InService {
 		return false
@@ -80,7 +80,7 @@
 	return ok && slices.ContainsFunc(u.Models, func(m string) bool { return slices.Contains(models.Versions, m) })
 }
 
-// drainedUpstreams returns the engines that an order drains: they would refuse new work.
+// drainedUpstreams returns the engines that an order drains. They would refuse new requests.
 func drainedUpstreams(s *sageconfig.State) map[string]bool {
 	drained := make(map[string]bool)
 	for t, e := range s.All() {
@@ -91,31 +91,31 @@
 	return drained
 }
 
-// refresh reads the loads again if they are old.
+// refresh reads the loads again if they are older than maxLoadAge.
 func (g *group) refresh(now time.Time, load Load, ended uint64) {
-	if age := now.Sub(g.readAt); age < 0 || age >= refreshEvery {
-		g.read(now, load, ended)
+	if age := now.Sub(g.loadsReadAt); age < 0 || age >= maxLoadAge {
+		g.readLoads(now, load, ended)
 	}
 }
 
-func (g *group) read(now time.Time, load Load, ended uint64) {
-	g.readAt, g.endedBefore = now, ended
+func (g *group) readLoads(now time.Time, load Load, ended uint64) {
+	g.loadsReadAt, g.releasesAtRead = now, ended
 	g.loads.Refresh(func(i int) sageplace.Load {
 		v := load.View(g.table.Upstreams[i].Name)
 		return sageplace.Load{
-			InFlight: v.InFlight, Cap: v.Cap, Free: v.Free, Known: v.Known, CacheGeneration: generation(v),
+			InFlight: v.InFlight, Cap: v.Cap, Free: v.Free, Known: v.Known, CacheGeneration: cacheGeneration(v),
 		}
 	})
 }
 
-// generation names one life of an upstream's cache: engines that count from zero after each start
-// would otherwise seem to hold what they have lost.
-func generation(v sageload.View) uint64 {
+// cacheGeneration combines an upstream's boot id with its cache generation. Engines count generations from zero
+// after each start, so without the boot id a restarted engine would seem to hold what it has lost.
+func cacheGeneration(v sageload.View) uint64 {
 	return xxhash.Sum64String(v.BootID) + v.CacheGeneration
 }
 
-// find returns the places in g of the named upstreams.
-func (g *group) find(names []string) []int {
+// indexes returns the indexes in g of the named upstreams.
+func (g *group) indexes(names []string) []int {
 	var at []int
 	for _, n := range names {
 		if i := g.table.Find(sageplace.Key(n)); i >= 0 {
--- a/internal/sageplacement/load.go
+++ b/internal/sageplacement/load.go
@@ -9,31 +9,31 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// Load is what placement needs of the service "load".
+// Load is the part of the service "load" that placement uses.
 type Load interface {
-	// View returns what this node knows of an upstream's load.
+	// View returns what this node knows about an upstream's load.
 	View(upstream string) sageload.View
-	// Acquire takes one unit of this node's in-flight allotment.
+	// Acquire takes one unit of this node's in-flight allotment and reports whether one was free.
 	Acquire(upstream string, now time.Time) bool
-	// Release gives it back.
+	// Release returns a unit taken by Acquire.
 	Release(upstream string, now time.Time, completed bool)
 }
 
-// Circuits keeps requests from upstreams that fail.
+// Circuits holds the circuit breakers of upstreams.
 type Circuits interface {
-	// Lets reports whether the upstream may get a request with that deadline now.
+	// AllowSend reports whether a request with the given deadline may be sent to the upstream now.
 	AllowSend(now time.Time, upstream string, deadline time.Time) bool
-	// Ended takes the end of a request that was let through.
+	// RecordResult records the result of a request that AllowSend admitted.
 	RecordResult(now time.Time, upstream string, res *sagedispatch.Result)
 }
 
-// LocalLoad is a [Load] that knows only this node's own requests. It serves a node that is alone; with
-// several, each would fill every upstream to its whole capacity.
+// LocalLoad is a [Load] that counts only this node's own requests. It suits a single node: several nodes would
+// each fill every upstream to its full capacity.
 type LocalLoad struct {
 	Config interface{ State() *sageconfig.State }
 
-	mu  sync.Mutex
-	own map[string]int
+	mu       sync.Mutex
+	inFlight map[string]int
 }
 
 // View implements [Load].
@@ -44,9 +44,9 @@
 }
 
 func (l *LocalLoad) view(name string) sageload.View {
-	v := sageload.View{Upstream: name, InFlight: float64(l.own[name]), Known: true}
+	v := sageload.View{Upstream: name, InFlight: float64(l.inFlight[name]), Known: true}
 	if u, ok := l.Config.State().Upstream(name); ok {
-		v.Cap, v.Free = u.MaxInFlight, u.MaxInFlight-l.own[name]
+		v.Cap, v.Free = u.MaxInFlight, u.MaxInFlight-l.inFlight[name]
 	}
 	return v
 }
@@ -58,10 +58,10 @@
 	if l.view(name).Free < 1 {
 		return false
 	}
-	if l.own == nil {
-		l.own = make(map[string]int)
+	if l.inFlight == nil {
+		l.inFlight = make(map[string]int)
 	}
-	l.own[name]++
+	l.inFlight[name]++
 	return true
 }
 
@@ -69,7 +69,7 @@
 func (l *LocalLoad) Release(name string, _ time.Time, _ bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.own[name]--; l.own[name] <= 0 {
-		delete(l.own, name)
+	if l.inFlight[name]--; l.inFlight[name] <= 0 {
+		delete(l.inFlight, name)
 	}
 }
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -16,135 +16,136 @@
 )
 
 const (
-	// evidenceSize is the number of chats whose place a node remembers for callers that bring no
-	// token; 1 MB.
-	evidenceSize = 1 << 14
-	// hotContexts is the number of contexts whose width a node keeps.
-	hotContexts = 1 << 10
-	// grantWait bounds the wait for a unit of an upstream that has room: a few asks and answers.
-	grantWait = 2 * time.Second
-	// preferWait bounds the wait for a unit of the upstream where the request's prefix is cached or
-	// will be, while others have units. It costs less than reading a long prompt anew.
-	preferWait = 60 * time.Millisecond
-	// grantPoll lies between two looks for a unit.
-	grantPoll = 10 * time.Millisecond
-	// retryAfter is the least time until a refused request may come back.
-	retryAfter = 500 * time.Millisecond
+	// maxCachedLocations limits the chats whose location is remembered for callers that send no placement token.
+	// They take 1 MB.
+	maxCachedLocations = 1 << 14
+	// maxContextWidths limits the contexts whose width is remembered.
+	maxContextWidths = 1 << 10
+	// maxGrantWait limits the wait for a unit of an upstream with spare capacity. It covers several grant
+	// requests.
+	maxGrantWait = 2 * time.Second
+	// maxPreferredWait limits the wait for a unit of the preferred upstream, where the prompt prefix is or will be
+	// cached, while others have units. It is shorter than prefilling a long prompt elsewhere.
+	maxPreferredWait = 60 * time.Millisecond
+	// grantPollInterval is the interval between attempts to acquire a unit.
+	grantPollInterval = 10 * time.Millisecond
+	// minRetryAfter is the shortest time after which a refused request may be retried.
+	minRetryAfter = 500 * time.Millisecond
 )
 
-// Service implements [sageentry.Placement]. Its exported fields are set before the first Pick.
+// Service implements [sageentry.Placement]. Its exported fields must be set before the first call of Pick.
 type Service struct {
 	Config sageentry.Config
 	Load   Load
-	// Circuits may be nil: then every upstream gets requests however often it fails.
+	// Circuits may be nil: failing upstreams then continue to get requests.
 	Circuits Circuits
-	// Multiple is the multiple of the mean load that no upstream is to exceed.
+	// LoadBound is the highest permitted load of an upstream, as a multiple of the mean.
 	LoadBound float64
-	// Sealer makes and opens the placement tokens, which hold for TokenValid.
+	// TokenSigner signs and verifies placement tokens, which are valid for TokenTTL.
 	TokenSigner sageplace.TokenSigner
 	TokenTTL    time.Duration
 	// Metrics may be nil.
 	Metrics *metrics.Set
 
-	mu       sync.Mutex
-	state    *sageconfig.State
-	groups   map[groupKey]*group
-	uses     uint64
-	ended    uint64 // requests given back so far
-	placer   *sageplace.Placer[*sageplace.WidthByLoad]
-	evidence *sageplace.PrefixLocations
+	mu        sync.Mutex
+	state     *sageconfig.State
+	groups    map[groupKey]*group
+	useSeq    uint64
+	releases  uint64 // units released so far
+	placer    *sageplace.Placer[*sageplace.WidthByLoad]
+	locations *sageplace.PrefixLocations
 }
 
-// Pick implements [sageentry.Placement]. It waits for a unit while an upstream has room that this
-// node only lacks the allotment for; a request for which no upstream has room is refused at once.
+// Pick implements [sageentry.Placement]. It waits for a unit while an upstream has spare capacity for which this
+// node only lacks the allotment. If no upstream has capacity, the request is refused immediately.
 func (s *Service) Pick(ctx context.Context, r *sageentry.Request, tried []string) (*sageentry.Pick, *sagewire.Refusal) {
 	start := time.Now()
-	until, preferUntil := start.Add(grantWait), start.Add(preferWait)
-	if !r.Deadline.IsZero() && r.Deadline.Before(start.Add(10*preferWait)) {
+	until, preferUntil := start.Add(maxGrantWait), start.Add(maxPreferredWait)
+	if !r.Deadline.IsZero() && r.Deadline.Before(start.Add(10*maxPreferredWait)) {
 		preferUntil = start
 	}
 	for {
-		p, ref, wait := s.try(r, tried, preferUntil)
+		p, ref, wait := s.tryPick(r, tried, preferUntil)
 		if !wait || !time.Now().Before(until) {
 			return p, ref
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ref
-		case <-time.After(grantPoll):
+		case <-time.After(grantPollInterval):
 		}
 	}
 }
 
-// try looks for an upstream once. It reports wait with a refusal that may be over with the next grant.
-func (s *Service) try(r *sageentry.Request, tried []string, preferUntil time.Time) (p *sageentry.Pick, ref *sagewire.Refusal, wait bool) {
+// tryPick tries once to select an upstream. If it returns wait with a refusal, the next grant may resolve it.
+func (s *Service) tryPick(r *sageentry.Request, tried []string, preferUntil time.Time) (p *sageentry.Pick, ref *sagewire.Refusal, wait bool) {
 	now := time.Now()
 	state := s.Config.State()
-	key, ref := groupOf(state, r, now)
+	key, ref := groupKeyOf(state, r, now)
 	if ref != nil {
 		return nil, ref, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.group(state, key)
-	g.refresh(now, s.Load, s.ended)
+	g.refresh(now, s.Load, s.releases)
 	q := s.query(now, r, key)
-	q.Tried = g.find(tried)
-	if c := s.lacking(now, g, q); c.Index >= 0 {
+	q.Tried = g.indexes(tried)
+	if c := s.preferredWithoutUnit(now, g, q); c.Index >= 0 {
 		name := g.table.Upstreams[c.Index].Name
 		if s.Load.Acquire(name, now) {
-			if s.lets(now, name, r.Deadline) {
-				s.count(c.Reason)
+			if s.checkCircuit(now, name, r.Deadline) {
+				s.countPlacement(c.Reason)
 				return s.pick(now, r, g, c.Index), nil, false
 			}
 		} else if now.Before(preferUntil) {
-			return nil, refuse(now, r, g, false), true
+			return nil, newRefusal(now, r, g, false), true
 		}
 	}
-	passed := false
+	skipped := false
 	for {
 		c := s.placer.Choose(now, g.table, g.loads, q)
-		if c.Index < 0 && g.endedBefore != s.ended {
-			// Requests of other groups have ended on the same upstreams since the loads were read:
-			// refusing by them would call an upstream full that has room.
-			g.read(now, s.Load, s.ended)
+		if c.Index < 0 && g.releasesAtRead != s.releases {
+			// Requests of other groups have ended on the same upstreams since the loads were read, so the loads
+			// may show an upstream as full that now has capacity.
+			g.readLoads(now, s.Load, s.releases)
 			continue
 		}
 		if c.Index < 0 {
-			return s.wanted(now, r, g, q, c.Reason == sageplace.ReasonNoCandidate && !passed)
+			return s.pickIgnoringUnits(now, r, g, q, c.Reason == sageplace.ReasonNoCandidate && !skipped)
 		}
-		if s.take(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
-			s.count(c.Reason)
+		if s.acquire(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
+			s.countPlacement(c.Reason)
 			return s.pick(now, r, g, c.Index), nil, false
 		}
-		// The allotment went since the loads were read, or the circuit is open. The upstream is
-		// passed over, so each round has a candidate less and the loop ends.
+		// The allotment was used up since the loads were read, or the circuit is open. The upstream is excluded,
+		// so each iteration has one candidate less and the loop terminates.
 		q.Tried = append(q.Tried, c.Index)
-		passed = true
+		skipped = true
 	}
 }
 
-// wanted looks for the upstream that would take the request if this node had a unit of it, and asks
-// for one by trying to take it.
+// pickIgnoringUnits selects the upstream that would take the request if this node had a unit of it. Trying to
+// acquire the unit also requests a grant.
 //
-// It guards against refusing what the fleet has room for: units lie with the routers that last used
-// them, so a router whose callers have just turned to it holds none, while the upstreams idle.
-func (s *Service) wanted(now time.Time, r *sageentry.Request, g *group, q *sageplace.Query, allTried bool) (*sageentry.Pick, *sagewire.Refusal, bool) {
+// Prevents refusals while the fleet has spare capacity: units are held by the routers that last used them, so a
+// router whose callers have just switched to it has none while the upstreams are idle.
+func (s *Service) pickIgnoringUnits(now time.Time, r *sageentry.Request, g *group, q *sageplace.Query, allTried bool) (*sageentry.Pick, *sagewire.Refusal, bool) {
 	c := s.placer.Choose(now, g.table, g.loads.WithFreeUnits(), q)
-	if c.Index >= 0 && s.take(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
-		s.count(c.Reason)
+	if c.Index >= 0 && s.acquire(now, g.table.Upstreams[c.Index].Name, r.Deadline) {
+		s.countPlacement(c.Reason)
 		return s.pick(now, r, g, c.Index), nil, false
 	}
-	s.count(sageplace.ReasonAllAtBound)
-	return nil, refuse(now, r, g, allTried), c.Index >= 0
+	s.countPlacement(sageplace.ReasonAllAtBound)
+	return nil, newRefusal(now, r, g, allTried), c.Index >= 0
 }
 
-// lacking returns the upstream that the request's prefix leads to, if this node has no unit of it
-// while it has room; else its index is -1.
+// preferredWithoutUnit returns the upstream preferred for the request's prefix, if it has spare capacity but this
+// node has no unit of it. Otherwise the index of the choice is -1.
 //
-// It guards against a chat that leaves its warm engine for want of a unit, unheard: a router asks for
-// units of the upstreams that it uses, so one that it never reaches would never be asked for.
-func (s *Service) lacking(now time.Time, g *group, q *sageplace.Query) sageplace.Choice {
+// Prevents a chat from permanently losing the engine that has its prefix cached: a router requests units only of
+// upstreams that it tries to use, so it would never request one of the preferred engine.
+func (s *Service) preferredWithoutUnit(now time.Time, g *group, q *sageplace.Query) sageplace.Choice {
 	none := sageplace.Choice{Index: -1}
 	if !g.loads.LacksUnits() {
 		return none
@@ -156,14 +157,14 @@
 	return c
 }
 
-// take takes a unit of the upstream's allotment for a request, if its circuit lets it.
-func (s *Service) take(now time.Time, name string, deadline time.Time) bool {
-	return s.Load.Acquire(name, now) && s.lets(now, name, deadline)
+// acquire takes a unit of the upstream's allotment for a request if the upstream's circuit allows it.
+func (s *Service) acquire(now time.Time, name string, deadline time.Time) bool {
+	return s.Load.Acquire(name, now) && s.checkCircuit(now, name, deadline)
 }
 
-// lets reports whether the circuit lets a request to the upstream that has a unit; else the unit goes
-// back.
-func (s *Service) lets(now time.Time, name string, deadline time.Time) bool {
+// checkCircuit reports whether the upstream's circuit allows a request for which a unit was acquired. If not, it
+// releases the unit.
+func (s *Service) checkCircuit(now time.Time, name string, deadline time.Time) bool {
 	if s.Circuits == nil || s.Circuits.AllowSend(now, name, deadline) {
 		return true
 	}
@@ -171,8 +172,8 @@
 	return false
 }
 
-// groupOf returns the candidates that the request may use.
-func groupOf(state *sageconfig.State, r *sageentry.Request, now time.Time) (groupKey, *sagewire.Refusal) {
+// groupKeyOf returns the key of the candidates for a request.
+func groupKeyOf(state *sageconfig.State, r *sageentry.Request, now time.Time) (groupKey, *sagewire.Refusal) {
 	if state == nil {
 		return groupKey{}, sagewire.Refuse(sagewire.ReasonNoConfig, "no configuration yet", now.Add(time.Second))
 	}
@@ -187,45 +188,45 @@
 	return key, nil
 }
 
-// group returns the compiled group of a key. A new state of the configuration replaces all groups at
-// the first request after it, so nothing is placed by an earlier state.
+// group returns the compiled group for a key. The first request under a new configuration state discards all
+// groups, so that no request is placed by an earlier state.
 func (s *Service) group(state *sageconfig.State, key groupKey) *group {
 	if s.placer == nil {
 		bound, fresh := sageplace.LoadBounds(s.LoadBound)
-		s.placer = &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(hotContexts)}
-		s.evidence = sageplace.NewPrefixLocations(evidenceSize)
+		s.placer = &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(maxContextWidths)}
+		s.locations = sageplace.NewPrefixLocations(maxCachedLocations)
 	}
 	if s.state != state {
 		s.state, s.groups = state, make(map[groupKey]*group)
 	}
 	g := s.groups[key]
 	if g == nil {
-		s.makeRoom()
-		g = compile(state, key)
+		s.evictGroup()
+		g = compileGroup(state, key)
 		s.groups[key] = g
 	}
-	s.uses++
-	g.used = s.uses
+	s.useSeq++
+	g.lastUse = s.useSeq
 	return g
 }
 
-// makeRoom drops the group that was used longest ago if there are too many.
-func (s *Service) makeRoom() {
+// evictGroup drops the least recently used group if there are maxGroups.
+func (s *Service) evictGroup() {
 	if len(s.groups) < maxGroups {
 		return
 	}
 	var oldest groupKey
-	least := s.uses + 1
+	oldestUse := s.useSeq + 1
 	for k, g := range s.groups {
-		if g.used < least {
-			oldest, least = k, g.used
+		if g.lastUse < oldestUse {
+			oldest, oldestUse = k, g.lastUse
 		}
 	}
 	delete(s.groups, oldest)
 }
 
-// query says what the request is to placement. Contexts are told apart by upstream set: the width of
-// one belongs to the engines it is spread over.
+// query returns the placement query for a request. The context key includes the upstream set, because the width
+// of a context applies to the engines over which it is spread.
 func (s *Service) query(now time.Time, r *sageentry.Request, key groupKey) *sageplace.Query {
 	q := &sageplace.Query{Request: sageplace.Key(r.ID), Headroom: sageplace.DefaultHeadroom[r.Priority]}
 	if r.Context != "" {
@@ -235,10 +236,10 @@
 		return q
 	}
 	q.Chat = chatKey(r)
-	if place, ok := s.TokenSigner.Verify(r.PlacementToken, r.Account, r.ChatID, now); ok {
-		q.Location = place
-	} else if place, ok := s.evidence.Lookup(q.Chat); ok {
-		q.Location = place
+	if location, ok := s.TokenSigner.Verify(r.PlacementToken, r.Account, r.ChatID, now); ok {
+		q.Location = location
+	} else if location, ok := s.locations.Lookup(q.Chat); ok {
+		q.Location = location
 	}
 	return q
 }
@@ -249,35 +250,35 @@
 	g.loads.AddRequests(i, 1)
 	u, name := g.upstreams[i], g.table.Upstreams[i].Name
 	p := &sageentry.Pick{Upstream: name, Address: u.Address, Engine: u.Kind == sageconfig.Engine}
-	place := sageplace.Location{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
+	location := sageplace.Location{Upstream: sageplace.Key(name), Generation: g.loads.At(i).CacheGeneration}
 	if p.Engine {
-		p.PlacementToken = s.TokenSigner.Sign(r.Account, r.ChatID, place, now.Add(s.TokenTTL))
+		p.PlacementToken = s.TokenSigner.Sign(r.Account, r.ChatID, location, now.Add(s.TokenTTL))
 	}
 	var once sync.Once
-	p.Release = func(res *sagedispatch.Result) { once.Do(func() { s.done(r, g, i, place, res) }) }
+	p.Release = func(res *sagedispatch.Result) { once.Do(func() { s.release(r, g, i, location, res) }) }
 	return p
 }
 
-func (s *Service) done(r *sageentry.Request, g *group, i int, place sageplace.Location, res *sagedispatch.Result) {
+func (s *Service) release(r *sageentry.Request, g *group, i int, location sageplace.Location, res *sagedispatch.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, name := time.Now(), g.table.Upstreams[i].Name
 	completed := res != nil && res.Outcome == sagewire.Complete
 	s.Load.Release(name, now, completed)
 	g.loads.AddRequests(i, -1)
-	s.ended++
+	s.releases++
 	if s.Circuits != nil {
 		s.Circuits.RecordResult(now, name, res)
 	}
 	if completed && r.Kind == sageconfig.RouteChat && r.ChatID != "" {
-		s.evidence.RecordStored(chatKey(r), place.Upstream, place.Generation)
+		s.locations.RecordStored(chatKey(r), location.Upstream, location.Generation)
 	}
 }
 
-// refuse says why nothing was chosen. It is true that the request was not run here: nothing has left
-// this node for the attempt. Callers come back at different instants, the less urgent ones later.
-func refuse(now time.Time, r *sageentry.Request, g *group, allTried bool) *sagewire.Refusal {
-	wait := retryAfter * time.Duration(1+2*int(r.Priority))
+// newRefusal returns the reason why no upstream was selected. The request counts as not run, since nothing was
+// sent for the attempt. Retry times are spread by request id, and are later for less urgent requests.
+func newRefusal(now time.Time, r *sageentry.Request, g *group, allTried bool) *sagewire.Refusal {
+	wait := minRetryAfter * time.Duration(1+2*int(r.Priority))
 	wait += time.Duration(sageplace.Key(r.ID) % uint64(wait))
 	at := now.Add(wait)
 	switch {
@@ -289,13 +290,13 @@
 	return sagewire.Refuse(sagewire.ReasonOverloaded, "every upstream of the set is at its bound", at)
 }
 
-var whyNames = [...]string{
+var ruleNames = [...]string{
 	sageplace.ReasonNoCandidate: "empty", sageplace.ReasonAllAtBound: "over", sageplace.ReasonCachedPrefix: "kept",
 	sageplace.ReasonHashOrder: "first", sageplace.ReasonSpilled: "spilled", sageplace.ReasonLoadUnknown: "silent",
 }
 
-func (s *Service) count(why sageplace.Reason) {
+func (s *Service) countPlacement(reason sageplace.Reason) {
 	if s.Metrics != nil {
-		s.Metrics.GetOrCreateCounter(fmt.Sprintf("sagestand_placements_total{rule=%q}", whyNames[why])).Inc()
+		s.Metrics.GetOrCreateCounter(fmt.Sprintf("sagestand_placements_total{rule=%q}", ruleNames[reason])).Inc()
 	}
 }
