--- a/internal/sageretryd/sageretryd.go
+++ b/internal/sageretryd/sageretryd.go
@@ -1,13 +1,13 @@
-// Package sageretryd is the service "retry" of a node: the retry budgets and circuits of package
-// sageretry behind one lock.
+// Package sageretryd is the service "retry" of a node. It makes the retry budgets and circuit breakers of package
+// sageretry safe for concurrent use.
 //
 // # Usage
 //
-//	s := &sageretryd.Service{Policy: sageretry.Policy{Source: source}}
-//	s.First(now)
-//	if s.Lets(now, "engine1", deadline) {
+//	s := &sageretryd.Service{Policy: sageretry.Policy{Rand: rng}}
+//	s.RecordFirstAttempt(now)
+//	if s.AllowSend(now, "engine1", deadline) {
 //		... // one attempt
-//		s.Ended(now, "engine1", &result)
+//		s.RecordResult(now, "engine1", &result)
 //	}
 package sageretryd
 
@@ -23,15 +23,15 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Service implements [sageentry.Retries] and keeps the circuits for placement. Policy is set before
-// first use.
+// Service implements [sageentry.Retries] and holds the circuit breakers that placement consults. Policy must be
+// set before first use.
 type Service struct {
 	Policy sageretry.Policy
 
 	mu sync.Mutex
 }
 
-// First implements [sageentry.Retries].
+// RecordFirstAttempt implements [sageentry.Retries].
 func (s *Service) RecordFirstAttempt(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	return d.At, d.OK
 }
 
-// Lets reports whether the circuit of an upstream lets a request through, and counts it if so.
+// AllowSend reports whether the circuit of an upstream allows a request, and records the attempt if so.
 func (s *Service) AllowSend(now time.Time, upstream string, deadline time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	return true
 }
 
-// Ended takes the end of a request that was let through. What the caller did, and an orderly refusal
-// of the upstream, say nothing against the upstream.
+// RecordResult records the result of a request that AllowSend admitted. A caller that disconnected, or a refusal
+// by the upstream, doesn't count as a failure of the upstream.
 func (s *Service) RecordResult(now time.Time, upstream string, res *sagedispatch.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Export adds the number of circuits that are not closed to a set of metrics.
+// Export registers a gauge for the number of circuits that are not closed.
 func (s *Service) Export(set *metrics.Set) {
 	set.NewGauge("sagestand_circuits_open", func() float64 {
 		s.mu.Lock()
--- a/internal/sageretryd/sageretryd_test.go
+++ b/internal/sageretryd/sageretryd_test.go
@@ -12,27 +12,27 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Story: callers that hang up, and an engine that refuses in order because it is full, are taken for
-// failures; the circuit opens and a healthy engine gets nothing.
+// Prevents opening the circuit of a healthy engine: callers that disconnect, and refusals because the engine is
+// full, must not count as failures.
 func TestOnlyFailuresOpenTheCircuit(t *testing.T) {
 	now, later := time.Unix(0, 0), time.Unix(60, 0)
 	for _, c := range []struct {
-		name string
-		res  *sagedispatch.Result
-		lets bool
+		name   string
+		res    *sagedispatch.Result
+		allows bool
 	}{
 		{"caller gone", &sagedispatch.Result{Outcome: sagewire.Unknown, CallerGone: true}, true},
-		{"refused in order", &sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamRefused}, true},
+		{"refused by upstream", &sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamRefused}, true},
 		{"complete", &sagedispatch.Result{Outcome: sagewire.Complete}, true},
 		{"never sent", nil, true},
-		{"answer lost", &sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}, false},
-		{"not reached", &sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamFailed}, false},
+		{"response lost", &sagedispatch.Result{Outcome: sagewire.Unknown, Reason: sagewire.ReasonAnswerLost}, false},
+		{"upstream unreachable", &sagedispatch.Result{Outcome: sagewire.NotRun, Reason: sagewire.ReasonUpstreamFailed}, false},
 	} {
 		s := &Service{Policy: sageretry.Policy{Rand: rand.New(rand.NewPCG(1, 1))}}
 		for range 10 {
 			s.AllowSend(now, "engine1", later)
 			s.RecordResult(now, "engine1", c.res)
 		}
-		require.Equal(t, c.lets, s.AllowSend(now, "engine1", later), c.name)
+		require.Equal(t, c.allows, s.AllowSend(now, "engine1", later), c.name)
 	}
 }
