--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -18,15 +18,16 @@
 
 // Limits of the service.
 const (
-	// callTimeout bounds one order; it is far below the longest delay that successors wait out.
-	callTimeout = 2 * time.Second
-	repeatAfter = time.Minute
-	atOnce      = 16
+	// callTimeout limits the sending of one order. It is far below the Elector's MaxDeliveryDelay, which a new
+	// holder waits out.
+	callTimeout    = 2 * time.Second
+	resendInterval = time.Minute
+	maxConcurrent  = 16
 )
 
-// Errors of an order.
+// Errors returned by send.
 var (
-	errFenced  = errors.New("engine knows a higher fencing number")
+	errFenced  = errors.New("engine has seen a higher fencing number")
 	errRefused = errors.New("engine refused the order")
 )
 
@@ -36,49 +37,49 @@
 	State() *sageconfig.State
 }
 
-// Service applies orders. Its exported fields are set before Run.
+// Service sends orders to engines. Its exported fields must be set before Run.
 type Service struct {
 	Config Config
 	Lease  *sagelease.Elector
-	// Candidate reports whether this node may take the lease; a few of all nodes suffice, and each
-	// candidate costs the store a read a step. Nil means yes.
+	// IsCandidate reports whether this node may acquire the lease. Nil means that it may. A few candidates in the
+	// fleet suffice, and each of them reads the lease from the store in every renewal interval.
 	IsCandidate func() bool
 	HTTP        *http.Client
 	Log         sagelog.Logger
 
-	applied map[string]applied
+	applied map[string]appliedOrder
 }
 
-// applied is the newest order that an engine confirmed to this holder.
-type applied struct {
+// appliedOrder identifies the order last sent to an engine, and the time at which it was sent.
+type appliedOrder struct {
 	number  uint64
 	fencing uint64
 	at      time.Time
 }
 
-// wanted is the order in force for one engine.
-type wanted struct {
-	upstream string
-	number   uint64
-	address  string
-	checks   bool
-	order    *sageconfig.Order
+// desiredOrder is the order in force for an engine.
+type desiredOrder struct {
+	upstream      string
+	number        uint64
+	address       string
+	checksFencing bool
+	order         *sageconfig.Order
 }
 
-// body is an order as engines take it.
-type body struct {
+// orderBody is the request body of an order.
+type orderBody struct {
 	Fencing uint64   `json:"fencing"`
 	Models  []string `json:"models,omitempty"`
 	Role    string   `json:"role,omitempty"`
 	Drain   bool     `json:"drain,omitempty"`
 }
 
-// Run keeps the lease and applies orders until ctx ends.
+// Run acquires or renews the lease and sends orders until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if s.needed() {
+		if s.hasWork() {
 			if err := s.Lease.AcquireOrRenew(ctx); err != nil && ctx.Err() == nil {
-				s.Log.Warn("Can't step the lease.", "err", err)
+				s.Log.Warn("Can't acquire or renew the lease.", "err", err)
 			}
 			s.Apply(ctx, time.Now())
 		}
@@ -90,43 +91,44 @@
 	return nil
 }
 
-// needed reports whether there are orders for this node to care for.
-func (s *Service) needed() bool {
+// hasWork reports whether there are orders and this node is a candidate for sending them.
+func (s *Service) hasWork() bool {
 	state := s.Config.State()
-	return state != nil && len(orders(state)) > 0 && (s.IsCandidate == nil || s.IsCandidate())
+	return state != nil && len(newestOrders(state)) > 0 && (s.IsCandidate == nil || s.IsCandidate())
 }
 
-// Apply sends every order that its engine hasn't confirmed lately, if this node holds the lease.
+// Apply sends each order that is new, or was last sent more than resendInterval ago or under another fencing number,
+// if this node holds the lease.
 func (s *Service) Apply(ctx context.Context, now time.Time) {
 	state := s.Config.State()
 	if state == nil {
 		return
 	}
 	if s.applied == nil {
-		s.applied = make(map[string]applied)
+		s.applied = make(map[string]appliedOrder)
 	}
 	var g errgroup.Group
-	g.SetLimit(atOnce)
-	for _, w := range orders(state) {
-		p, err := s.Lease.Permit(now, w.checks)
+	g.SetLimit(maxConcurrent)
+	for _, w := range newestOrders(state) {
+		p, err := s.Lease.Permit(now, w.checksFencing)
 		if err != nil {
 			continue
 		}
-		if a := s.applied[w.upstream]; a.number == w.number && a.fencing == p.Fencing && now.Before(a.at.Add(repeatAfter)) {
+		if a := s.applied[w.upstream]; a.number == w.number && a.fencing == p.Fencing && now.Before(a.at.Add(resendInterval)) {
 			continue
 		}
-		s.applied[w.upstream] = applied{number: w.number, fencing: p.Fencing, at: now}
+		s.applied[w.upstream] = appliedOrder{number: w.number, fencing: p.Fencing, at: now}
 		g.Go(func() error {
 			if err := s.send(ctx, &w); err != nil {
-				s.Log.Warn("Can't apply an order.", "upstream", w.upstream, "ticket", w.number, "err", err)
+				s.Log.Warn("Can't send an order.", "upstream", w.upstream, "ticket", w.number, "err", err)
 				return fmt.Errorf("%s: %w", w.upstream, err)
 			}
-			s.Log.Info("Applied an order.", "upstream", w.upstream, "ticket", w.number, "fencing", p.Fencing)
+			s.Log.Info("Order sent.", "upstream", w.upstream, "ticket", w.number, "fencing", p.Fencing)
 			return nil
 		})
 	}
 	if err := g.Wait(); err != nil {
-		// Which order failed doesn't matter: all are sent again at the next step.
+		// Resend all orders in the next renewal interval, whichever of them failed.
 		s.applied = nil
 	}
 	if ctx.Err() != nil {
@@ -134,9 +136,9 @@
 	}
 }
 
-// orders returns the newest order for each engine.
-func orders(state *sageconfig.State) []wanted {
-	newest := make(map[string]wanted)
+// newestOrders returns the order with the highest ticket number for each engine.
+func newestOrders(state *sageconfig.State) []desiredOrder {
+	newest := make(map[string]desiredOrder)
 	var names []string
 	for _, name := range state.Names(sageconfig.KindOrder) {
 		o, ok := state.Order(name)
@@ -148,15 +150,15 @@
 			continue
 		}
 		number := state.TicketNumber(sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: name})
-		old, had := newest[o.Upstream]
+		previous, had := newest[o.Upstream]
 		if !had {
 			names = append(names, o.Upstream)
 		}
-		if !had || number > old.number {
-			newest[o.Upstream] = wanted{upstream: o.Upstream, number: number, address: u.Address, checks: u.ChecksFencing, order: o}
+		if !had || number > previous.number {
+			newest[o.Upstream] = desiredOrder{upstream: o.Upstream, number: number, address: u.Address, checksFencing: u.ChecksFencing, order: o}
 		}
 	}
-	out := make([]wanted, 0, len(names))
+	out := make([]desiredOrder, 0, len(names))
 	for _, n := range names {
 		out = append(out, newest[n])
 	}
@@ -165,21 +167,21 @@
 
 // send sends one order.
 //
-// It guards against an order that goes out after the lease: the process may have been paused since
-// the permit was given. So the lease is looked at again, and the call ends with it.
-func (s *Service) send(ctx context.Context, w *wanted) error {
+// The process may have been paused since Apply checked the lease. To prevent sending an order after the lease has
+// expired, send checks the lease again and limits the call to the time that remains.
+func (s *Service) send(ctx context.Context, w *desiredOrder) error {
 	now := time.Now()
-	p, err := s.Lease.Permit(now, w.checks)
+	p, err := s.Lease.Permit(now, w.checksFencing)
 	if err != nil {
 		return fmt.Errorf("permit: %w", err)
 	}
-	by := now.Add(callTimeout)
-	if p.Until.Before(by) {
-		by = p.Until
+	deadline := now.Add(callTimeout)
+	if p.Until.Before(deadline) {
+		deadline = p.Until
 	}
-	ctx, cancel := context.WithDeadline(ctx, by)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	b, err := json.Marshal(&body{Fencing: p.Fencing, Models: w.order.Models, Role: w.order.Role, Drain: w.order.Drain})
+	b, err := json.Marshal(&orderBody{Fencing: p.Fencing, Models: w.order.Models, Role: w.order.Role, Drain: w.order.Drain})
 	if err != nil {
 		return fmt.Errorf("encode order: %w", err)
 	}
@@ -187,7 +189,7 @@
 	if err != nil {
 		return fmt.Errorf("make order: %w", err)
 	}
-	// A silent repeat on a broken connection would be sent after the lease was looked at.
+	// Disable the automatic retry of net/http on a broken connection, which would bypass the lease check.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	res, err := s.HTTP.Do(req)
--- a/internal/sageorders/service_test.go
+++ b/internal/sageorders/service_test.go
@@ -22,7 +22,7 @@
 
 func (f *fixedConfig) State() *sageconfig.State { return f.state }
 
-// roundTripper hands requests to engines by address, in the caller's goroutine.
+// roundTripper passes requests to the engine with the given address, in the caller's goroutine.
 type roundTripper map[string]http.Handler
 
 func (m roundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// An engine is told two things in turn by two nodes, of which the first was paused past its lease.
-// Every order that arrives bears a number at least as high as those before it.
+// Prevents a stale order from a node that was paused until its lease expired and another node took over. The fencing
+// numbers of the orders that an engine receives must never decrease.
 func TestOrdersOverAPause(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			wait := time.Duration(0)
 			if !checks {
 				_, log := e.CurrentOrder()
-				assert.Empty(t, log, "the first waits out an unknown predecessor")
+				assert.Empty(t, log, "the first holder must wait until orders of an unknown predecessor have expired")
 				wait = a.Lease.MaxDeliveryDelay
 			}
 			time.Sleep(wait)
@@ -87,19 +87,19 @@
 			b.Apply(t.Context(), time.Now())
 			a.applied = nil
 			a.Apply(t.Context(), paused)
-			assert.Error(t, a.send(t.Context(), &orders(testState(checks))[0]), "checked again when sent")
+			assert.Error(t, a.send(t.Context(), &newestOrders(testState(checks))[0]), "the lease must be checked again before sending")
 			_, log = e.CurrentOrder()
 			assert.Equal(t, []int64{1, 2}, log)
 		})
 	}
 }
 
-// An engine restarts and forgets its order; it is sent again after a while, and not more often.
+// An engine loses its order when it restarts, so orders must be resent at each resendInterval, and no more often.
 func TestOrdersAreRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &sagestandin.Engine{Name: "e1", Slots: 1}
 		s := node(&sageobject.Memory{}, "a", true, roundTripper{"e1:1": e.Handler()})
-		ctx, cancel := context.WithTimeout(t.Context(), 2*repeatAfter+repeatAfter/2)
+		ctx, cancel := context.WithTimeout(t.Context(), 2*resendInterval+resendInterval/2)
 		defer cancel()
 		require.NoError(t, s.Run(ctx))
 		_, log := e.CurrentOrder()
@@ -107,8 +107,8 @@
 	})
 }
 
-// An engine that can't be reached gets its order as soon as it can; a higher number met there ends
-// the holder's acting.
+// An engine that was unreachable must get its order once it is reachable. A node must relinquish the lease when an
+// engine has seen a higher fencing number.
 func TestFailedOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &sagestandin.Engine{Name: "e1", Slots: 1, ChecksFencing: true}
