--- a/internal/sagegossipd/rpc.go
+++ b/internal/sagegossipd/rpc.go
@@ -10,7 +10,7 @@
 	"sagestand.example/sagestand/pkg/sagegossip"
 )
 
-// Meet implements the exchange call of a peer.
+// Meet implements [exchange.Exchange]. It handles the first call of an exchange that a peer starts.
 func (s *Service) Meet(_ context.Context, r *exchange.MeetRequest) (*exchange.MeetResponse, error) {
 	s.init()
 	deltas, own, err := s.Engine.Answer(fromWire(r.GetDigests()))
@@ -20,7 +20,7 @@
 	return &exchange.MeetResponse{Deltas: toWire(deltas), Digests: toWire(own)}, nil
 }
 
-// Push implements the exchange call of a peer.
+// Push implements [exchange.Exchange]. It merges the deltas that a peer sends after Meet.
 func (s *Service) Push(_ context.Context, r *exchange.PushRequest) (*exchange.PushResponse, error) {
 	s.init()
 	if err := s.Engine.Merge(fromWire(r.GetDeltas())); err != nil {
@@ -29,18 +29,18 @@
 	return &exchange.PushResponse{}, nil
 }
 
-// caller is a [sagegossip.Transport] over twirp.
-type caller struct {
+// rpcTransport implements [sagegossip.Transport] over twirp.
+type rpcTransport struct {
 	peers Peers
 	self  string
 }
 
-func (c *caller) client(addr string) exchange.Exchange {
+func (c *rpcTransport) client(addr string) exchange.Exchange {
 	return exchange.NewExchangeProtobufClient(c.peers.URL(addr), c.peers.HTTP())
 }
 
 // Meet implements [sagegossip.Transport].
-func (c *caller) Meet(ctx context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
+func (c *rpcTransport) Meet(ctx context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	res, err := c.client(addr).Meet(ctx, &exchange.MeetRequest{Node: c.self, Digests: toWire(digests)})
 	if err != nil {
 		return nil, nil, fmt.Errorf("call meet: %w", err)
@@ -49,7 +49,7 @@
 }
 
 // Push implements [sagegossip.Transport].
-func (c *caller) Push(ctx context.Context, addr string, deltas []sagegossip.Part) error {
+func (c *rpcTransport) Push(ctx context.Context, addr string, deltas []sagegossip.Part) error {
 	if _, err := c.client(addr).Push(ctx, &exchange.PushRequest{Node: c.self, Deltas: toWire(deltas)}); err != nil {
 		return fmt.Errorf("call push: %w", err)
 	}
--- a/internal/sagegossipd/service.go
+++ b/internal/sagegossipd/service.go
@@ -13,31 +13,33 @@
 	"sagestand.example/sagestand/pkg/sagegossip"
 )
 
-// Bounds of the service.
+// Limits of the service.
 const (
-	// MaxDeltaBytes is the greatest number of delta bytes that one message carries.
+	// MaxDeltaBytes limits the bytes of deltas in one message.
 	MaxDeltaBytes = 16 << 10
-	// meetWithin bounds one exchange. A paused peer accepts connections and never answers.
-	meetWithin = 2 * time.Second
-	// maxMeetings bounds the exchanges under way, so that peers that don't answer hold up none that do.
-	maxMeetings = 4
-	// lastMeetings is how many peers hear of this node's end, or of a change that can't wait.
-	lastMeetings = 3
+	// exchangeTimeout limits one exchange. A paused peer accepts connections but never responds.
+	exchangeTimeout = 2 * time.Second
+	// maxExchanges limits concurrent exchanges. It allows for peers that don't respond, so that they don't delay
+	// exchanges with others.
+	maxExchanges = 4
+	// urgentExchanges is the number of peers contacted after an urgent change and before this node stops.
+	urgentExchanges = 3
 )
 
-// Peers makes calls to other nodes.
+// Peers provides the base URL and the HTTP client for calls to other nodes.
 type Peers interface {
 	URL(addr string) string
 	HTTP() *http.Client
 }
 
-// Members says whom this node can meet.
+// Members returns the peers with which this node can exchange state. Urgent returns the addresses of those to
+// contact first.
 type Members interface {
 	Peers() []sagegossip.Peer
 	Urgent() []string
 }
 
-// Service is the service "gossip". Its exported fields are set before Run.
+// Service is the service "gossip". Its exported fields must be set before Run.
 type Service struct {
 	Self    sagegossip.Peer
 	Peers   Peers
@@ -50,40 +52,40 @@
 
 	once    sync.Once
 	chooser sagegossip.Chooser
-	nudge   chan struct{}
-	free    chan struct{}
-	met     *metrics.Counter
+	trigger chan struct{}
+	slots   chan struct{}
+	started *metrics.Counter
 	failed  *metrics.Counter
 }
 
 func (s *Service) init() {
 	s.once.Do(func() {
 		s.chooser = sagegossip.Chooser{Self: s.Self, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
-		s.nudge = make(chan struct{}, 1)
-		s.free = make(chan struct{}, maxMeetings)
+		s.trigger = make(chan struct{}, 1)
+		s.slots = make(chan struct{}, maxExchanges)
 		if s.Engine.Budget == 0 {
 			s.Engine.Budget = MaxDeltaBytes
 		}
 		if s.Metrics == nil {
 			s.Metrics = metrics.NewSet()
 		}
-		s.met = s.Metrics.NewCounter("sagestand_exchanges_total")
+		s.started = s.Metrics.NewCounter("sagestand_exchanges_total")
 		s.failed = s.Metrics.NewCounter("sagestand_exchanges_failed_total")
 		s.Metrics.NewGauge("sagestand_exchange_panics", func() float64 { return float64(s.Engine.Panics()) })
 		s.Metrics.NewGauge("sagestand_exchange_bad_parts", func() float64 { return float64(s.Engine.Rejected()) })
 	})
 }
 
-// Nudge makes the node meet a few peers at once, after a change that can't wait for the period.
+// TriggerExchange starts exchanges with a few peers immediately, for a change that must not wait for the period.
 func (s *Service) TriggerExchange() {
 	s.init()
 	select {
-	case s.nudge <- struct{}{}:
+	case s.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Run meets a peer each period until ctx ends, and then a few last ones.
+// Run starts an exchange with one peer per period until ctx ends, and then with a few peers a last time.
 func (s *Service) Run(ctx context.Context) error {
 	s.init()
 	var wait sync.WaitGroup
@@ -93,47 +95,47 @@
 	for {
 		select {
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), meetWithin)
+			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), exchangeTimeout)
 			defer cancel()
-			s.meetSome(last, &wait, lastMeetings)
+			s.startExchanges(last, &wait, urgentExchanges)
 			wait.Wait()
 			return nil
 		case <-t.C:
-			s.meetSome(ctx, &wait, 1)
-		case <-s.nudge:
-			s.meetSome(ctx, &wait, lastMeetings)
+			s.startExchanges(ctx, &wait, 1)
+		case <-s.trigger:
+			s.startExchanges(ctx, &wait, urgentExchanges)
 		}
 	}
 }
 
-// meetSome begins n exchanges, fewer when too many are under way already.
-func (s *Service) meetSome(ctx context.Context, wait *sync.WaitGroup, n int) {
+// startExchanges starts n exchanges, or fewer if maxExchanges are in progress.
+func (s *Service) startExchanges(ctx context.Context, wait *sync.WaitGroup, n int) {
 	for range n {
 		addr, ok := s.chooser.Next(s.Members.Peers(), s.Members.Urgent())
 		if !ok {
 			return
 		}
 		select {
-		case s.free <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
 			return
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			defer func() { <-s.free }()
-			s.meet(ctx, addr)
+			defer func() { <-s.slots }()
+			s.exchangeWith(ctx, addr)
 		}()
 	}
 }
 
-func (s *Service) meet(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, meetWithin)
+func (s *Service) exchangeWith(ctx context.Context, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	s.met.Inc()
-	if err := s.Engine.Exchange(ctx, &caller{peers: s.Peers, self: s.Self.Address}, addr); err != nil {
-		// The membership tells what matters of it; a line for each failed call would flood the log
-		// during a partition.
+	s.started.Inc()
+	if err := s.Engine.Exchange(ctx, &rpcTransport{peers: s.Peers, self: s.Self.Address}, addr); err != nil {
+		// Not logged: a line per failed call would flood the log during a partition. The members service logs
+		// nodes that are declared dead.
 		s.failed.Inc()
 	}
 }
--- a/internal/sagegossipd/service_test.go
+++ b/internal/sagegossipd/service_test.go
@@ -18,16 +18,16 @@
 
 const key = "key-of-the-nodes"
 
-// start runs a node's exchange on loopback until the test ends.
-func start(t *testing.T, hint string) (*sagemember.Table, *sagegossipd.Service, *sagepeer.Client) {
+// start runs the gossip service of a node on loopback until the test ends.
+func start(t *testing.T, seed string) (*sagemember.Table, *sagegossipd.Service, *sagepeer.Client) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	tab := &sagemember.Table{Self: sagemember.Node{Address: addr, DataCentre: "derby"}, Limits: sagemember.DefaultLimits()}
 	require.NoError(t, tab.Start())
-	if hint != "" {
-		tab.AddSeeds(hint)
+	if seed != "" {
+		tab.AddSeeds(seed)
 	}
 	client := &sagepeer.Client{Key: key}
 	s := &sagegossipd.Service{
@@ -47,7 +47,7 @@
 	return tab, s, client
 }
 
-func TestNodesFindEachOtherOverTheWire(t *testing.T) {
+func TestNodesDiscoverEachOther(t *testing.T) {
 	a, _, client := start(t, "")
 	b, _, _ := start(t, a.LocalNode().Address)
 	c, _, _ := start(t, a.LocalNode().Address)
@@ -60,9 +60,9 @@
 	require.Positive(t, client.Bytes())
 }
 
-// A node of another version sends parts that this one can't read. It must be told so, and the node must
-// go on.
-func TestGarbageOverTheWireIsRefused(t *testing.T) {
+// A node of another version may send parts that this one can't decode. They must be rejected with an error, and the
+// service must continue.
+func TestMalformedPartsAreRejected(t *testing.T) {
 	a, s, client := start(t, "")
 	ex := exchange.NewExchangeProtobufClient(client.URL(a.LocalNode().Address), client.HTTP())
 	_, err := ex.Push(t.Context(), &exchange.PushRequest{Deltas: []*exchange.Part{nil, {Section: sagemember.SectionName, Data: []byte{0xff}}}})
