--- a/internal/sagemembers/doc.go
+++ b/internal/sagemembers/doc.go
@@ -1,10 +1,10 @@
-// Package sagemembers is the service "members" of a node: it lets the member table's heartbeat tick,
-// tells the table what this node reports of itself, feeds it the hints of the settings and of the
-// platform's VM list, and announces the start and the end of service.
+// Package sagemembers is the service "members" of a node. It drives the heartbeat of the member table, updates what
+// this node reports about itself, adds seed addresses from the settings and from the platform's VM list, and
+// announces when the node starts and stops serving.
 //
 // # Usage
 //
-//	m := &sagemembers.Service{Table: table, Every: time.Second, Seeds: seeds, Ready: ready}
+//	m := &sagemembers.Service{Table: table, HeartbeatPeriod: time.Second, Seeds: seeds, Ready: ready}
 //	k.Register("members", m)
 //	for _, n := range m.Table.Live() {
 //		...
--- a/internal/sagemembers/http.go
+++ b/internal/sagemembers/http.go
@@ -7,16 +7,16 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// View is what GET /v1/nodes of the operators' interface shows: the nodes as this one sees them.
+// View is the response of GET /v1/nodes on the operators' interface: the nodes as seen by this node.
 type View struct {
 	Nodes []NodeView `json:"nodes"`
-	// Fresh says that this node acts on its view; it doesn't just after a pause.
+	// Fresh is false for a while after a pause of the process, when this node doesn't act on its view.
 	Fresh     bool  `json:"fresh"`
 	Evictions int64 `json:"evictions"`
 	Pauses    int64 `json:"pauses"`
 }
 
-// NodeView is a node with its phase and state in words.
+// NodeView is a node with the names of its phase and state.
 type NodeView struct {
 	sagemember.Node
 	PhaseName string `json:"phase_name"`
--- a/internal/sagemembers/platform.go
+++ b/internal/sagemembers/platform.go
@@ -10,25 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// errList reports a VM list that can't be read.
-var errList = errors.New("no VM list")
+// errVMListStatus is returned when the platform doesn't respond with status 200.
+var errVMListStatus = errors.New("unexpected status")
 
-// maxList bounds the answer that is read.
-const maxList = 1 << 20
+// maxListBytes limits the size of the response that is read.
+const maxListBytes = 1 << 20
 
-// VMListClient reads the VM list over HTTP. URL and HTTP are set before first use.
+// VMListClient reads the VM list over HTTP. URL and HTTP must be set before first use.
 type VMListClient struct {
 	URL  string
 	HTTP *http.Client
 }
 
-// listed is one entry of the VM list.
-type listed struct {
+// vmEntry is one entry of the VM list.
+type vmEntry struct {
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
 }
 
-// VMLister implements [VMLister]. Leaving ones are left out: there is no point in meeting them.
+// ListVMs implements [VMLister]. It omits VMs that are leaving, which are of no use as peers.
 func (p *VMListClient) ListVMs(ctx context.Context) ([]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.URL+"/v1/vms", nil)
 	if err != nil {
@@ -40,10 +40,10 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("read VM list: status %d: %w", res.StatusCode, errList)
+		return nil, fmt.Errorf("read VM list: status %d: %w", res.StatusCode, errVMListStatus)
 	}
-	var vms []listed
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxList)).Decode(&vms); err != nil {
+	var vms []vmEntry
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&vms); err != nil {
 		return nil, fmt.Errorf("decode VM list: %w", err)
 	}
 	addresses := make([]string, 0, len(vms))
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -13,57 +13,57 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// listEvery is how often the VM list is read. It lags by itself, and each read counts at the platform.
-const listEvery = 30 * time.Second
+// vmListInterval is the interval between reads of the VM list. More frequent reads would load the platform and gain
+// little, since the list itself lags.
+const vmListInterval = 30 * time.Second
 
-// startEvery is how often a starting node looks whether it is ready.
-const startEvery = 100 * time.Millisecond
+// readyPollInterval is the interval at which a starting node checks whether it is ready.
+const readyPollInterval = 100 * time.Millisecond
 
-// VMLister reads the addresses of the platform's VM list.
+// VMLister reads the addresses in the platform's VM list.
 type VMLister interface {
 	ListVMs(ctx context.Context) ([]string, error)
 }
 
-// Service is the service "members". Its exported fields are set before Run; the table is started
-// before Run.
+// Service is the service "members". Its exported fields must be set, and the table started, before Run.
 type Service struct {
 	Table           *sagemember.Table
 	HeartbeatPeriod time.Duration
-	// Seeds are addresses of the settings where nodes may be.
+	// Seeds are the addresses of other nodes in the settings.
 	Seeds []string
-	// VMLister may be nil.
+	// VMs may be nil.
 	VMs VMLister
-	// Ready says that the node can serve callers; it is not named to them before.
+	// Ready reports whether the node can serve callers. The node isn't announced to them before.
 	Ready func() bool
-	// Revision and Load are what the heartbeat reports.
+	// Revision and Load return the values that the heartbeat reports.
 	Revision func() uint64
 	Load     func() int64
-	// Nudge hurries the exchange after a change that can't wait.
+	// TriggerExchange starts gossip exchanges after an urgent change.
 	TriggerExchange func()
-	// Drain holds the periods of the stop.
+	// Drain holds the durations of a graceful stop.
 	Drain sagedrain.Machine
 	// Metrics may be nil.
 	Metrics *metrics.Set
 	Log     sagelog.Logger
 
-	mu    sync.Mutex
-	since map[uint64]revisionSince
-	seen  map[uint64]sagemember.State
+	mu        sync.Mutex
+	revisions map[uint64]observedRevision
+	states    map[uint64]sagemember.State
 }
 
-// revisionSince is when a node was first seen with a revision.
-type revisionSince struct {
+// observedRevision is a node's revision and the time at which it was first observed.
+type observedRevision struct {
 	revision uint64
 	at       time.Time
 }
 
-// Run ticks until ctx ends, and then announces that the process is gone.
+// Run sends heartbeats until ctx ends, and then announces that the process has stopped.
 func (s *Service) Run(ctx context.Context) error {
-	s.register()
+	s.registerMetrics()
 	s.Table.AddSeeds(s.Seeds...)
 	t := time.NewTicker(s.HeartbeatPeriod)
 	defer t.Stop()
-	start := time.NewTicker(startEvery)
+	start := time.NewTicker(readyPollInterval)
 	defer start.Stop()
 	var nextList time.Time
 	var wait sync.WaitGroup
@@ -72,8 +72,8 @@
 	for {
 		now := time.Now()
 		if s.VMs != nil && !now.Before(nextList) {
-			nextList = now.Add(listEvery)
-			wait.Go(func() { s.list(ctx) })
+			nextList = now.Add(vmListInterval)
+			wait.Go(func() { s.addListedSeeds(ctx) })
 		}
 		select {
 		case <-ctx.Done():
@@ -83,7 +83,7 @@
 		case now := <-t.C:
 			s.tick(now)
 		case <-start.C:
-			if s.begin() {
+			if s.announceServing() {
 				start.Stop()
 			}
 		}
@@ -93,11 +93,11 @@
 func (s *Service) tick(now time.Time) {
 	s.Table.Report(s.Revision(), uint32(max(0, s.Load())))
 	s.Table.Tick()
-	s.note(now)
+	s.recordChanges(now)
 }
 
-// begin announces the node as serving once it is ready, and says whether it has.
-func (s *Service) begin() bool {
+// announceServing announces the node as serving if it is ready, and reports whether it did.
+func (s *Service) announceServing() bool {
 	if !s.Ready() {
 		return false
 	}
@@ -107,16 +107,16 @@
 	return true
 }
 
-// list takes the VM list as hints. Its addresses may lack a port: all VMs are alike, so the own one
-// is taken.
-func (s *Service) list(ctx context.Context) {
+// addListedSeeds adds the addresses in the VM list as seeds. All nodes use the same port, so this node's own port
+// is used for every address.
+func (s *Service) addListedSeeds(ctx context.Context) {
 	_, port, err := net.SplitHostPort(s.Table.LocalNode().Address)
 	if err != nil {
 		return
 	}
 	vms, err := s.VMs.ListVMs(ctx)
 	if err != nil {
-		return // a hint that isn't there; the platform's outage shows elsewhere
+		return // the list is optional, and a platform outage is reported elsewhere
 	}
 	for _, a := range vms {
 		host := a
@@ -129,34 +129,34 @@
 	}
 }
 
-// note logs who came and went, and remembers since when each node holds its revision.
-func (s *Service) note(now time.Time) {
+// recordChanges logs nodes that became alive or dead, and records when each node's revision was first observed.
+func (s *Service) recordChanges(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since := make(map[uint64]revisionSince)
-	seen := make(map[uint64]sagemember.State)
+	revisions := make(map[uint64]observedRevision)
+	states := make(map[uint64]sagemember.State)
 	for _, n := range s.Table.All() {
-		r, ok := s.since[n.Incarnation]
+		r, ok := s.revisions[n.Incarnation]
 		if !ok || r.revision != n.Revision {
-			r = revisionSince{revision: n.Revision, at: now}
+			r = observedRevision{revision: n.Revision, at: now}
 		}
-		since[n.Incarnation], seen[n.Incarnation] = r, n.State
-		was, known := s.seen[n.Incarnation]
-		if known && was != n.State && (n.State == sagemember.Alive || n.State == sagemember.Dead) {
-			s.Log.Info("Node changed.", "address", n.Address, "was", was, "is", n.State, "phase", n.Phase)
+		revisions[n.Incarnation], states[n.Incarnation] = r, n.State
+		previous, known := s.states[n.Incarnation]
+		if known && previous != n.State && (n.State == sagemember.Alive || n.State == sagemember.Dead) {
+			s.Log.Info("Node state changed.", "address", n.Address, "was", previous, "is", n.State, "phase", n.Phase)
 		}
 	}
-	s.since, s.seen = since, seen
+	s.revisions, s.states = revisions, states
 }
 
-// RevisionSince returns when this node first saw another with the revision that it holds now.
+// RevisionSince returns when this node first observed the current revision of another node.
 func (s *Service) RevisionSince(incarnation uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.since[incarnation].at
+	return s.revisions[incarnation].at
 }
 
-// Leave announces that this node stops, and returns until when callers may still come.
+// Leave announces that this node is stopping, and returns until when it still accepts requests.
 func (s *Service) Leave(now time.Time) time.Time {
 	s.mu.Lock()
 	s.Drain.Leave(now)
@@ -168,7 +168,7 @@
 	return until
 }
 
-func (s *Service) register() {
+func (s *Service) registerMetrics() {
 	if s.Metrics == nil {
 		return
 	}
