--- a/internal/sagemetrics/sagemetrics.go
+++ b/internal/sagemetrics/sagemetrics.go
@@ -1,4 +1,5 @@
-// Package sagemetrics counts what passes a node, for /metrics in the Prometheus text format.
+// Package sagemetrics records metrics of the requests handled by a node. They are served at /metrics in the
+// Prometheus text format.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 	"sagestand.example/sagestand/internal/sageentry"
 )
 
-// RequestMetrics counts requests by outcome and priority, with their time to the first byte.
+// RequestMetrics counts requests by outcome, reason and priority, and records their time to first byte.
 type RequestMetrics struct {
 	Set *metrics.Set
 }
@@ -32,7 +33,7 @@
 	}
 }
 
-// MultiRecorder passes each observation to several recorders.
+// MultiRecorder forwards each observation to several recorders.
 type MultiRecorder []sageentry.Recorder
 
 // Record implements [sageentry.Recorder].
