--- a/internal/sagenode/claims.go
+++ b/internal/sagenode/claims.go
@@ -17,25 +17,24 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// The layout of claim objects is the same on every node; docs/design/at_most_once.md has the
-// measurements behind it.
+// The layout of claim objects must be the same on every node. docs/design/at_most_once.md explains the values.
 const (
 	claimBucket = 2 * time.Second
 	claimShards = 2
-	// claimAhead is how far callers' clocks may be ahead of this node's.
-	claimAhead = time.Minute
-	// claimTimeout bounds one commit, and with it how long a caller waits for a store that hangs.
+	// maxClaimAhead is the largest tolerated lead of callers' clocks over this node's clock.
+	maxClaimAhead = time.Minute
+	// claimTimeout limits one commit, and thus a caller's wait while the store is unresponsive.
 	claimTimeout = time.Second
-	// settleSlack is how long after the latest deadline an outcome may still be recorded.
-	settleSlack = 30 * time.Second
+	// recordSlack is the time after the latest possible deadline in which an outcome may still be recorded.
+	recordSlack = 30 * time.Second
 )
 
-// claimService makes the service that claims idempotency keys.
+// claimService returns the service that claims idempotency keys.
 func (n *Node) claimService(store sageobject.Store, peers *sagepeer.Client) *sageclaims.Service {
 	cfg := &n.Settings
 	return &sageclaims.Service{
 		Rules: sageclaim.Rules{
-			Bucket: claimBucket, Shards: claimShards, Retention: millis(cfg.Claims.RetentionMillis), MaxAhead: claimAhead,
+			Bucket: claimBucket, Shards: claimShards, Retention: millis(cfg.Claims.RetentionMillis), MaxAhead: maxClaimAhead,
 		},
 		Committer: &sageclaim.Committer{Store: store, BatchWindow: millis(cfg.Claims.CollectMillis), CommitTimeout: claimTimeout},
 		Store:     store,
@@ -45,38 +44,39 @@
 			return claim.NewClaimsProtobufClient(peers.URL(addr), peers.HTTP())
 		},
 		MaxAnswerBytes: cfg.Limits.HeldAnswersBytes,
-		SweepAfter:     millis(cfg.Limits.DeadlineMillis) + settleSlack,
+		SweepAfter:     millis(cfg.Limits.DeadlineMillis) + recordSlack,
 		Log:            n.Log.Component("claims"),
 		Metrics:        n.metrics,
 	}
 }
 
-// The lease on orders. A successor takes over within two terms of its predecessor's last renewal.
+// Parameters of the lease for sending orders. If the holder fails, another node acquires the lease within two terms of
+// the last renewal.
 const (
-	ordersLease  = "lease/orders"
-	orderTerm    = 10 * time.Second
-	orderMargin  = 4 * time.Second
-	orderDelay   = 10 * time.Second
-	orderTimeout = 5 * time.Second
-	// orderCandidates is how many nodes try for the lease at a time.
+	orderLeaseKey = "lease/orders"
+	orderTerm     = 10 * time.Second
+	orderMargin   = 4 * time.Second
+	maxOrderDelay = 10 * time.Second
+	orderTimeout  = 5 * time.Second
+	// orderCandidates is the number of nodes that try to acquire the lease.
 	orderCandidates = 3
 )
 
-// orderService makes the service that applies orders to engines.
+// orderService returns the service that sends orders to engines.
 func (n *Node) orderService(store sageobject.Store, conf sageentry.Config) *sageorders.Service {
 	return &sageorders.Service{
 		Config: conf,
 		Lease: &sagelease.Elector{
-			Store: store, Key: ordersLease, Holder: n.Settings.Node.Name + "/" + uuid.NewString(),
-			Term: orderTerm, Margin: orderMargin, MaxDeliveryDelay: orderDelay,
+			Store: store, Key: orderLeaseKey, Holder: n.Settings.Node.Name + "/" + uuid.NewString(),
+			Term: orderTerm, Margin: orderMargin, MaxDeliveryDelay: maxOrderDelay,
 		},
-		IsCandidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), ordersLease) < orderCandidates },
+		IsCandidate: func() bool { return rank(n.Settings.Listen.Peer, n.livePeers(), orderLeaseKey) < orderCandidates },
 		HTTP:        &http.Client{Timeout: orderTimeout},
 		Log:         n.Log.Component("orders"),
 	}
 }
 
-// rank returns how many of the others come before self in the rendezvous order of a duty.
+// rank returns the number of other nodes that precede self in the rendezvous hash order for a duty.
 func rank(self string, others []string, duty string) int {
 	weight := func(addr string) uint64 { return xxhash.Sum64String(addr + "\x00" + duty) }
 	n := 0
--- a/internal/sagenode/doc.go
+++ b/internal/sagenode/doc.go
@@ -1,6 +1,5 @@
-// Package sagenode puts the services of one daemon together: it opens the listeners, reads the keys,
-// registers every service with the kernel in the order in which they depend on each other, and runs
-// them until the process is asked to stop.
+// Package sagenode assembles the services of a node. It reads the keys, opens the listeners, registers every service
+// with the kernel in dependency order, and runs them until the process is asked to stop.
 //
 // # Usage
 //
--- a/internal/sagenode/load.go
+++ b/internal/sagenode/load.go
@@ -13,14 +13,13 @@
 	"sagestand.example/sagestand/pkg/sageretry"
 )
 
-// clockDrift bounds how far the rate of a node's clock may be from true.
-const clockDrift = 0.005
+// maxClockDrift is the largest tolerated relative error of a node's clock rate.
+const maxClockDrift = 0.005
 
-// cutSlack is what may pass between the deadline of a request and the moment at which the upstream
-// no longer works on it.
-const cutSlack = 5 * time.Second
+// abortSlack is the longest time after a request's deadline for which the upstream may continue to work on it.
+const abortSlack = 5 * time.Second
 
-// loadService returns the load service; the settings' seeds are its roster.
+// loadService returns the load service. Its roster consists of the seeds in the settings.
 func (n *Node) loadService(conf sageloadd.Config, peers *sagepeer.Client) *sageloadd.Service {
 	cfg := &n.Settings
 	roster := make([]sageload.Member, len(cfg.Seeds))
@@ -31,14 +30,14 @@
 		Node: cfg.Listen.Peer, Roster: roster, Live: n.liveMembers, Config: conf, Peers: peers,
 		Limits: sageload.Limits{
 			GrantDuration: millis(cfg.Load.GrantMillis), PromiseDuration: millis(cfg.Load.PromiseMillis),
-			RequestLifetime: millis(cfg.Limits.DeadlineMillis) + cutSlack, ReportLag: millis(cfg.Load.ReportLagMillis),
-			MaxClockDrift: clockDrift,
+			RequestLifetime: millis(cfg.Limits.DeadlineMillis) + abortSlack, ReportLag: millis(cfg.Load.ReportLagMillis),
+			MaxClockDrift: maxClockDrift,
 		},
 		Floor: cfg.Load.Floor, RampCompletions: uint64(cfg.Load.RampCompletions), Log: n.Log.Component("load"),
 	}
 }
 
-// liveMembers returns the nodes that are up and not leaving.
+// liveMembers returns the live nodes that are not leaving.
 func (n *Node) liveMembers() []sageload.Member {
 	var live []sageload.Member
 	for _, m := range n.table.Live() {
@@ -49,7 +48,7 @@
 	return live
 }
 
-// retryService returns the retry service; each process draws its own jitter.
+// retryService returns the retry service. Its random jitter is seeded differently in each process.
 func (n *Node) retryService() *sageretryd.Service {
 	r := n.Settings.Retry
 	return &sageretryd.Service{Policy: sageretry.Policy{
@@ -58,15 +57,15 @@
 	}}
 }
 
-// resigner ends this node's terms as home before it says that it leaves. The homes' successors need
-// not wait for promises then, and the upstreams are without grants for a shorter time.
-type resigner struct {
+// resigningLeaver resigns this node's coordinator roles before it announces that the node is leaving. The new
+// coordinators then need not wait for promises to expire, which shortens the time without grants.
+type resigningLeaver struct {
 	Next sageentry.Leaver
 	Load *sageloadd.Service
 }
 
 // Leave implements [sageentry.Leaver].
-func (r *resigner) Leave(now time.Time) time.Time {
+func (r *resigningLeaver) Leave(now time.Time) time.Time {
 	r.Load.Resign()
 	return r.Next.Leave(now)
 }
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -17,16 +17,16 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// Periods of the membership.
+// Durations of the membership services.
 const (
-	heartbeatEvery = time.Second
-	listTimeout    = 5 * time.Second
-	// leaveSpread is within what time every connected node has heard that this one leaves.
-	leaveSpread = 10 * time.Second
+	heartbeatPeriod = time.Second
+	listTimeout     = 5 * time.Second
+	// leavePropagation is the time by which every connected node has received the news that this one is leaving.
+	leavePropagation = 10 * time.Second
 )
 
-// memberServices registers the exchange, the membership and locate. The exchange comes first, so that
-// it outlives the membership and carries its last word.
+// memberServices registers the gossip, membership and locate services. Gossip is registered before membership, so
+// that it is stopped after it and can still send the node's final state.
 func (n *Node) memberServices(conf *sageconfigd.Service, peers *sagepeer.Client, srv *sagepeer.Server) (*sagemembers.Service, *sagelocator.Service) {
 	cfg := &n.Settings
 	n.table = &sagemember.Table{
@@ -38,15 +38,15 @@
 	}
 	n.gossip = &sagegossipd.Service{
 		Self:  sagegossip.Peer{Address: n.table.Self.Address, DataCentre: cfg.Node.DataCentre},
-		Peers: peers, Members: n.table, Period: heartbeatEvery,
+		Peers: peers, Members: n.table, Period: heartbeatPeriod,
 		Engine:  sagegossip.Engine{Sections: []sagegossip.Section{n.table, conf.Section()}},
 		Metrics: n.metrics, Log: n.Log.Component("gossip"),
 	}
 	srv.Mount(exchange.NewExchangeServer(n.gossip))
 	n.kernel.Register("gossip", n.gossip)
 	members := &sagemembers.Service{
-		Table: n.table, HeartbeatPeriod: heartbeatEvery, Seeds: n.otherSeeds(),
-		VMs:      &sagemembers.VMListClient{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.control), Timeout: listTimeout}},
+		Table: n.table, HeartbeatPeriod: heartbeatPeriod, Seeds: n.otherSeeds(),
+		VMs:      &sagemembers.VMListClient{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.controlBytes), Timeout: listTimeout}},
 		Ready:    func() bool { return conf.Serving(time.Now(), true) == nil },
 		Revision: conf.Revision, TriggerExchange: n.gossip.TriggerExchange, Drain: n.drain(),
 		Metrics: n.metrics, Log: n.Log.Component("members"),
@@ -60,39 +60,39 @@
 	return members, locator
 }
 
-// drain returns the periods of the stop. Where the settings leave little time, half of what the
-// answers don't need goes to spreading the word, the rest to the running requests.
+// drain returns the durations of a graceful stop. If the settings allow little time, half of what remains after the
+// validity of locate responses is used to propagate the leave announcement, and half to drain requests.
 func (n *Node) drain() sagedrain.Machine {
 	valid, within := millis(n.Settings.Locate.ValidMillis), millis(n.Settings.Stop.WithinMillis)
-	spread := min(leaveSpread, (within-valid)/2)
-	return sagedrain.Machine{AnswerTTL: valid, PropagationDelay: spread, DrainTimeout: within - valid - spread}
+	propagation := min(leavePropagation, (within-valid)/2)
+	return sagedrain.Machine{AnswerTTL: valid, PropagationDelay: propagation, DrainTimeout: within - valid - propagation}
 }
 
 // livePeers returns the addresses of the other live nodes.
 func (n *Node) livePeers() []string {
-	me := n.table.LocalNode().Address
+	local := n.table.LocalNode().Address
 	var out []string
 	for _, m := range n.table.Live() {
-		if m.Address != me {
+		if m.Address != local {
 			out = append(out, m.Address)
 		}
 	}
 	return out
 }
 
-// configMembers shows the membership to the configuration service.
+// configMembers provides the membership to the configuration service.
 type configMembers struct {
 	members *sagemembers.Service
-	// roster holds the addresses of the settings' seeds, the same on every node, out of sight or not.
+	// roster holds the addresses of the seeds in the settings, whether reachable or not. It is the same on every node.
 	roster []string
 }
 
 // Live implements [sageconfigd.Members].
 func (m *configMembers) Live() []string {
-	me := m.members.Table.LocalNode()
-	names := []string{me.Name}
+	local := m.members.Table.LocalNode()
+	names := []string{local.Name}
 	for _, n := range m.members.Table.Live() {
-		if n.DataCentre == me.DataCentre && n.Name != me.Name && n.Phase != sagemember.Leaving {
+		if n.DataCentre == local.DataCentre && n.Name != local.Name && n.Phase != sagemember.Leaving {
 			names = append(names, n.Name)
 		}
 	}
@@ -108,11 +108,11 @@
 		}
 	}
 	latest[m.members.Table.LocalNode().Address] = now
-	heard := make([]time.Time, len(m.roster))
+	contacts := make([]time.Time, len(m.roster))
 	for i, a := range m.roster {
-		heard[i] = latest[a]
+		contacts[i] = latest[a]
 	}
-	return sagesync.QuorumAt(now, heard)
+	return sagesync.QuorumAt(now, contacts)
 }
 
 // Nodes implements [sageconfigd.Members].
--- a/internal/sagenode/node.go
+++ b/internal/sagenode/node.go
@@ -38,48 +38,49 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// ErrEmptyKey reports a key file without a key.
+// ErrEmptyKey is returned for a key file without a key.
 var ErrEmptyKey = errors.New("key file is empty")
 
-// errStarting reports a node that callers are not told of yet.
+// errStarting is returned by Ready until the node has been announced as serving.
 var errStarting = errors.New("not announced to the other nodes yet")
 
-// storeTimeout bounds one call to the platform, above the longest wait of a watch.
+// storeTimeout limits one call to the platform. It must exceed the longest wait of a watch.
 const storeTimeout = 30 * time.Second
 
-// stopSlack is what the other services may take beyond the entry's own stop.
+// stopSlack is the time for the other services to stop, in addition to that of the entry service.
 const stopSlack = 10 * time.Second
 
-// Node is one daemon. Settings and Log are set before Open.
+// Node is a router node. Settings and Log must be set before Open.
 type Node struct {
 	Settings sagesettings.Settings
 	Log      sagelog.Logger
 
-	kernel    sagekernel.Kernel
-	table     *sagemember.Table
-	gossip    *sagegossipd.Service
-	metrics   *metrics.Set
-	listeners map[string]net.Listener
-	ready     func() error
-	control   atomic.Int64
-	claims    atomic.Int64
-	// claimPeers carries claims to their owners, on connections that carry nothing else.
-	claimPeers *sagepeer.Client
-	peerServer *sagepeer.Server
-	peers      [2]interface{ Bytes() int64 }
-	peerKey    string
-	opKey      string
-	tls        *tls.Config
+	kernel       sagekernel.Kernel
+	table        *sagemember.Table
+	gossip       *sagegossipd.Service
+	metrics      *metrics.Set
+	listeners    map[string]net.Listener
+	ready        func() error
+	controlBytes atomic.Int64
+	claimBytes   atomic.Int64
+	// claimPeers sends claims to their owners on connections that carry nothing else, so that their bytes can be
+	// counted separately.
+	claimPeers  *sagepeer.Client
+	peerServer  *sagepeer.Server
+	peerTraffic [2]interface{ Bytes() int64 }
+	peerKey     string
+	operatorKey string
+	tls         *tls.Config
 }
 
-// Open reads the keys and opens the listeners; nothing serves before Run.
+// Open reads the keys and opens the listeners. Requests are not served until Run.
 func (n *Node) Open() error {
 	cfg := &n.Settings
 	var err error
 	if n.peerKey, err = readKey(cfg.Keys.PeerFile); err != nil {
 		return fmt.Errorf("keys.peer_file: %w", err)
 	}
-	if n.opKey, err = readKey(cfg.Keys.OperatorFile); err != nil {
+	if n.operatorKey, err = readKey(cfg.Keys.OperatorFile); err != nil {
 		return fmt.Errorf("keys.operator_file: %w", err)
 	}
 	if cfg.TLS.CertFile != "" {
@@ -96,7 +97,7 @@
 		}
 	}
 	n.metrics = metrics.NewSet()
-	n.register()
+	n.registerServices()
 	if err := n.table.Start(); err != nil {
 		n.Close()
 		return fmt.Errorf("members: %w", err)
@@ -113,7 +114,7 @@
 	}
 }
 
-// readKey reads a key file; space around the key doesn't count.
+// readKey reads a key file and trims space around the key.
 func readKey(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -126,25 +127,25 @@
 	return key, nil
 }
 
-// register adds every service, each before those that depend on it.
-func (n *Node) register() {
+// registerServices registers every service before those that depend on it.
+func (n *Node) registerServices() {
 	cfg, k := &n.Settings, &n.kernel
 	k.Log = n.Log.Component("kernel")
 	k.StopTimeout = millis(cfg.Stop.WithinMillis) + stopSlack
 
-	store := &sageobject.Client{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.control), Timeout: storeTimeout}}
+	store := &sageobject.Client{URL: cfg.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.controlBytes), Timeout: storeTimeout}}
 	k.Register("store", store)
 	peers := &sagepeer.Client{Key: n.peerKey, TLS: n.tls}
 	k.Register("peer_client", peers)
 	conf := &sageconfigd.Service{
-		Node: cfg.Node.Name, DataCentre: cfg.Node.DataCentre, Store: store, Rule: rule(cfg.Isolated),
+		Node: cfg.Node.Name, DataCentre: cfg.Node.DataCentre, Store: store, Rule: isolationRule(cfg.Isolated),
 		Roster: n.allSeeds(), Address: cfg.Listen.Peer,
 		Metrics: n.metrics, Log: n.Log.Component("config"),
 	}
 	k.Register("config", conf)
 	peerServer := &sagepeer.Server{Listener: n.listeners["peer"], Key: n.peerKey, TLS: n.tls, Log: n.Log.Component("peer")}
 	k.Register("peer_server", peerServer)
-	n.peers = [2]interface{ Bytes() int64 }{peers, peerServer}
+	n.peerTraffic = [2]interface{ Bytes() int64 }{peers, peerServer}
 	n.metrics.NewGauge("sagestand_control_bytes_total", func() float64 { return float64(n.ControlBytes()) })
 	n.metrics.NewGauge("sagestand_claim_bytes_total", func() float64 { return float64(n.ClaimBytes()) })
 	members, locator := n.memberServices(conf, peers, peerServer)
@@ -179,7 +180,7 @@
 		Admission: admission,
 		Claims:    claims, Placement: placement, Retries: retries,
 		Dispatch: &sageloadd.TimedDispatcher{Next: &sagedispatch.Dispatcher{Dial: load.Dial}, Load: load},
-		Locator:  locator, Leaver: &resigner{Next: members, Load: load}, Recorder: sagemetrics.MultiRecorder{requests, burn},
+		Locator:  locator, Leaver: &resigningLeaver{Next: members, Load: load}, Recorder: sagemetrics.MultiRecorder{requests, burn},
 		Limits: cfg.Limits, Stop: cfg.Stop, Log: n.Log.Component("entry"),
 	}
 	members.Load = entry.InFlight
@@ -193,7 +194,7 @@
 		return nil
 	}
 	operator := &sageoperator.Server{
-		Listener: n.listeners["operator"], Key: n.opKey, TLS: n.tls, Tickets: conf, State: conf.State, Metrics: n.metrics,
+		Listener: n.listeners["operator"], Key: n.operatorKey, TLS: n.tls, Tickets: conf, State: conf.State, Metrics: n.metrics,
 		Ready: n.ready,
 		Status: func() any {
 			return Status{Node: cfg.Node.Name, DataCentre: cfg.Node.DataCentre, Revision: conf.Revision(), InFlight: entry.InFlight(), Services: k.Names()}
@@ -210,12 +211,12 @@
 	k.Register("entry", entry)
 }
 
-// rule takes the settings' rule for isolated nodes over.
-func rule(i sagesettings.Isolated) sagesync.Rule {
+// isolationRule converts the settings for isolated nodes.
+func isolationRule(i sagesettings.Isolated) sagesync.Rule {
 	return sagesync.Rule{Isolated: sagesync.IsolationPolicy(i.Rule), MaxEvidenceAge: millis(i.AfterMillis), CatchUpTimeout: sagesync.DefaultCatchUpTimeout}
 }
 
-// objectives takes the settings' objectives over into the report's own type.
+// objectives converts the objectives in the settings.
 func objectives(in []sagesettings.Objective) []sageburn.Objective {
 	out := make([]sageburn.Objective, len(in))
 	for i, o := range in {
@@ -224,7 +225,7 @@
 	return out
 }
 
-// allSeeds returns the peer addresses of the settings.
+// allSeeds returns the peer addresses of all seeds in the settings.
 func (n *Node) allSeeds() []string {
 	out := make([]string, len(n.Settings.Seeds))
 	for i, s := range n.Settings.Seeds {
@@ -233,7 +234,7 @@
 	return out
 }
 
-// otherSeeds returns the peer addresses of the settings but this node's own.
+// otherSeeds returns the peer addresses of all seeds in the settings except this node.
 func (n *Node) otherSeeds() []string {
 	var out []string
 	for _, s := range n.Settings.Seeds {
@@ -244,7 +245,7 @@
 	return out
 }
 
-// Status is what GET /v1/status shows of a node.
+// Status is the response of GET /v1/status.
 type Status struct {
 	Node       string   `json:"node"`
 	DataCentre string   `json:"data_centre"`
@@ -253,32 +254,32 @@
 	Services   []string `json:"services"`
 }
 
-// Ready says why the node is not ready to serve, or nil.
+// Ready returns nil if the node is ready to serve, and otherwise the reason why it isn't.
 func (n *Node) Ready() error { return n.ready() }
 
-// claimStore returns a client of the Object API whose traffic is counted apart: claims are part of the
-// requests that they belong to and grow with them, control traffic does not.
+// claimStore returns a client of the Object API whose traffic is counted separately from control traffic, because
+// claim traffic grows with the number of requests.
 func (n *Node) claimStore() *sageobject.Client {
-	return &sageobject.Client{URL: n.Settings.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.claims), Timeout: storeTimeout}}
+	return &sageobject.Client{URL: n.Settings.Platform.URL, HTTP: &http.Client{Transport: sagepeer.NewCountingTransport(&n.claimBytes), Timeout: storeTimeout}}
 }
 
-// ClaimBytes returns the bytes exchanged so far for claims of idempotency keys, with the platform and
-// with other nodes.
+// ClaimBytes returns the number of bytes sent and received for claims of idempotency keys, to and from the platform
+// and other nodes.
 func (n *Node) ClaimBytes() int64 {
-	return n.claims.Load() + n.claimPeers.Bytes() + n.peerServer.RequestBytes()
+	return n.claimBytes.Load() + n.claimPeers.Bytes() + n.peerServer.RequestBytes()
 }
 
-// ControlBytes returns the bytes of all traffic with other nodes and the platform so far, both ways,
-// but for [Node.ClaimBytes].
+// ControlBytes returns the number of bytes sent to and received from other nodes and the platform, excluding
+// [Node.ClaimBytes].
 func (n *Node) ControlBytes() int64 {
-	sum := n.control.Load()
-	for _, p := range n.peers {
+	sum := n.controlBytes.Load()
+	for _, p := range n.peerTraffic {
 		sum += p.Bytes()
 	}
 	return sum
 }
 
-// Run runs the node until ctx ends and every service stopped.
+// Run runs the node until ctx ends and every service has stopped.
 func (n *Node) Run(ctx context.Context) error {
 	n.Log.Component("node").Info("Starting.", "data_centre", n.Settings.Node.DataCentre)
 	if err := n.kernel.Run(ctx); err != nil {
