--- a/internal/sageoperator/client.go
+++ b/internal/sageoperator/client.go
@@ -15,26 +15,26 @@
 
 // Errors of the client.
 var (
-	// ErrRefused: the node answered, and not with a success.
+	// ErrRefused is returned if the node responded with an error.
 	ErrRefused = errors.New("refused")
-	// ErrUnknown: the node can't tell whether the ticket was accepted.
+	// ErrUnknown is returned if the node doesn't know whether the ticket was accepted.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrUnreachable: no answer came.
+	// ErrUnreachable is returned if no complete response was received.
 	ErrUnreachable = errors.New("node not reached")
 )
 
-// maxAnswer bounds what the client reads of an answer.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits the size of a response that the client reads.
+const maxResponseBytes = 64 << 20
 
 // Client calls the operators' interface of one node.
 type Client struct {
-	// URL is the base, such as "http://127.0.0.1:7301".
+	// URL is the base URL, such as "http://127.0.0.1:7301".
 	URL  string
 	Key  string
 	HTTP *http.Client
 }
 
-// Do sends one call and decodes its answer into out, unless out is nil.
+// Do sends a request with the body in, and decodes the JSON response into out unless out is nil.
 func (c *Client) Do(ctx context.Context, method, path string, in []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(in))
 	if err != nil {
@@ -46,24 +46,24 @@
 		return fmt.Errorf("call %s: %v: %w", path, err, ErrUnreachable)
 	}
 	defer func() { _ = res.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("call %s: %v: %w", path, err, ErrUnreachable)
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("call %s: %w", path, problem(b, res.Status))
+		return fmt.Errorf("call %s: %w", path, responseError(b, res.Status))
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(b, out); err != nil {
-		return fmt.Errorf("call %s: decode answer: %w", path, err)
+		return fmt.Errorf("call %s: decode response: %w", path, err)
 	}
 	return nil
 }
 
-// problem returns what a refusal says.
-func problem(body []byte, status string) error {
+// responseError returns the error for a response with a status other than 200.
+func responseError(body []byte, status string) error {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil || p.Problem == "" {
 		return fmt.Errorf("%s: %w", status, ErrRefused)
--- a/internal/sageoperator/doc.go
+++ b/internal/sageoperator/doc.go
@@ -1,7 +1,7 @@
-// Package sageoperator is the operators' HTTP interface of a node, and a client for it.
+// Package sageoperator provides the operators' HTTP interface of a node, and a client for it.
 //
-// Paths below /v1/ need the operators' key as a bearer token. /metrics, /healthz and /readyz do not:
-// they tell numbers, never configuration.
+// Paths below /v1/ require the operators' key as a bearer token. /metrics, /healthz and /readyz don't, since they
+// expose no configuration.
 //
 // # Usage
 //
--- a/internal/sageoperator/server.go
+++ b/internal/sageoperator/server.go
@@ -26,37 +26,38 @@
 	stopTimeout    = 2 * time.Second
 )
 
-// Server answers operators. Its fields are set, and further handlers added, before Run.
+// Server serves the operators' interface. Its fields must be set, and other handlers added, before Run.
 type Server struct {
 	Listener net.Listener
 	Key      string
 	TLS      *tls.Config
 	Tickets  Tickets
-	// Ready says why this node is not ready, or nil.
+	// Ready returns nil if this node is ready, and otherwise the reason why it isn't.
 	Ready func() error
-	// Status is what GET /v1/status shows, as JSON.
+	// Status returns the response of GET /v1/status, which is encoded as JSON.
 	Status  func() any
 	State   func() *sageconfig.State
 	Metrics *metrics.Set
 	Log     sagelog.Logger
 
-	private http.ServeMux
+	protected http.ServeMux
 }
 
-// Handle adds a handler below the operators' key, with a pattern of [http.ServeMux].
-func (s *Server) Handle(pattern string, h http.Handler) { s.private.Handle(pattern, h) }
+// Handle registers a handler that requires the operators' key. The pattern must be below /v1/ and has the syntax of
+// [http.ServeMux].
+func (s *Server) Handle(pattern string, h http.Handler) { s.protected.Handle(pattern, h) }
 
-// handler returns the whole interface.
+// handler returns the handler for all paths.
 func (s *Server) handler() http.Handler {
-	s.private.HandleFunc("POST /v1/tickets", s.submit)
-	s.private.HandleFunc("GET /v1/tickets", s.history)
-	s.private.HandleFunc("GET /v1/tickets/{number}", s.ticketStatus)
-	s.private.HandleFunc("GET /v1/things/{kind}/{name}", s.thing)
-	s.private.HandleFunc("GET /v1/debug/profile", pprof.Profile)
-	s.private.HandleFunc("GET /v1/debug/heap", pprof.Handler("heap").ServeHTTP)
-	s.private.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, s.Status()) })
+	s.protected.HandleFunc("POST /v1/tickets", s.submit)
+	s.protected.HandleFunc("GET /v1/tickets", s.history)
+	s.protected.HandleFunc("GET /v1/tickets/{number}", s.ticketStatus)
+	s.protected.HandleFunc("GET /v1/things/{kind}/{name}", s.entry)
+	s.protected.HandleFunc("GET /v1/debug/profile", pprof.Profile)
+	s.protected.HandleFunc("GET /v1/debug/heap", pprof.Handler("heap").ServeHTTP)
+	s.protected.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, s.Status()) })
 	mux := http.NewServeMux()
-	mux.Handle("/v1/", sagepeer.RequireKey(s.Key, &s.private))
+	mux.Handle("/v1/", sagepeer.RequireKey(s.Key, &s.protected))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", s.ready)
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -74,40 +75,40 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// Problem is the body of every answer to an operator that is not a success.
+// Problem is the body of error responses.
 type Problem struct {
 	Problem string `json:"problem"`
-	// Outcome says what became of a submitted ticket; empty in other answers.
+	// Outcome is the outcome of a submitted ticket. It is empty in responses to other requests.
 	Outcome Outcome `json:"outcome,omitempty"`
 }
 
-// WriteJSON answers with v.
+// WriteJSON writes a response with the status code and v encoded as JSON.
 func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (s *Server) thing(w http.ResponseWriter, r *http.Request) {
-	t := sageconfig.EntryKey{Kind: sageconfig.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
-	if err := t.Check(); err != nil {
+func (s *Server) entry(w http.ResponseWriter, r *http.Request) {
+	key := sageconfig.EntryKey{Kind: sageconfig.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
+	if err := key.Check(); err != nil {
 		WriteJSON(w, http.StatusBadRequest, Problem{Problem: err.Error()})
 		return
 	}
 	st := s.State()
 	if st == nil {
-		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: "this node holds no configuration yet"})
+		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: "this node has no configuration yet"})
 		return
 	}
-	e, ok := st.Get(t)
+	e, ok := st.Get(key)
 	if !ok {
-		WriteJSON(w, http.StatusNotFound, Problem{Problem: "no ticket has touched " + t.String()})
+		WriteJSON(w, http.StatusNotFound, Problem{Problem: "no ticket has touched " + key.String()})
 		return
 	}
 	WriteJSON(w, http.StatusOK, e)
 }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	srv := &http.Server{
 		Handler:           s.handler(),
--- a/internal/sageoperator/ticket.go
+++ b/internal/sageoperator/ticket.go
@@ -13,26 +13,27 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// Outcome says what became of a submitted ticket.
+// Outcome is the outcome of a submitted ticket that wasn't accepted, or may not have been.
 type Outcome string
 
 // The outcomes other than acceptance.
 const (
-	// OutcomeRefused: the ticket itself can't be accepted; nothing of it was applied.
+	// OutcomeRefused means that the ticket is invalid or conflicts with the configuration. Nothing was applied.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeNotAccepted: the store can't be reached now; nothing of it was applied.
+	// OutcomeNotAccepted means that the store is currently unreachable. Nothing was applied.
 	OutcomeNotAccepted Outcome = "not_accepted"
-	// OutcomeUnknown: it may be in force. Submitting the same ticket again is safe and tells.
+	// OutcomeUnknown means that the ticket may be in force. Submitting the same ticket again is safe and shows
+	// whether it is.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// defaultHistory and maxHistory bound the tickets of one answer.
+// Default and maximum number of tickets in a response to GET /v1/tickets.
 const (
 	defaultHistory = 20
 	maxHistory     = 1000
 )
 
-// Tickets accepts change tickets and tells where they are in force.
+// Tickets accepts change tickets and reports their history and status.
 type Tickets interface {
 	Submit(ctx context.Context, t *sageconfig.Ticket) (sageticket.Accepted, error)
 	History(ctx context.Context, n int) ([]sageticket.Summary, error)
@@ -50,19 +51,19 @@
 		WriteJSON(w, http.StatusBadRequest, Problem{Problem: err.Error(), Outcome: OutcomeRefused})
 		return
 	}
-	acc, err := s.Tickets.Submit(r.Context(), t)
+	accepted, err := s.Tickets.Submit(r.Context(), t)
 	if err != nil {
-		code, outcome := submitFailure(err)
+		code, outcome := classifySubmitError(err)
 		WriteJSON(w, code, Problem{Problem: err.Error(), Outcome: outcome})
 		return
 	}
 	s.Log.Info("Ticket accepted.", "number", t.Number, "author", t.Author, "changes", len(t.Changes))
-	WriteJSON(w, http.StatusOK, acc)
+	WriteJSON(w, http.StatusOK, accepted)
 }
 
-// submitFailure tells apart what an operator must know: whether the ticket may be in force. An error
-// that is not known to say otherwise counts as unknown.
-func submitFailure(err error) (int, Outcome) {
+// classifySubmitError returns the status code and the outcome for an error of Submit. An error counts as unknown
+// unless it shows that the ticket isn't in force.
+func classifySubmitError(err error) (int, Outcome) {
 	switch {
 	case errors.Is(err, sageticket.ErrNotAccepted):
 		return http.StatusServiceUnavailable, OutcomeNotAccepted
@@ -88,12 +89,12 @@
 			return
 		}
 	}
-	ps, err := s.Tickets.History(r.Context(), n)
+	summaries, err := s.Tickets.History(r.Context(), n)
 	if err != nil {
 		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: err.Error()})
 		return
 	}
-	WriteJSON(w, http.StatusOK, ps)
+	WriteJSON(w, http.StatusOK, summaries)
 }
 
 func (s *Server) ticketStatus(w http.ResponseWriter, r *http.Request) {
--- a/internal/sageoperator/ticket_test.go
+++ b/internal/sageoperator/ticket_test.go
@@ -16,20 +16,20 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// scripted answers every submission with err.
-type scripted struct{ err error }
+// fakeTickets returns err from every call.
+type fakeTickets struct{ err error }
 
-func (s *scripted) Submit(_ context.Context, t *sageconfig.Ticket) (sageticket.Accepted, error) {
+func (s *fakeTickets) Submit(_ context.Context, t *sageconfig.Ticket) (sageticket.Accepted, error) {
 	return sageticket.Accepted{Number: t.Number, Revision: 3}, s.err
 }
 
-func (s *scripted) History(context.Context, int) ([]sageticket.Summary, error) { return nil, s.err }
+func (s *fakeTickets) History(context.Context, int) ([]sageticket.Summary, error) { return nil, s.err }
 
-func (s *scripted) Status(context.Context, uint64) (sageconfigd.TicketStatus, error) {
+func (s *fakeTickets) Status(context.Context, uint64) (sageconfigd.TicketStatus, error) {
 	return sageconfigd.TicketStatus{}, s.err
 }
 
-// serveTickets runs the interface on loopback.
+// serveTickets runs a server on loopback and returns a client for it.
 func serveTickets(t *testing.T, tickets Tickets) *Client {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,9 +44,9 @@
 	return &Client{URL: "http://" + l.Addr().String(), Key: "key", HTTP: http.DefaultClient}
 }
 
-// What an operator reads decides what the operator does next: a ticket called refused is handed in
-// with other content, though it may be in force. Only what says so for certain counts as refused.
-func TestSubmitFailure(t *testing.T) {
+// Prevents reporting a ticket as refused that may be in force: an operator would submit the number again with other
+// content. Only errors that rule out acceptance may count as refused.
+func TestClassifySubmitError(t *testing.T) {
 	for _, c := range []struct {
 		err     error
 		code    int
@@ -64,17 +64,17 @@
 		{errors.New("something else"), http.StatusBadGateway, OutcomeUnknown, ErrUnknown},
 	} {
 		err := fmt.Errorf("submit: %w", c.err)
-		code, outcome := submitFailure(err)
+		code, outcome := classifySubmitError(err)
 		assert.Equal(t, c.code, code, c.err)
 		assert.Equal(t, c.outcome, outcome, c.err)
-		client := serveTickets(t, &scripted{err: err})
+		client := serveTickets(t, &fakeTickets{err: err})
 		tk := &sageconfig.Ticket{Number: 1, Changes: []sageconfig.Change{{Key: sageconfig.EntryKey{Kind: sageconfig.KindOrder, Name: "a"}, Deleted: true}}}
 		assert.ErrorIs(t, client.Submit(t.Context(), tk), c.client, c.err)
 	}
 }
 
 func TestTicketCalls(t *testing.T) {
-	client := serveTickets(t, new(scripted))
+	client := serveTickets(t, new(fakeTickets))
 	var acc sageticket.Accepted
 	tk := `{"number":7,"changes":[{"thing":{"kind":"order","name":"a"},"deleted":true}]}`
 	require.NoError(t, client.Do(t.Context(), http.MethodPost, "/v1/tickets", []byte(tk), &acc))
@@ -86,6 +86,6 @@
 		err := client.Do(t.Context(), http.MethodGet, path, nil, nil)
 		assert.Equal(t, ok, err == nil, "%s: %v", path, err)
 	}
-	missing := serveTickets(t, &scripted{err: sageticket.ErrTicketNotFound})
+	missing := serveTickets(t, &fakeTickets{err: sageticket.ErrTicketNotFound})
 	assert.ErrorIs(t, missing.Do(t.Context(), http.MethodGet, "/v1/tickets/7", nil, nil), ErrRefused)
 }
