--- a/internal/sagepeer/doc.go
+++ b/internal/sagepeer/doc.go
@@ -1,12 +1,12 @@
-// Package sagepeer carries the calls between nodes: twirp over HTTP, every call authenticated.
+// Package sagepeer implements authenticated calls between nodes, using twirp over HTTP.
 //
-// With TLS settings, both sides present a certificate of the project's own authority. Without
-// them, every call carries a shared key read from a file; that protects against strangers who can
-// reach the port, not against somebody who reads the wire.
+// Every call carries a shared key. With TLS settings, both sides also present a certificate issued by the project's
+// own authority. Without TLS, the key protects against clients that can reach the port, but not against
+// eavesdroppers.
 //
 // # Usage
 //
-//	srv := &sagepeer.Server{Listen: addr, Key: key}
+//	srv := &sagepeer.Server{Listener: l, Key: key}
 //	srv.Mount(exchange.NewExchangeServer(impl))
 //	c := &sagepeer.Client{Key: key}
 //	ex := exchange.NewExchangeProtobufClient(c.URL(peerAddr), c.HTTP())
--- a/internal/sagepeer/peer_test.go
+++ b/internal/sagepeer/peer_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo is a mounted service that answers 204.
+// echo is a service that responds with status 204.
 type echo struct{}
 
 func (echo) PathPrefix() string                               { return "/twirp/echo/" }
@@ -44,7 +44,7 @@
 	return l.Addr().String()
 }
 
-func status(t *testing.T, c *Client, addr string) (int, error) {
+func callEcho(t *testing.T, c *Client, addr string) (int, error) {
 	t.Helper()
 	res, err := c.HTTP().Get(c.URL(addr) + "/twirp/echo/x")
 	if err != nil {
@@ -57,34 +57,34 @@
 func TestSharedKey(t *testing.T) {
 	addr := serve(t, "secret", nil)
 	good := &Client{Key: "secret"}
-	code, err := status(t, good, addr)
+	code, err := callEcho(t, good, addr)
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusNoContent, code)
 	assert.Positive(t, good.Bytes())
 	for _, key := range []string{"", "Secret", "secret1"} {
-		code, err = status(t, &Client{Key: key}, addr)
+		code, err = callEcho(t, &Client{Key: key}, addr)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusUnauthorized, code, "key %q", key)
 	}
 }
 
-// A stranger in the network holds the shared key but no certificate of the project's authority. The
-// handshake must fail, in both directions.
+// A client that has the shared key, but no certificate issued by the project's authority, must fail the TLS
+// handshake. So must a server with a certificate of another authority.
 func TestTLSNeedsOwnAuthority(t *testing.T) {
-	ours, theirs := authority(t), authority(t)
+	ours, theirs := newAuthority(t), newAuthority(t)
 	addr := serve(t, "secret", ours)
-	code, err := status(t, &Client{Key: "secret", TLS: ours}, addr)
+	code, err := callEcho(t, &Client{Key: "secret", TLS: ours}, addr)
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusNoContent, code)
-	_, err = status(t, &Client{Key: "secret", TLS: theirs}, addr)
+	_, err = callEcho(t, &Client{Key: "secret", TLS: theirs}, addr)
 	require.Error(t, err)
 	bare := &tls.Config{RootCAs: ours.RootCAs}
-	_, err = status(t, &Client{Key: "secret", TLS: bare}, addr)
+	_, err = callEcho(t, &Client{Key: "secret", TLS: bare}, addr)
 	require.Error(t, err)
 }
 
-// authority makes an authority and a certificate of it, and loads them from files.
-func authority(t *testing.T) *tls.Config {
+// newAuthority creates a self-signed authority and loads it from files as both certificate and authority.
+func newAuthority(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 	return cfg
 }
 
-func TestTrafficOfRequestsIsCountedApart(t *testing.T) {
+func TestRequestServiceBytesAreCountedSeparately(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := &Server{Listener: l, Key: "secret"}
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
-	_, err = status(t, &Client{Key: "secret"}, l.Addr().String())
+	_, err = callEcho(t, &Client{Key: "secret"}, l.Addr().String())
 	require.NoError(t, err)
 	cancel()
 	require.NoError(t, <-done)
--- a/internal/sagepeer/server.go
+++ b/internal/sagepeer/server.go
@@ -17,7 +17,7 @@
 	"sagestand.example/sagestand/internal/sagelog"
 )
 
-// Limits of a node's listener for calls of other nodes.
+// Limits of the server.
 const (
 	maxCallBytes   = 4 << 20
 	maxHeaderBytes = 16 << 10
@@ -25,13 +25,13 @@
 	stopTimeout    = 2 * time.Second
 )
 
-// Mountable is a twirp server: a handler that knows its path.
+// Mountable is a handler with a path prefix, such as a generated twirp server.
 type Mountable interface {
 	http.Handler
 	PathPrefix() string
 }
 
-// Server answers the calls of other nodes. Its fields are set, and its services mounted, before Run.
+// Server serves the calls of other nodes. Its fields must be set, and its services mounted, before Run.
 type Server struct {
 	Listener net.Listener
 	Key      string
@@ -40,65 +40,66 @@
 
 	mux   http.ServeMux
 	bytes atomic.Int64
-	// requests counts the connections of services mounted apart.
-	requests atomic.Int64
-	parts    map[string]*part
+	// requestBytes counts the bytes on connections to services mounted with MountRequestService.
+	requestBytes atomic.Int64
+	services     map[string]*serviceCounters
 }
 
-// part counts the calls of one service and the bytes of their bodies.
-type part struct {
+// serviceCounters counts the calls of one service and the bytes of their request and response bodies.
+type serviceCounters struct {
 	calls, bytes atomic.Int64
 }
 
-// MountApart adds a service whose traffic belongs to callers' requests, not to coordination: it
-// counts to [Server.RequestBytes]. With TLS it counts to [Server.Bytes] like any other.
-func (s *Server) MountRequestService(m Mountable) { s.mount(m, countedApart(m, &s.requests)) }
+// MountRequestService registers a service whose calls are part of handling callers' requests. Its traffic is counted
+// in [Server.RequestBytes] and not in [Server.Bytes]. With TLS, it is counted in [Server.Bytes] all the same.
+func (s *Server) MountRequestService(m Mountable) { s.mount(m, countAsRequests(m, &s.requestBytes)) }
 
-// Mount adds a service.
+// Mount registers a service.
 func (s *Server) Mount(m Mountable) { s.mount(m, m) }
 
 func (s *Server) mount(m Mountable, h http.Handler) {
-	if s.parts == nil {
-		s.parts = make(map[string]*part)
+	if s.services == nil {
+		s.services = make(map[string]*serviceCounters)
 	}
-	p := new(part)
-	s.parts[m.PathPrefix()] = p
+	p := new(serviceCounters)
+	s.services[m.PathPrefix()] = p
 	s.mux.Handle(m.PathPrefix(), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header()["Date"] = nil // nobody reads it, and it is longer than many answers
+		w.Header()["Date"] = nil // unused, and longer than many responses
 		p.calls.Add(1)
 		p.bytes.Add(max(0, r.ContentLength))
-		h.ServeHTTP(&countedWriter{ResponseWriter: w, bytes: &p.bytes}, r)
+		h.ServeHTTP(&countingWriter{ResponseWriter: w, bytes: &p.bytes}, r)
 	}))
 }
 
-// Export adds the calls and body bytes of each service to the metrics of the node.
+// Export registers gauges for the calls and body bytes of each service.
 func (s *Server) Export(set *metrics.Set) {
-	for prefix, p := range s.parts {
+	for prefix, p := range s.services {
 		set.NewGauge(fmt.Sprintf("sagestand_peer_calls_total{service=%q}", prefix), func() float64 { return float64(p.calls.Load()) })
 		set.NewGauge(fmt.Sprintf("sagestand_peer_body_bytes_total{service=%q}", prefix), func() float64 { return float64(p.bytes.Load()) })
 	}
 }
 
-// countedWriter counts the bytes of an answer's body.
-type countedWriter struct {
+// countingWriter counts the bytes of a response body.
+type countingWriter struct {
 	http.ResponseWriter
 	bytes *atomic.Int64
 }
 
 // Write implements [http.ResponseWriter].
-func (w *countedWriter) Write(b []byte) (int, error) {
+func (w *countingWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.bytes.Add(int64(n))
 	return n, err
 }
 
-// Bytes returns how many bytes the listener has read and written, but for [Server.RequestBytes].
+// Bytes returns the number of bytes read and written by the server, excluding [Server.RequestBytes].
 func (s *Server) Bytes() int64 { return s.bytes.Load() }
 
-// RequestBytes returns how many bytes the connections of services mounted apart have carried.
-func (s *Server) RequestBytes() int64 { return s.requests.Load() }
+// RequestBytes returns the number of bytes read and written on connections to services mounted with
+// MountRequestService.
+func (s *Server) RequestBytes() int64 { return s.requestBytes.Load() }
 
-// Run serves until ctx ends, then finishes the calls in hand.
+// Run serves calls until ctx ends, and then waits up to stopTimeout for calls in progress.
 func (s *Server) Run(ctx context.Context) error {
 	srv := &http.Server{
 		Handler:           http.MaxBytesHandler(RequireKey(s.Key, &s.mux), maxCallBytes),
@@ -107,7 +108,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       withConn,
 	}
-	var l net.Listener = &countedListener{Listener: s.Listener, bytes: &s.bytes}
+	var l net.Listener = &countingListener{Listener: s.Listener, bytes: &s.bytes}
 	if s.TLS != nil {
 		l = tls.NewListener(l, s.TLS)
 	}
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// RequireKey passes on only requests that carry the key as a bearer token.
+// RequireKey returns a handler that rejects requests without the key as a bearer token.
 func RequireKey(key string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sagepeer/tls.go
+++ b/internal/sagepeer/tls.go
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidCA reports a file of authorities without a usable certificate.
-var ErrInvalidCA = errors.New("no certificate in the authorities' file")
+// ErrInvalidCA is returned for a CA file without a usable certificate.
+var ErrInvalidCA = errors.New("no certificate in the CA file")
 
-// LoadTLS reads a node's certificate and the project's own authority. Both directions require a
-// certificate of that authority; the system's authorities count for nothing.
+// LoadTLS reads a node's certificate and the certificate of the project's own authority. Clients and servers must
+// present a certificate issued by that authority. The system's root certificates are not trusted.
 func LoadTLS(certFile, keyFile, caFile string) (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
-		return nil, fmt.Errorf("load authorities: %w", err)
+		return nil, fmt.Errorf("load CA file: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
