--- a/internal/sagesettings/check.go
+++ b/internal/sagesettings/check.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Check returns every fault of the values. The shapes are those of the types.
+// Validate returns an error for each invalid value.
 func (s *Settings) Validate() FieldErrors {
 	var f FieldErrors
 	s.checkNode(&f)
@@ -16,7 +16,7 @@
 	s.checkRules(&f)
 	for i, o := range s.Objectives {
 		path := fmt.Sprintf("objectives[%d].", i)
-		f.filled(path+"account", o.Account)
+		f.required(path+"account", o.Account)
 		f.positive(path+"latency_millis", int64(o.LatencyMillis))
 		if o.Target <= 0 || o.Target >= 1 {
 			f.add(path+"target", "have %v, want above 0 and below 1", o.Target)
@@ -26,24 +26,24 @@
 }
 
 func (s *Settings) checkNode(f *FieldErrors) {
-	f.filled("node.name", s.Node.Name)
-	f.filled("node.data_centre", s.Node.DataCentre)
-	f.address("listen.entry", s.Listen.Entry)
-	f.address("listen.peer", s.Listen.Peer)
-	f.address("listen.operator", s.Listen.Operator)
+	f.required("node.name", s.Node.Name)
+	f.required("node.data_centre", s.Node.DataCentre)
+	f.ipPort("listen.entry", s.Listen.Entry)
+	f.ipPort("listen.peer", s.Listen.Peer)
+	f.ipPort("listen.operator", s.Listen.Operator)
 	u, err := url.Parse(s.Platform.URL)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		f.add("platform.url", "have %q, want http://host:port or https://host:port", s.Platform.URL)
 	}
 	for i, seed := range s.Seeds {
-		f.address(fmt.Sprintf("seeds[%d].peer", i), seed.Peer)
-		f.filled(fmt.Sprintf("seeds[%d].data_centre", i), seed.DataCentre)
+		f.ipPort(fmt.Sprintf("seeds[%d].peer", i), seed.Peer)
+		f.required(fmt.Sprintf("seeds[%d].data_centre", i), seed.DataCentre)
 	}
 }
 
 func (s *Settings) checkFiles(f *FieldErrors) {
-	f.filled("keys.peer_file", s.Keys.PeerFile)
-	f.filled("keys.operator_file", s.Keys.OperatorFile)
+	f.required("keys.peer_file", s.Keys.PeerFile)
+	f.required("keys.operator_file", s.Keys.OperatorFile)
 	n := 0
 	for _, p := range []string{s.TLS.CertFile, s.TLS.KeyFile, s.TLS.CAFile} {
 		if p != "" {
@@ -101,7 +101,7 @@
 	f.positive("claims.collect_millis", int64(s.Claims.CollectMillis))
 }
 
-func (f *FieldErrors) filled(path, s string) {
+func (f *FieldErrors) required(path, s string) {
 	if s == "" {
 		f.add(path, "missing")
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (f *FieldErrors) address(path, s string) {
+func (f *FieldErrors) ipPort(path, s string) {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		f.add(path, "have %q, want IP:port", s)
--- a/internal/sagesettings/decode.go
+++ b/internal/sagesettings/decode.go
@@ -15,20 +15,20 @@
 )
 
 // ErrInvalidSettings is wrapped by every [FieldErrors].
-var ErrInvalidSettings = errors.New("settings are not usable")
+var ErrInvalidSettings = errors.New("invalid settings")
 
-// FieldError is one thing wrong with the settings.
+// FieldError describes an invalid field of the settings.
 type FieldError struct {
-	// Path names the field, such as "limits.body_bytes" or "seeds[1].peer".
+	// Path is the path of the field, such as "limits.body_bytes" or "seeds[1].peer".
 	Path string `json:"path"`
-	// Problem says what is wrong and what is wanted.
+	// Problem describes the error and the expected value.
 	Problem string `json:"problem"`
 }
 
-// FieldErrors lists everything wrong with the settings.
+// FieldErrors lists all errors in the settings.
 type FieldErrors []FieldError
 
-// Error joins all faults in one line.
+// Error returns all errors in one line.
 func (f FieldErrors) Error() string {
 	parts := make([]string, len(f))
 	for i, x := range f {
@@ -40,8 +40,7 @@
 // Unwrap returns [ErrInvalidSettings].
 func (f FieldErrors) Unwrap() error { return ErrInvalidSettings }
 
-// Load reads, decodes and checks a settings file. Fields that the file leaves out keep their
-// [Default].
+// Load reads, decodes and validates a settings file. Fields that the file omits have their values in [Default].
 func Load(path string) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -50,19 +49,19 @@
 	return Decode(b)
 }
 
-// Decode decodes and checks settings. The error is a [FieldErrors] that holds every fault.
+// Decode decodes and validates settings. The error is a [FieldErrors] that lists all errors.
 func Decode(b []byte) (Settings, error) {
 	s := Default()
-	faults := decodeInto(b, &s)
-	faults = append(faults, s.Validate()...)
-	if len(faults) > 0 {
-		return Settings{}, faults
+	fieldErrs := decodeInto(b, &s)
+	fieldErrs = append(fieldErrs, s.Validate()...)
+	if len(fieldErrs) > 0 {
+		return Settings{}, fieldErrs
 	}
 	return s, nil
 }
 
-// decodeInto decodes strictly, collecting unknown fields and wrong types, and leaves out of s what
-// it can't decode.
+// decodeInto decodes b into s and returns an error for each unknown field and each value of the wrong type. Fields
+// that can't be decoded are left unchanged.
 func decodeInto(b []byte, s *Settings) FieldErrors {
 	var raw any
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -73,9 +72,9 @@
 	if _, err := d.Token(); err != io.EOF {
 		return FieldErrors{{Path: "settings", Problem: "data after the JSON value"}}
 	}
-	var faults FieldErrors
-	set(&faults, "", raw, reflect.ValueOf(s).Elem())
-	return faults
+	var fieldErrs FieldErrors
+	setValue(&fieldErrs, "", raw, reflect.ValueOf(s).Elem())
+	return fieldErrs
 }
 
 func (f *FieldErrors) add(path, format string, args ...any) {
@@ -85,8 +84,8 @@
 	*f = append(*f, FieldError{Path: path, Problem: fmt.Sprintf(format, args...)})
 }
 
-// set stores the decoded value raw in v.
-func set(f *FieldErrors, path string, raw any, v reflect.Value) {
+// setValue stores the decoded JSON value raw in v.
+func setValue(f *FieldErrors, path string, raw any, v reflect.Value) {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		setText(f, path, raw, u)
 		return
@@ -101,7 +100,7 @@
 			v.SetString(s)
 			return
 		}
-		f.add(path, "want a string, have %s", kindOf(raw))
+		f.add(path, "want a string, have %s", jsonKind(raw))
 	case reflect.Int, reflect.Int64:
 		setInt(f, path, raw, v)
 	case reflect.Float64:
@@ -111,7 +110,7 @@
 				return
 			}
 		}
-		f.add(path, "want a number, have %s", kindOf(raw))
+		f.add(path, "want a number, have %s", jsonKind(raw))
 	default:
 		f.add(path, "settings can't hold a %s", v.Kind())
 	}
@@ -120,7 +119,7 @@
 func setText(f *FieldErrors, path string, raw any, u encoding.TextUnmarshaler) {
 	s, ok := raw.(string)
 	if !ok {
-		f.add(path, "want a string, have %s", kindOf(raw))
+		f.add(path, "want a string, have %s", jsonKind(raw))
 		return
 	}
 	if err := u.UnmarshalText([]byte(s)); err != nil {
@@ -131,7 +130,7 @@
 func setInt(f *FieldErrors, path string, raw any, v reflect.Value) {
 	n, ok := raw.(json.Number)
 	if !ok {
-		f.add(path, "want a whole number, have %s", kindOf(raw))
+		f.add(path, "want a whole number, have %s", jsonKind(raw))
 		return
 	}
 	x, err := n.Int64()
@@ -145,19 +144,19 @@
 func setSlice(f *FieldErrors, path string, raw any, v reflect.Value) {
 	list, ok := raw.([]any)
 	if !ok {
-		f.add(path, "want a list, have %s", kindOf(raw))
+		f.add(path, "want a list, have %s", jsonKind(raw))
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
 	for i, x := range list {
-		set(f, fmt.Sprintf("%s[%d]", path, i), x, v.Index(i))
+		setValue(f, fmt.Sprintf("%s[%d]", path, i), x, v.Index(i))
 	}
 }
 
 func setStruct(f *FieldErrors, path string, raw any, v reflect.Value) {
 	m, ok := raw.(map[string]any)
 	if !ok {
-		f.add(path, "want an object, have %s", kindOf(raw))
+		f.add(path, "want an object, have %s", jsonKind(raw))
 		return
 	}
 	if path != "" {
@@ -168,7 +167,7 @@
 		name := v.Type().Field(i).Tag.Get("json")
 		known[name] = true
 		if x, ok := m[name]; ok {
-			set(f, path+name, x, v.Field(i))
+			setValue(f, path+name, x, v.Field(i))
 		}
 	}
 	var unknown []string
@@ -183,7 +182,7 @@
 	}
 }
 
-func kindOf(raw any) string {
+func jsonKind(raw any) string {
 	switch raw.(type) {
 	case nil:
 		return "null"
--- a/internal/sagesettings/doc.go
+++ b/internal/sagesettings/doc.go
@@ -1,14 +1,14 @@
-// Package sagesettings reads and checks the settings of one node, a JSON file.
+// Package sagesettings reads and validates the JSON settings file of a node.
 //
-// Decoding is strict: unknown fields and wrong types are faults. Reading doesn't stop at the first
-// fault; [Load] returns all of them in one [FieldErrors], each with the path of its field.
+// Decoding is strict: unknown fields and values of the wrong type are errors. Instead of stopping at the first error,
+// [Load] returns all of them as [FieldErrors], each with the path of its field.
 //
 // # Usage
 //
 //	cfg, err := sagesettings.Load("node.json")
-//	var faults sagesettings.FieldErrors
-//	if errors.As(err, &faults) {
-//		for _, f := range faults {
+//	var fieldErrs sagesettings.FieldErrors
+//	if errors.As(err, &fieldErrs) {
+//		for _, f := range fieldErrs {
 //			fmt.Println(f.Path, f.Problem)
 //		}
 //	}
--- a/internal/sagesettings/page_test.go
+++ b/internal/sagesettings/page_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The page is made from the type; this fails when a field changed and the page did not.
+// docs/SETTINGS.md must be generated again whenever a field or a default changes.
 func TestPageIsUpToDate(t *testing.T) {
 	b, err := os.ReadFile("../../docs/SETTINGS.md")
 	require.NoError(t, err)
--- a/internal/sagesettings/settings.go
+++ b/internal/sagesettings/settings.go
@@ -2,7 +2,7 @@
 
 import "sagestand.example/sagestand/pkg/sagewire"
 
-// Settings is the whole settings file of a node.
+// Settings is the content of the settings file of a node.
 type Settings struct {
 	Node       Node        `json:"node" doc:"who this node is"`
 	Listen     Listen      `json:"listen" doc:"addresses this node listens on"`
@@ -21,7 +21,7 @@
 	Objectives []Objective `json:"objectives" doc:"service levels that report burn measures against"`
 }
 
-// Node says who this node is.
+// Node identifies this node.
 type Node struct {
 	Name       string `json:"name" doc:"unique name of this node"`
 	DataCentre string `json:"data_centre" doc:"data centre this node stands in"`
@@ -35,31 +35,31 @@
 	Operator string `json:"operator" doc:"operators, metrics and health, as IP:port"`
 }
 
-// Platform says where the platform's service is.
+// Platform locates the platform's service.
 type Platform struct {
 	URL string `json:"url" doc:"base of the Object API, such as http://10.0.0.5:7000"`
 }
 
-// Seed is a node to talk to first.
+// Seed is a node that others contact when they start.
 type Seed struct {
 	Peer       string `json:"peer" doc:"its address for nodes, as IP:port"`
 	DataCentre string `json:"data_centre" doc:"its data centre"`
 }
 
-// Keys names the files that hold keys.
+// Keys holds the paths of the key files.
 type Keys struct {
 	PeerFile     string `json:"peer_file" doc:"shared key of the nodes"`
 	OperatorFile string `json:"operator_file" doc:"key of the operators"`
 }
 
-// TLS names the certificate files; all three are set or none.
+// TLS holds the paths of the certificate files. Either all three are set or none.
 type TLS struct {
 	CertFile string `json:"cert_file" doc:"this node's certificate, PEM"`
 	KeyFile  string `json:"key_file" doc:"its private key, PEM"`
 	CAFile   string `json:"ca_file" doc:"the project's own authority, PEM"`
 }
 
-// Limits bounds what callers may do.
+// Limits limits callers' requests.
 type Limits struct {
 	BodyBytes        int64 `json:"body_bytes" doc:"greatest body of a request"`
 	HeaderBytes      int   `json:"header_bytes" doc:"greatest size of a request's headers"`
@@ -71,21 +71,21 @@
 	HeldAnswersBytes int   `json:"held_answers_bytes" doc:"memory for answers held for repeats"`
 }
 
-// Locate bounds the answers to callers that ask where to connect.
+// Locate configures the responses to callers that ask for the addresses of nodes to connect to.
 type Locate struct {
 	ValidMillis int `json:"valid_millis" doc:"how long a caller may keep an answer"`
 	Addresses   int `json:"addresses" doc:"addresses in an answer"`
 }
 
-// Stop bounds the graceful stop.
+// Stop configures the graceful stop.
 type Stop struct {
 	WithinMillis int `json:"within_millis" doc:"requests still running this long after a stop began are cut"`
 }
 
-// IsolatedRule names what a node does that can't confirm its configuration.
+// IsolatedRule determines how a node serves requests while it can't confirm that its configuration is current.
 type IsolatedRule string
 
-// The rules for isolated nodes.
+// The rules for isolated nodes; see sagesync.IsolationPolicy.
 const (
 	IsolatedFence      IsolatedRule = "fence"
 	IsolatedIdempotent IsolatedRule = "idempotent_only"
@@ -93,19 +93,19 @@
 	IsolatedQuorum     IsolatedRule = "quorum"
 )
 
-// Isolated is the rule and when it starts to apply.
+// Isolated holds the rule for isolated nodes and the time after which it applies.
 type Isolated struct {
 	Rule        IsolatedRule `json:"rule" doc:"quorum, fence, idempotent_only or serve"`
 	AfterMillis int          `json:"after_millis" doc:"time without confirmation after which the rule applies"`
 }
 
-// Placement bounds load across upstreams.
+// Placement configures the load bound of upstreams and the validity of placement tokens.
 type Placement struct {
 	LoadBound        float64 `json:"load_bound" doc:"greatest load of an upstream as a multiple of the mean"`
 	TokenValidMillis int     `json:"token_valid_millis" doc:"how long a placement token counts"`
 }
 
-// Allotments holds the periods of in-flight allotments.
+// Allotments configures the in-flight allotments of upstreams.
 type Allotments struct {
 	GrantMillis     int `json:"grant_millis" doc:"how long a granted share of an upstream's limit lasts"`
 	PromiseMillis   int `json:"promise_millis" doc:"how long a node that recognised an upstream's home recognises no other"`
@@ -114,19 +114,19 @@
 	RampCompletions int `json:"ramp_completions" doc:"completed requests after which a cold engine gets one more at once"`
 }
 
-// Retry is the retry budget.
+// Retry configures the retry budget.
 type Retry struct {
 	Ratio    float64 `json:"ratio" doc:"retries allowed for each request"`
 	Attempts int     `json:"attempts" doc:"greatest number of attempts of one request"`
 }
 
-// Claims bounds idempotency keys.
+// Claims configures the claims of idempotency keys.
 type Claims struct {
 	RetentionMillis int `json:"retention_millis" doc:"age beyond which a key is refused"`
 	CollectMillis   int `json:"collect_millis" doc:"how long claims are collected for one write"`
 }
 
-// Objective is a service level of an account and priority.
+// Objective is a service-level objective for an account and a priority.
 type Objective struct {
 	Account       string            `json:"account" doc:"client account, * for each"`
 	Priority      sagewire.Priority `json:"priority" doc:"urgent, normal or bulk"`
@@ -134,7 +134,7 @@
 	Target        float64           `json:"target" doc:"part of requests that must be good, such as 0.99"`
 }
 
-// Default returns settings with every limit set and no address.
+// Default returns settings with every limit set, but no addresses.
 func Default() Settings {
 	return Settings{
 		Limits: Limits{
@@ -155,7 +155,7 @@
 	}
 }
 
-// Example returns complete settings of a first node on loopback.
+// Example returns complete settings for a node on loopback.
 func Example() Settings {
 	s := Default()
 	s.Node = Node{Name: "vm1", DataCentre: "derby", Region: "east_midlands"}
--- a/internal/sagesettings/settings_test.go
+++ b/internal/sagesettings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func example(t *testing.T) map[string]any {
+func exampleMap(t *testing.T) map[string]any {
 	t.Helper()
 	b, err := json.Marshal(Example())
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 	assert.Equal(t, Example(), s)
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	sub := func(m map[string]any, name string) map[string]any {
 		v, _ := m[name].(map[string]any)
 		return v
@@ -47,24 +47,24 @@
 		{"priority", func(m map[string]any) {
 			m["objectives"] = []any{map[string]any{"account": "*", "priority": "soon", "latency_millis": 1, "target": 0.5}}
 		}, []string{`objectives[0].priority: priority "soon" (want urgent, normal or bulk): unknown priority`}},
-		{"half of tls", func(m map[string]any) { sub(m, "tls")["key_file"] = "k" }, []string{"tls: want all of cert_file, key_file and ca_file, or none"}},
-		{"two at once", func(m map[string]any) {
+		{"incomplete tls", func(m map[string]any) { sub(m, "tls")["key_file"] = "k" }, []string{"tls: want all of cert_file, key_file and ca_file, or none"}},
+		{"two errors", func(m map[string]any) {
 			sub(m, "retry")["ratio"] = 2
 			sub(m, "isolated")["rule"] = "hope"
 		}, []string{`isolated.rule: have "hope", want quorum, fence, idempotent_only or serve`, "retry.ratio: have 2, want 0 to 1"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m := example(t)
+			m := exampleMap(t)
 			tt.change(m)
 			b, err := json.Marshal(m)
 			require.NoError(t, err)
 			_, err = Decode(b)
 			require.ErrorIs(t, err, ErrInvalidSettings)
-			var faults FieldErrors
-			require.True(t, errors.As(err, &faults))
+			var fieldErrs FieldErrors
+			require.True(t, errors.As(err, &fieldErrs))
 			var got []string
-			for _, f := range faults {
+			for _, f := range fieldErrs {
 				got = append(got, f.Path+": "+f.Problem)
 			}
 			assert.Equal(t, tt.want, got)
