--- a/internal/sagedispatch/doc.go
+++ b/internal/sagedispatch/doc.go
@@ -39,7 +39,7 @@
 //	if res.Abort {
 //		panic(http.ErrAbortHandler)
 //	}
-//	if !res.Started {
+//	if !res.ResponseStarted {
 //		... // start another attempt, or send res.Refusal to the caller
 //	}
 package sagedispatch
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -57,7 +57,7 @@
 	at       time.Time
 }
 
-// Run sends heartbeats until ctx ends, and then announces that the process has stopped.
+// Run advances the heartbeat every HeartbeatPeriod until ctx ends, and then announces that the process has stopped.
 func (s *Service) Run(ctx context.Context) error {
 	s.registerMetrics()
 	s.Table.AddSeeds(s.Seeds...)
--- a/internal/sagenode/members.go
+++ b/internal/sagenode/members.go
@@ -21,7 +21,7 @@
 const (
 	heartbeatPeriod = time.Second
 	listTimeout     = 5 * time.Second
-	// leavePropagation is the time by which every connected node has received the news that this one is leaving.
+	// leavePropagation is the time within which the leave announcement reaches every connected node.
 	leavePropagation = 10 * time.Second
 )
 
--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -187,7 +187,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.address+"/v1/orders", bytes.NewReader(b))
 	if err != nil {
-		return fmt.Errorf("make order: %w", err)
+		return fmt.Errorf("make request: %w", err)
 	}
 	// Disable the automatic retry of net/http on a broken connection, which would bypass the lease check.
 	req.GetBody = nil
--- a/internal/sageplacement/group.go
+++ b/internal/sageplacement/group.go
@@ -109,7 +109,7 @@
 }
 
 // cacheGeneration combines an upstream's boot id with its cache generation. Engines count generations from zero
-// after each start, so without the boot id a restarted engine would seem to hold what it has lost.
+// after each start, so without the boot id a restarted engine would seem to have its previous cache contents.
 func cacheGeneration(v sageload.View) uint64 {
 	return xxhash.Sum64String(v.BootID) + v.CacheGeneration
 }
--- a/internal/sageplacement/load.go
+++ b/internal/sageplacement/load.go
@@ -13,7 +13,8 @@
 type Load interface {
 	// View returns what this node knows about an upstream's load.
 	View(upstream string) sageload.View
-	// Acquire takes one unit of this node's in-flight allotment and reports whether one was free.
+	// Acquire takes one unit of this node's in-flight allotment, which permits one request in flight, and reports
+	// whether one was free.
 	Acquire(upstream string, now time.Time) bool
 	// Release returns a unit taken by Acquire.
 	Release(upstream string, now time.Time, completed bool)
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -19,7 +19,7 @@
 	// maxCachedLocations limits the chats whose location is remembered for callers that send no placement token.
 	// They take 1 MB.
 	maxCachedLocations = 1 << 14
-	// maxContextWidths limits the contexts whose width is remembered.
+	// maxContextWidths limits the contexts whose width, the number of engines they are spread over, is remembered.
 	maxContextWidths = 1 << 10
 	// maxGrantWait limits the wait for a unit of an upstream with spare capacity. It covers several grant
 	// requests.
--- a/internal/sagesettings/check.go
+++ b/internal/sagesettings/check.go
@@ -69,7 +69,7 @@
 	f.positive("locate.addresses", int64(s.Locate.Addresses))
 	f.positive("stop.within_millis", int64(s.Stop.WithinMillis))
 	if s.Stop.WithinMillis <= s.Locate.ValidMillis {
-		f.add("stop.within_millis", "have %d, want more than locate.valid_millis (%d), since kept answers must be honoured", s.Stop.WithinMillis, s.Locate.ValidMillis)
+		f.add("stop.within_millis", "have %d, want more than locate.valid_millis (%d), for which callers may keep using this node's address", s.Stop.WithinMillis, s.Locate.ValidMillis)
 	}
 }
 
@@ -120,7 +120,7 @@
 		return
 	}
 	if net.ParseIP(host) == nil {
-		f.add(path, "have host %q, want an IP number", host)
+		f.add(path, "have host %q, want an IP address", host)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 {
 		f.add(path, "have port %q, want 1 to 65535", port)
--- a/internal/sagesettings/settings_test.go
+++ b/internal/sagesettings/settings_test.go
@@ -42,7 +42,7 @@
 		{"wrong type", func(m map[string]any) { sub(m, "limits")["in_flight"] = "many" }, []string{"limits.in_flight: want a whole number, have a string"}},
 		{"fraction", func(m map[string]any) { sub(m, "limits")["in_flight"] = 1.5 }, []string{"limits.in_flight: want a whole number, have 1.5"}},
 		{"list for object", func(m map[string]any) { m["node"] = []any{} }, []string{"node: want an object, have a list", "node.name: missing", "node.data_centre: missing"}},
-		{"host name", func(m map[string]any) { sub(m, "listen")["entry"] = "vm1:80" }, []string{`listen.entry: have host "vm1", want an IP number`}},
+		{"host name", func(m map[string]any) { sub(m, "listen")["entry"] = "vm1:80" }, []string{`listen.entry: have host "vm1", want an IP address`}},
 		{"port", func(m map[string]any) { sub(m, "listen")["peer"] = "127.0.0.1:0" }, []string{`listen.peer: have port "0", want 1 to 65535`}},
 		{"priority", func(m map[string]any) {
 			m["objectives"] = []any{map[string]any{"account": "*", "priority": "soon", "latency_millis": 1, "target": 0.5}}
