--- a/cmd/sagebench/chaos.go
+++ b/cmd/sagebench/chaos.go
@@ -19,7 +19,7 @@
 		Short:   "Kill, freeze and replace routers and fail the platform under load, with real processes",
 		Long:    "chaos runs a fleet of real processes under mixed load while it breaks one thing after another. It exits 0 only\nif no answer was wrong, no booking ran twice, and what callers were told about bookings is true.",
 		Example: "  sagebench chaos --seconds 20 --seed 3 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			r.Until = time.Now().Add(time.Duration(seconds) * time.Second)
 			r.Progress = c.ErrOrStderr()
--- a/cmd/sagebench/confirm.go
+++ b/cmd/sagebench/confirm.go
@@ -17,13 +17,13 @@
 		Short:   "Confirm the measures exit and churn with real processes",
 		Long:    "confirm runs a fleet of real processes under load for some 20 seconds. SCENARIO is exit (a data centre is taken\nout of service and brought back) or churn (engines are killed and started again). It exits 0 only if no answer\nwas wrong, no booking ran twice and a data centre out of service began no new work.",
 		Example: "  sagebench confirm exit --seed 3 --output json",
-		Args:    sagecli.Exactly("SCENARIO"),
+		Args:    sagecli.ExactArgs("SCENARIO"),
 		RunE: func(c *cobra.Command, args []string) error {
 			r.Scenario = sageconfirm.Scenario(args[0])
 			sum, err := r.Do(c.Context())
 			perr := out.Print(c.OutOrStdout(), sum, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "%s: %d requests: complete %d, not_run %d, unknown %d, already_run %d, broken off %d, wrong %d; cached %.3f of prompt tokens; %d engines killed; begun in the left data centre %d, then %d\n",
-					sum.Scenario, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.Wrong, sum.CacheReuse(), sum.Kills, sum.Before, sum.After)
+					sum.Scenario, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.Wrong, sum.CacheReuse(), sum.Kills, sum.BegunInForce, sum.BegunAtReturn)
 				for _, p := range sum.Problems {
 					_, _ = fmt.Fprintln(w, "seen: "+p)
 				}
--- a/cmd/sagebench/cost.go
+++ b/cmd/sagebench/cost.go
@@ -11,12 +11,12 @@
 )
 
 func costCommand(out *sagecli.Output) *cobra.Command {
-	m := new(sagecost.Measure)
+	m := new(sagecost.Measurement)
 	c := &cobra.Command{
 		Use:     "cost",
 		Short:   "Measure what one router costs, with real processes",
 		Example: "  sagebench cost --calls 2000 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if m.Calls < 100 {
 				return fmt.Errorf("%w: --calls %d: want at least 100", sagecli.ErrUsage, m.Calls)
--- a/cmd/sagebench/measure.go
+++ b/cmd/sagebench/measure.go
@@ -20,7 +20,7 @@
 		Short:   "Run a measurement of the decision code in virtual time",
 		Long:    "measure runs the real decision code over small fakes in virtual time, from seeds, and prints a table with\nmedian and range. The same seed gives the same figures, but for claims, which runs in real time.\nMeasures: " + names + ".",
 		Example: "  sagebench measure churn --seed 1 --seeds 5\n  sagebench measure skew --seed 1 --output json",
-		Args:    sagecli.Exactly("NAME"),
+		Args:    sagecli.ExactArgs("NAME"),
 		RunE: func(c *cobra.Command, args []string) error {
 			f, ok := sagemeasure.Lookup(args[0])
 			if !ok {
--- a/cmd/sagebench/pairs.go
+++ b/cmd/sagebench/pairs.go
@@ -17,7 +17,7 @@
 		Short:   "Compare two versions by the reports of the same days",
 		Long:    "pairs reads the reports (*.json) that two directories hold under the same names and prints the mean differences of\nworth, parts and prices, with their spread and standard error.",
 		Example: "  sagebench pairs reports/before reports/after",
-		Args:    sagecli.Exactly("BEFORE", "AFTER"),
+		Args:    sagecli.ExactArgs("BEFORE", "AFTER"),
 		RunE: func(c *cobra.Command, args []string) error {
 			pairs, err := readPairs(args[0], args[1])
 			if err != nil {
--- a/cmd/sagebench/path.go
+++ b/cmd/sagebench/path.go
@@ -18,11 +18,11 @@
 		Use:   "path",
 		Short: "Check the whole path with real processes, a line per step",
 		Long:  "path starts the stand-ins and three routers as processes of their own on loopback, sends chats and bookings\nthrough them, and checks every answer. It needs the program sagestand, by default beside itself.",
-		Args:  sagecli.Exactly(),
+		Args:  sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			steps, err := p.Run(c.Context(), func(s sagepath.Step) {
 				if out.Format == "text" {
-					_, _ = fmt.Fprintf(c.OutOrStdout(), "path: %-10s %-4s %s\n", s.Name, s.Verdict(), s.Detail)
+					_, _ = fmt.Fprintf(c.OutOrStdout(), "path: %-10s %-4s %s\n", s.Name, s.Status(), s.Detail)
 				}
 			})
 			if perr := out.Print(c.OutOrStdout(), steps, func(io.Writer) {}); perr != nil {
--- a/cmd/sagebench/scale.go
+++ b/cmd/sagebench/scale.go
@@ -11,12 +11,12 @@
 )
 
 func scaleCommand(out *sagecli.Output) *cobra.Command {
-	m := new(sagescale.Measure)
+	m := new(sagescale.Measurement)
 	c := &cobra.Command{
 		Use:     "scale",
 		Short:   "Measure what coordination costs with many real router processes",
 		Example: "  sagebench scale --nodes 50 --engines 300 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if m.Nodes < 1 || m.Nodes > 200 {
 				return fmt.Errorf("%w: --nodes %d: want 1 to 200", sagecli.ErrUsage, m.Nodes)
@@ -31,8 +31,8 @@
 				_, _ = fmt.Fprintf(w, "CPU %% of a core a node   mean %.2f, max %.2f\n", f.CPUPercent.Mean, f.CPUPercent.Max)
 				_, _ = fmt.Fprintf(w, "memory MB a node         mean %.1f, max %.1f\n", f.RSSMegabytes.Mean, f.RSSMegabytes.Max)
 				_, _ = fmt.Fprintf(w, "store calls/s            %v\n", f.StoreCallsPerSecond)
-				_, _ = fmt.Fprintf(w, "ticket in force          p50 %.0f ms, p99 %.0f ms, max %.0f ms, never %d\n", f.InForce.P50, f.InForce.P99, f.InForce.Max, f.InForce.Never)
-				_, _ = fmt.Fprintf(w, "the same, store out      p50 %.0f ms, p99 %.0f ms, max %.0f ms, never %d\n", f.InForceStoreOut.P50, f.InForceStoreOut.P99, f.InForceStoreOut.Max, f.InForceStoreOut.Never)
+				_, _ = fmt.Fprintf(w, "ticket in force          p50 %.0f ms, p99 %.0f ms, max %.0f ms, never %d\n", f.InForce.P50, f.InForce.P99, f.InForce.Max, f.InForce.NotReached)
+				_, _ = fmt.Fprintf(w, "the same, store out      p50 %.0f ms, p99 %.0f ms, max %.0f ms, never %d\n", f.InForceStoreOut.P50, f.InForceStoreOut.P99, f.InForceStoreOut.Max, f.InForceStoreOut.NotReached)
 			})
 		},
 	}
@@ -41,7 +41,7 @@
 	c.Flags().IntVar(&m.Engines, "engines", 48, "number of engines, all inside this process")
 	c.Flags().IntVar(&m.GrantMillis, "grant-millis", 0, "period of grants and promises of allotments; 0 for the default")
 	c.Flags().IntVar(&m.Seeds, "seeds", 0, "nodes in the seeds of the settings; 0 for all")
-	c.Flags().IntVar(&m.Settle, "settle", 8, "seconds to wait before figures are taken")
-	c.Flags().IntVar(&m.Seconds, "seconds", 10, "how long figures at rest are taken")
+	c.Flags().IntVar(&m.SettleSeconds, "settle", 8, "seconds to wait before figures are taken")
+	c.Flags().IntVar(&m.RestSeconds, "seconds", 10, "how long figures at rest are taken")
 	return c
 }
--- a/cmd/sagebench/soak.go
+++ b/cmd/sagebench/soak.go
@@ -31,7 +31,7 @@
 		Short:   "Break what is around real nodes at random and check what callers and upstreams see",
 		Long:    "soak starts nodes as processes on loopback, between stand-ins of the platform, and injects the faults that a seed\nchooses: signals, upstreams and a store that break, a network that delays, resets, silences or cuts one way.",
 		Example: "  sagebench soak --seed 7 --seconds 10\n  sagebench soak --seed 1 --seeds 50\n  sagebench soak --calm",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			failed := 0
 			for n := seed; n < seed+seeds; n++ {
--- a/cmd/sagebench/standin.go
+++ b/cmd/sagebench/standin.go
@@ -23,7 +23,7 @@
 	p := new(sagestandin.Platform)
 	var listen string
 	c := &cobra.Command{
-		Use: "platform", Short: "Object API, VM list and weight store", Args: sagecli.Exactly(),
+		Use: "platform", Short: "Object API, VM list and weight store", Args: sagecli.ExactArgs(),
 		Example: "  sagebench standin platform --listen 127.0.0.1:7000 --writes 400 --reads 2000",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return serveStandin(c.Context(), listen, p.Handler())
@@ -42,7 +42,7 @@
 	e := new(sagestandin.Engine)
 	var listen string
 	c := &cobra.Command{
-		Use: "engine", Short: "Model engine", Args: sagecli.Exactly(),
+		Use: "engine", Short: "Model engine", Args: sagecli.ExactArgs(),
 		Example: "  sagebench standin engine --listen 127.0.0.1:9001 --name engine1",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return serveStandin(c.Context(), listen, e.Handler())
@@ -66,7 +66,7 @@
 	a := new(sagestandin.Application)
 	var listen string
 	c := &cobra.Command{
-		Use: "application", Short: "Application service that counts executions", Args: sagecli.Exactly(),
+		Use: "application", Short: "Application service that counts executions", Args: sagecli.ExactArgs(),
 		Example: "  sagebench standin application --listen 127.0.0.1:9101 --name application1",
 		RunE: func(c *cobra.Command, _ []string) error {
 			return serveStandin(c.Context(), listen, a.Handler())
--- a/cmd/sagebench/trace.go
+++ b/cmd/sagebench/trace.go
@@ -22,7 +22,7 @@
 		Use:     "replay FILE",
 		Short:   "Replay a trace on a system in this process and compare the outcomes",
 		Example: "  sagebench replay internal/sagetrace/testdata/lost_answer.json",
-		Args:    sagecli.Exactly("FILE"),
+		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := sagetrace.Load(args[0])
 			if err != nil {
@@ -60,7 +60,7 @@
 		Use:     "record",
 		Short:   "Record a trace of one user's workload from real processes",
 		Example: "  sagebench record --user haller --requests 200 --millis 3000 --file haller.json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			t, err := sagetrace.Generate(user, requests, millis, seed)
 			if err != nil {
--- a/cmd/sagestand/demo.go
+++ b/cmd/sagestand/demo.go
@@ -19,7 +19,7 @@
 		Short:   "Run the whole system in this process, under load, and judge it",
 		Long:    "demo starts platform, engines and applications (stand-ins) and three routers on loopback, sends chats and\nbookings, takes a data centre out and back by ticket, and prints what came of every request. It exits 0 only if\nnothing was lost, nothing ran twice and no answer was crossed.",
 		Example: "  sagestand demo --seconds 10\n  sagestand demo --seconds 10 --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if seconds < 1 {
 				return fmt.Errorf("%w: --seconds %d: want at least 1", sagecli.ErrUsage, seconds)
--- a/cmd/sagestand/report.go
+++ b/cmd/sagestand/report.go
@@ -27,7 +27,7 @@
 		Use:     "burn",
 		Short:   "Error-budget burn per client account and priority, over several windows",
 		Example: "  sagestand report burn --key-file operator.key\n  sagestand report burn --plot burn.svg",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			raw, err := f.get(c.Context(), "/v1/report/burn")
 			if err != nil {
--- a/cmd/sagestand/serve.go
+++ b/cmd/sagestand/serve.go
@@ -19,7 +19,7 @@
 		Use:     "serve --settings FILE",
 		Short:   "Run the daemon until SIGTERM, then stop gracefully",
 		Example: "  sagestand serve --settings node.json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			cfg, err := load(path)
 			if err != nil {
--- a/cmd/sagestand/settings.go
+++ b/cmd/sagestand/settings.go
@@ -23,7 +23,7 @@
 		Use:     "check FILE",
 		Short:   "Report every fault of a settings file at once",
 		Example: "  sagestand settings check node.json",
-		Args:    sagecli.Exactly("FILE"),
+		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := sagesettings.Load(args[0])
 			var faults sagesettings.FieldErrors
@@ -61,7 +61,7 @@
 		Use:     "example",
 		Short:   "Print complete settings of a first node",
 		Example: "  sagestand settings example > node.json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			e := json.NewEncoder(c.OutOrStdout())
 			e.SetIndent("", "  ")
@@ -78,7 +78,7 @@
 		Use:     "page",
 		Short:   "Print docs/SETTINGS.md from the type",
 		Example: "  sagestand settings page > docs/SETTINGS.md",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := io.WriteString(c.OutOrStdout(), sagesettings.MarkdownPage())
 			return err
--- a/cmd/sagestand/status.go
+++ b/cmd/sagestand/status.go
@@ -22,7 +22,7 @@
 		Use:     "status",
 		Short:   "Show what a node knows and does",
 		Example: "  sagestand status --node http://127.0.0.1:7301 --key-file operator.key --output json",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			raw, err := f.get(c.Context(), "/v1/status")
 			if err != nil {
@@ -53,7 +53,7 @@
 		Use:     "locate",
 		Short:   "Ask an entry address where a chat should connect",
 		Example: "  sagestand locate --entry 127.0.0.1:7101 --key-file account.key --chat chat-42",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			key, err := os.ReadFile(keyFile)
 			if err != nil {
@@ -84,7 +84,7 @@
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
-		Args:  sagecli.Exactly(),
+		Args:  sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return out.Print(c.OutOrStdout(), map[string]string{"version": version, "go": runtime.Version()}, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "sagestand %s (%s)\n", version, runtime.Version())
--- a/cmd/sagestand/ticket.go
+++ b/cmd/sagestand/ticket.go
@@ -32,7 +32,7 @@
 		Use:     "submit FILE",
 		Short:   "Submit a ticket; exit 0 only if it is accepted",
 		Example: "  sagestand ticket submit exit-derby.json --node http://127.0.0.1:7301 --key-file operator.key",
-		Args:    sagecli.Exactly("FILE"),
+		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			b, err := os.ReadFile(args[0])
 			if err != nil {
@@ -72,7 +72,7 @@
 		Use:     "status NUMBER",
 		Short:   "Show on which nodes a ticket is in force, where not, and since when",
 		Example: "  sagestand ticket status 17",
-		Args:    sagecli.Exactly("NUMBER"),
+		Args:    sagecli.ExactArgs("NUMBER"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
 				return fmt.Errorf("%w: %q: want the number of a ticket", sagecli.ErrUsage, args[0])
@@ -107,7 +107,7 @@
 		Use:     "list",
 		Short:   "List the newest accepted tickets",
 		Example: "  sagestand ticket list --count 50",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var ps []sageticket.Summary
 			if err := f.call(c.Context(), http.MethodGet, "/v1/tickets?n="+strconv.Itoa(count), nil, &ps); err != nil {
@@ -129,7 +129,7 @@
 		Use:     "show KIND/NAME",
 		Short:   "Show the state of a thing and the ticket that set it",
 		Example: "  sagestand ticket show data_centre/derby",
-		Args:    sagecli.Exactly("KIND/NAME"),
+		Args:    sagecli.ExactArgs("KIND/NAME"),
 		RunE: func(c *cobra.Command, args []string) error {
 			t, err := sageconfig.ParseEntryKey(args[0])
 			if err != nil {
--- a/cmd/sagestand/unknown.go
+++ b/cmd/sagestand/unknown.go
@@ -28,7 +28,7 @@
 		Use:     "list",
 		Short:   "List the requests that a person has to settle",
 		Example: "  sagestand unknown list --key-file operator.key",
-		Args:    sagecli.Exactly(),
+		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			var list []sageclaim.Record
 			if err := f.call(c.Context(), http.MethodGet, "/v1/unknown", nil, &list); err != nil {
@@ -54,7 +54,7 @@
 		Use:     "settle KEY CLAIM",
 		Short:   "Say whether a listed request ran; after --not-run its key can be used again",
 		Example: "  sagestand unknown settle 1764700000123-box-17 5f0c… --account haller --ran",
-		Args:    sagecli.Exactly("KEY", "CLAIM"),
+		Args:    sagecli.ExactArgs("KEY", "CLAIM"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if account == "" || ran == notRun {
 				return fmt.Errorf("%w: want --account and one of --ran and --not-run", sagecli.ErrUsage)
--- a/internal/sagecaller/caller.go
+++ b/internal/sagecaller/caller.go
@@ -19,8 +19,8 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrNoEntry reports that no entry address answered.
-var ErrNoEntry = errors.New("no entry address answered")
+// ErrEntryUnavailable reports that no entry address answered.
+var ErrEntryUnavailable = errors.New("no entry address answered")
 
 // Caller is one client of the system. Its exported fields are set before first use.
 type Caller struct {
@@ -29,7 +29,7 @@
 	Key     string
 	HTTP    *http.Client
 	// Fixed, when set, is the only address used: the caller does not ask where to connect.
-	Fixed string
+	FixedEntry string
 
 	mu    sync.Mutex
 	kept  map[string]sagelocate.Answer
@@ -38,22 +38,22 @@
 
 // Options of one request.
 type Options struct {
-	Chat           string
+	ChatID         string
 	Context        string
 	Priority       sagewire.Priority
 	Deadline       time.Time
 	IdempotencyKey string
 }
 
-// End is how a request ended, as its caller saw it.
-type End struct {
+// Result is how a request ended, as its caller saw it.
+type Result struct {
 	// Outcome is the outcome told; empty when the connection broke without one.
 	Outcome sagewire.Outcome
 	Refusal *sagewire.Refusal
 	// Wrong says how a complete answer differs from the one that belongs to the request.
-	Wrong string
+	Mismatch string
 	// Lost says why no outcome was told.
-	Lost         error
+	Err          error
 	Entry        string
 	Upstream     string
 	FirstByteAt  time.Time
@@ -64,8 +64,8 @@
 
 // Locate returns the entry addresses for a chat, from the kept answer while it is valid.
 func (c *Caller) Locate(ctx context.Context, chat string) ([]string, error) {
-	if c.Fixed != "" {
-		return []string{c.Fixed}, nil
+	if c.FixedEntry != "" {
+		return []string{c.FixedEntry}, nil
 	}
 	now := time.Now()
 	c.mu.Lock()
@@ -74,7 +74,7 @@
 	if ok && now.Before(p.ValidUntil) {
 		return p.Addresses, nil
 	}
-	last := ErrNoEntry
+	last := ErrEntryUnavailable
 	for _, addr := range c.Entries {
 		p, err := c.ask(ctx, addr, chat)
 		if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // Forget drops the kept answer for a chat, as a caller does whose addresses all fail.
-func (c *Caller) Forget(chat string) {
+func (c *Caller) ForgetAddresses(chat string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.kept, chat)
@@ -112,28 +112,28 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return p, fmt.Errorf("ask %s: %s: %w", addr, res.Status, ErrNoEntry)
+		return p, fmt.Errorf("ask %s: %s: %w", addr, res.Status, ErrEntryUnavailable)
 	}
 	if err := json.NewDecoder(res.Body).Decode(&p); err != nil {
 		return p, fmt.Errorf("ask %s: %w", addr, err)
 	}
 	if len(p.Addresses) == 0 {
-		return p, fmt.Errorf("ask %s: empty answer: %w", addr, ErrNoEntry)
+		return p, fmt.Errorf("ask %s: empty answer: %w", addr, ErrEntryUnavailable)
 	}
 	return p, nil
 }
 
 // Chat sends one chat request and checks its answer.
-func (c *Caller) Chat(ctx context.Context, chat *sagestandin.ChatRequest, opt Options) End {
+func (c *Caller) Chat(ctx context.Context, chat *sagestandin.ChatRequest, opt Options) Result {
 	body, err := json.Marshal(chat)
 	if err != nil {
-		return End{Lost: err}
+		return Result{Err: err}
 	}
 	var want string
 	for _, t := range sagestandin.Tokens(chat) {
 		want += t
 	}
-	return c.send(ctx, http.MethodPost, "/v1/chat/completions", body, opt, func(res *http.Response, e *End) {
+	return c.send(ctx, http.MethodPost, "/v1/chat/completions", body, opt, func(res *http.Response, e *Result) {
 		if chat.Stream {
 			readStream(res.Body, want, e)
 			return
@@ -143,21 +143,21 @@
 }
 
 // Service sends one service call and checks that the answer echoes it.
-func (c *Caller) Service(ctx context.Context, method, path string, body []byte, opt Options) End {
-	return c.send(ctx, method, "/v1/services/"+path, body, opt, func(res *http.Response, e *End) {
+func (c *Caller) Service(ctx context.Context, method, path string, body []byte, opt Options) Result {
+	return c.send(ctx, method, "/v1/services/"+path, body, opt, func(res *http.Response, e *Result) {
 		b, err := io.ReadAll(res.Body)
 		e.FirstByteAt = time.Now()
 		if err != nil {
-			e.Lost = fmt.Errorf("read answer: %w", err)
+			e.Err = fmt.Errorf("read answer: %w", err)
 			return
 		}
 		var a sagestandin.ServiceAnswer
 		if err := json.Unmarshal(b, &a); err != nil {
-			e.Wrong = "not the service's answer: " + err.Error()
+			e.Mismatch = "not the service's answer: " + err.Error()
 			return
 		}
 		if a.Echo != string(body) || a.Key != opt.IdempotencyKey {
-			e.Wrong = fmt.Sprintf("answer to %q with key %q", a.Echo, a.Key)
+			e.Mismatch = fmt.Sprintf("answer to %q with key %q", a.Echo, a.Key)
 		}
 	})
 }
@@ -165,37 +165,37 @@
 // send tries the located addresses in turn until one can be connected to. An address that took the
 // request and then failed ends the try: only an idempotent caller may go on, and this one leaves
 // that decision to its user.
-func (c *Caller) send(ctx context.Context, method, path string, body []byte, opt Options, read func(*http.Response, *End)) End {
-	addrs, err := c.Locate(ctx, opt.Chat)
+func (c *Caller) send(ctx context.Context, method, path string, body []byte, opt Options, read func(*http.Response, *Result)) Result {
+	addrs, err := c.Locate(ctx, opt.ChatID)
 	if err != nil {
-		return End{Lost: err, EndedAt: time.Now()}
+		return Result{Err: err, EndedAt: time.Now()}
 	}
-	var e End
+	var e Result
 	for _, addr := range addrs {
 		e = c.sendTo(ctx, addr, method, path, body, opt, read)
-		if !errors.Is(e.Lost, errNotConnected) {
+		if !errors.Is(e.Err, errNotConnected) {
 			break
 		}
 	}
-	if e.Lost != nil {
-		c.Forget(opt.Chat)
+	if e.Err != nil {
+		c.ForgetAddresses(opt.ChatID)
 	}
 	e.EndedAt = time.Now()
 	return e
 }
 
-func (c *Caller) sendTo(ctx context.Context, addr, method, path string, body []byte, opt Options, read func(*http.Response, *End)) End {
-	e := End{Entry: addr}
+func (c *Caller) sendTo(ctx context.Context, addr, method, path string, body []byte, opt Options, read func(*http.Response, *Result)) Result {
+	e := Result{Entry: addr}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		e.Lost = err
+		e.Err = err
 		return e
 	}
 	req.GetBody = nil
 	c.setHeader(req.Header, opt)
 	res, err := c.HTTP.Do(req)
 	if err != nil {
-		e.Lost = classify(err)
+		e.Err = classify(err)
 		return e
 	}
 	defer func() { _ = res.Body.Close() }()
@@ -203,12 +203,12 @@
 	e.PromptTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderPromptTokens))
 	e.CachedTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderCachedTokens))
 	if t := res.Header.Get(sagewire.HeaderPlacement); t != "" {
-		c.keepToken(opt.Chat, t)
+		c.keepToken(opt.ChatID, t)
 	}
 	e.Outcome = sagewire.Outcome(res.Header.Get(sagewire.HeaderOutcome))
 	if e.Outcome == sagewire.Complete || (e.Outcome == "" && res.StatusCode == http.StatusOK) {
 		read(res, &e)
-		if e.Outcome == "" && e.Lost == nil {
+		if e.Outcome == "" && e.Err == nil {
 			e.Outcome = sagewire.Outcome(res.Trailer.Get(sagewire.HeaderOutcome))
 		}
 		return e
@@ -224,7 +224,7 @@
 		}
 	}
 	set("Authorization", "Bearer "+c.Key)
-	set(sagewire.HeaderChat, opt.Chat)
+	set(sagewire.HeaderChat, opt.ChatID)
 	set(sagewire.HeaderContext, opt.Context)
 	set(sagewire.HeaderPriority, opt.Priority.String())
 	set(sagewire.HeaderIdempotencyKey, opt.IdempotencyKey)
@@ -232,7 +232,7 @@
 		set(sagewire.HeaderDeadline, opt.Deadline.Format(time.RFC3339Nano))
 	}
 	c.mu.Lock()
-	set(sagewire.HeaderPlacement, c.token[opt.Chat])
+	set(sagewire.HeaderPlacement, c.token[opt.ChatID])
 	c.mu.Unlock()
 }
 
--- a/internal/sagecaller/read.go
+++ b/internal/sagecaller/read.go
@@ -30,10 +30,10 @@
 	return err
 }
 
-func readRefusal(res *http.Response, e *End) {
+func readRefusal(res *http.Response, e *Result) {
 	b, err := io.ReadAll(io.LimitReader(res.Body, 1<<20))
 	if err != nil {
-		e.Outcome, e.Lost = "", fmt.Errorf("read refusal: %w", err)
+		e.Outcome, e.Err = "", fmt.Errorf("read refusal: %w", err)
 		return
 	}
 	ref, err := sagewire.DecodeRefusal(b)
@@ -41,34 +41,34 @@
 		if e.Outcome == sagewire.AlreadyRun {
 			return // the stored answer of the first run
 		}
-		e.Wrong = fmt.Sprintf("status %d with no refusal: %v", res.StatusCode, err)
+		e.Mismatch = fmt.Sprintf("status %d with no refusal: %v", res.StatusCode, err)
 		return
 	}
 	if ref.Outcome != e.Outcome {
-		e.Wrong = fmt.Sprintf("header says %q, body %q", e.Outcome, ref.Outcome)
+		e.Mismatch = fmt.Sprintf("header says %q, body %q", e.Outcome, ref.Outcome)
 	}
 	e.Refusal = ref
 }
 
-func readWhole(body io.Reader, want string, e *End) {
+func readWhole(body io.Reader, want string, e *Result) {
 	b, err := io.ReadAll(body)
 	e.FirstByteAt = time.Now()
 	if err != nil {
-		e.Lost = fmt.Errorf("read answer: %w", err)
+		e.Err = fmt.Errorf("read answer: %w", err)
 		return
 	}
 	var a sagestandin.ChatAnswer
 	if err := json.Unmarshal(b, &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Message == nil {
-		e.Wrong = "not a chat answer"
+		e.Mismatch = "not a chat answer"
 		return
 	}
 	if got := a.Choices[0].Message.Content; got != want {
-		e.Wrong = fmt.Sprintf("answer %.40q, want %.40q", got, want)
+		e.Mismatch = fmt.Sprintf("answer %.40q, want %.40q", got, want)
 	}
 }
 
 // readStream reads server-sent events to the end mark or to an explicit error event.
-func readStream(body io.Reader, want string, e *End) {
+func readStream(body io.Reader, want string, e *Result) {
 	var got strings.Builder
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, 1<<20)
@@ -92,28 +92,28 @@
 		if data == "[DONE]" {
 			e.Outcome = sagewire.Complete
 			if got.String() != want {
-				e.Wrong = fmt.Sprintf("stream %.40q, want %.40q", got.String(), want)
+				e.Mismatch = fmt.Sprintf("stream %.40q, want %.40q", got.String(), want)
 			}
 			return
 		}
 		var a sagestandin.ChatAnswer
 		if err := json.Unmarshal([]byte(data), &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Delta == nil {
-			e.Wrong = "not a chat event"
+			e.Mismatch = "not a chat event"
 			return
 		}
 		got.WriteString(a.Choices[0].Delta.Content)
 	}
 	e.Outcome = ""
-	e.Lost = errNoEnd
+	e.Err = errNoEnd
 	if err := sc.Err(); err != nil {
-		e.Lost = fmt.Errorf("%v: %w", err, errNoEnd)
+		e.Err = fmt.Errorf("%v: %w", err, errNoEnd)
 	}
 }
 
-func readErrorEvent(data string, e *End) {
+func readErrorEvent(data string, e *Result) {
 	ref, err := sagewire.DecodeRefusal([]byte(data))
 	if err != nil {
-		e.Outcome, e.Wrong = "", "error event without a refusal: "+err.Error()
+		e.Outcome, e.Mismatch = "", "error event without a refusal: "+err.Error()
 		return
 	}
 	e.Outcome, e.Refusal = ref.Outcome, ref
--- a/internal/sagechaos/sagechaos.go
+++ b/internal/sagechaos/sagechaos.go
@@ -26,8 +26,8 @@
 	"sagestand.example/sagestand/internal/sageworkload"
 )
 
-// ErrBroken reports that a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated reports that a promise was broken.
+var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 // Shape of the run.
 const (
@@ -72,7 +72,7 @@
 	}
 }
 
-// Do runs the load and the faults. It returns [ErrBroken], with the summary, if a promise was broken.
+// Do runs the load and the faults. It returns [ErrGuaranteeViolated], with the summary, if a promise was broken.
 func (r *Run) Do(ctx context.Context) (Summary, error) {
 	dir, err := os.MkdirTemp("", "sagestand-chaos")
 	if err != nil {
@@ -103,13 +103,13 @@
 	return r.sum, r.sum.check()
 }
 
-// check returns [ErrBroken] if a promise was broken. Lost requests are those that broke off in
+// check returns [ErrGuaranteeViolated] if a promise was broken. Lost requests are those that broke off in
 // sight of their callers.
 func (s *Summary) check() error {
 	if bad := s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; bad == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrBroken)
+	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // faults breaks one thing after another while the load goes on, and mends each.
--- a/internal/sagecli/sagecli.go
+++ b/internal/sagecli/sagecli.go
@@ -35,8 +35,8 @@
 // ExitHelp describes the exit codes in a command's help.
 const ExitHelp = `Exit codes: 0 success, 1 failure, 2 usage, 3 settings, 4 refused by the node, 5 node not reached.`
 
-// Code returns the exit code for err.
-func Code(err error) int {
+// ExitCode returns the exit code for err.
+func ExitCode(err error) int {
 	switch {
 	case err == nil:
 		return ExitOK
@@ -68,11 +68,11 @@
 		}
 		_, _ = fmt.Fprintf(os.Stderr, "%s: %s\n", root.Name(), strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	return Code(err)
+	return ExitCode(err)
 }
 
-// Exactly requires n arguments, each named in the message.
-func Exactly(names ...string) cobra.PositionalArgs {
+// ExactArgs requires n arguments, each named in the message.
+func ExactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
 			return fmt.Errorf("%w: want %s, have %d arguments (see %s --help)", ErrUsage, strings.Join(names, " "), len(args), c.CommandPath())
--- a/internal/sageconfirm/doc.go
+++ b/internal/sageconfirm/doc.go
@@ -5,6 +5,6 @@
 //
 // # Usage
 //
-//	c := &sageconfirm.Run{Scenario: sageconfirm.Exit, Sagestand: "bin/sagestand", Sagebench: "bin/sagebench"}
+//	c := &sageconfirm.Run{Scenario: sageconfirm.ScenarioExit, Sagestand: "bin/sagestand", Sagebench: "bin/sagebench"}
 //	sum, err := c.Do(ctx)
 package sageconfirm
--- a/internal/sageconfirm/run.go
+++ b/internal/sageconfirm/run.go
@@ -18,8 +18,8 @@
 
 // Errors of this package.
 var (
-	ErrScenario = errors.New("unknown scenario")
-	ErrBroken   = errors.New("a promise was broken")
+	ErrUnknownScenario   = errors.New("unknown scenario")
+	ErrGuaranteeViolated = errors.New("a promise was broken")
 )
 
 // Scenario names what happens under the load.
@@ -27,8 +27,8 @@
 
 // The scenarios.
 const (
-	Exit  Scenario = "exit"
-	Churn Scenario = "churn"
+	ScenarioExit  Scenario = "exit"
+	ScenarioChurn Scenario = "churn"
 )
 
 // Shape of a run.
@@ -56,19 +56,19 @@
 	Kills int `json:"kills"`
 	// Before counts the requests that the left data centre had begun when inForce was over, After when
 	// it was about to return.
-	Before uint64 `json:"begun_when_in_force"`
-	After  uint64 `json:"begun_at_return"`
+	BegunInForce  uint64 `json:"begun_when_in_force"`
+	BegunAtReturn uint64 `json:"begun_at_return"`
 }
 
-// Check returns [ErrBroken] if a caller got a wrong answer, a booking ran twice, or a data centre
+// Check returns [ErrGuaranteeViolated] if a caller got a wrong answer, a booking ran twice, or a data centre
 // out of service began new work.
 func (s *Summary) Check() error {
 	if s.Wrong+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
 		return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w",
-			s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrBroken)
+			s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 	}
-	if s.After != s.Before {
-		return fmt.Errorf("%d requests begun in a data centre out of service: %w", s.After-s.Before, ErrBroken)
+	if s.BegunAtReturn != s.BegunInForce {
+		return fmt.Errorf("%d requests begun in a data centre out of service: %w", s.BegunAtReturn-s.BegunInForce, ErrGuaranteeViolated)
 	}
 	return nil
 }
@@ -85,11 +85,11 @@
 }
 
 // Do starts the fleet, runs the load with the scenario and returns what came of it, with an error
-// that wraps [ErrBroken] if a promise was broken.
+// that wraps [ErrGuaranteeViolated] if a promise was broken.
 func (r *Run) Do(ctx context.Context) (Summary, error) {
-	steps, ok := map[Scenario]func(context.Context) error{Exit: r.exit, Churn: r.churn}[r.Scenario]
+	steps, ok := map[Scenario]func(context.Context) error{ScenarioExit: r.exit, ScenarioChurn: r.churn}[r.Scenario]
 	if !ok {
-		return r.sum, fmt.Errorf("confirm %q: %w", r.Scenario, ErrScenario)
+		return r.sum, fmt.Errorf("confirm %q: %w", r.Scenario, ErrUnknownScenario)
 	}
 	dir, err := os.MkdirTemp("", "sagestand-confirm")
 	if err != nil {
@@ -124,19 +124,19 @@
 func (r *Run) exit(ctx context.Context) error {
 	out, back := time.Now().Add(phase), time.Now().Add(2*phase)
 	sleepUntil(ctx, out)
-	if err := r.fleet.Submit(ctx, 0, sagefleet.ServiceTicket(2, dataCentres[0], false)); err != nil {
+	if err := r.fleet.Submit(ctx, 0, sagefleet.DataCentreTicket(2, dataCentres[0], false)); err != nil {
 		return fmt.Errorf("exit: %w", err)
 	}
 	sleepUntil(ctx, out.Add(inForce))
 	var err error
-	if r.sum.Before, err = r.begun(ctx); err != nil {
+	if r.sum.BegunInForce, err = r.begun(ctx); err != nil {
 		return err
 	}
 	sleepUntil(ctx, back)
-	if r.sum.After, err = r.begun(ctx); err != nil {
+	if r.sum.BegunAtReturn, err = r.begun(ctx); err != nil {
 		return err
 	}
-	if err := r.fleet.Submit(ctx, 0, sagefleet.ServiceTicket(3, dataCentres[0], true)); err != nil {
+	if err := r.fleet.Submit(ctx, 0, sagefleet.DataCentreTicket(3, dataCentres[0], true)); err != nil {
 		return fmt.Errorf("return: %w", err)
 	}
 	return nil
--- a/internal/sagecost/doc.go
+++ b/internal/sagecost/doc.go
@@ -7,6 +7,6 @@
 //
 // # Usage
 //
-//	m := &sagecost.Measure{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Calls: 2000}
+//	m := &sagecost.Measurement{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Calls: 2000}
 //	fig, err := m.Run(ctx)
 package sagecost
--- a/internal/sagecost/sagecost.go
+++ b/internal/sagecost/sagecost.go
@@ -25,8 +25,8 @@
 	settle       = 2 * time.Second
 )
 
-// Figures is the result.
-type Figures struct {
+// Results is the result.
+type Results struct {
 	Calls             int     `json:"calls"`
 	DirectP50Micros   float64 `json:"direct_p50_micros"`
 	DirectP99Micros   float64 `json:"direct_p99_micros"`
@@ -42,18 +42,18 @@
 	RSSUnderLoadBytes int64   `json:"rss_under_load_bytes"`
 }
 
-// Measure is one measurement. Its fields are set before Run.
-type Measure struct {
+// Measurement is one measurement. Its fields are set before Run.
+type Measurement struct {
 	Sagestand string
 	Sagebench string
 	Calls     int
 
 	fleet *sagefleet.Fleet
-	fig   Figures
+	fig   Results
 }
 
 // Run measures one router before one engine and one application.
-func (m *Measure) Run(ctx context.Context) (Figures, error) {
+func (m *Measurement) Run(ctx context.Context) (Results, error) {
 	dir, err := os.MkdirTemp("", "sagestand-cost")
 	if err != nil {
 		return m.fig, fmt.Errorf("cost: %w", err)
@@ -74,10 +74,10 @@
 	return m.fig, nil
 }
 
-func (m *Measure) usage() (Usage, error) { return ReadUsage(m.fleet.Nodes[0].PID()) }
+func (m *Measurement) usage() (Usage, error) { return ReadUsage(m.fleet.Nodes[0].PID()) }
 
 // rest reads the memory of a router that serves nothing.
-func (m *Measure) rest(context.Context) error {
+func (m *Measurement) rest(context.Context) error {
 	time.Sleep(settle)
 	u, err := m.usage()
 	m.fig.RSSAtRestBytes = u.RSS
@@ -85,7 +85,7 @@
 }
 
 // latency times single calls, directly and routed, one after another.
-func (m *Measure) latency(ctx context.Context) error {
+func (m *Measurement) latency(ctx context.Context) error {
 	app := m.fleet.Layout.Upstreams[1].Address // the one engine comes first
 	entry := m.fleet.Layout.Nodes[0].Listen.Entry
 	direct, err := m.times(ctx, "http://"+app+"/reservations")
@@ -120,12 +120,12 @@
 		return fmt.Errorf("call: %w", err)
 	}
 	if res.StatusCode != http.StatusOK || !bytes.Contains(b, []byte(`"path"`)) {
-		return fmt.Errorf("call: %s: %s: %w", res.Status, b, sagecaller.ErrNoEntry)
+		return fmt.Errorf("call: %s: %s: %w", res.Status, b, sagecaller.ErrEntryUnavailable)
 	}
 	return nil
 }
 
-func (m *Measure) times(ctx context.Context, url string) ([]time.Duration, error) {
+func (m *Measurement) times(ctx context.Context, url string) ([]time.Duration, error) {
 	h := &http.Client{}
 	out := make([]time.Duration, 0, m.Calls)
 	for range m.Calls {
@@ -146,7 +146,7 @@
 }
 
 // throughput sends calls side by side and reads the router's processor time for them.
-func (m *Measure) throughput(ctx context.Context) error {
+func (m *Measurement) throughput(ctx context.Context) error {
 	before, err := m.usage()
 	if err != nil {
 		return err
@@ -181,24 +181,24 @@
 }
 
 // tokens streams long answers side by side and reads the router's processor time for them.
-func (m *Measure) tokens(ctx context.Context) error {
+func (m *Measurement) tokens(ctx context.Context) error {
 	before, err := m.usage()
 	if err != nil {
 		return err
 	}
-	ends := make([]sagecaller.End, streams)
+	ends := make([]sagecaller.Result, streams)
 	var wg sync.WaitGroup
 	for i := range streams {
 		wg.Go(func() {
 			c := &sagecaller.Caller{Entries: m.fleet.Layout.Entries(), Key: sagefleet.AccountKey, HTTP: &http.Client{Transport: &http.Transport{}}}
 			chat := &sagestandin.ChatRequest{Model: sagefleet.Model, Stream: true, MaxTokens: streamTokens, Messages: []sagestandin.Message{{Role: "user", Content: fmt.Sprint("stream ", i)}}}
-			ends[i] = c.Chat(ctx, chat, sagecaller.Options{Chat: fmt.Sprint("chat-", i)})
+			ends[i] = c.Chat(ctx, chat, sagecaller.Options{ChatID: fmt.Sprint("chat-", i)})
 		})
 	}
 	wg.Wait()
 	for _, e := range ends {
-		if e.Outcome != sagewire.Complete || e.Wrong != "" || e.Lost != nil {
-			return fmt.Errorf("stream ended %q, %s, %v: %w", e.Outcome, e.Wrong, e.Lost, sagecaller.ErrNoEntry)
+		if e.Outcome != sagewire.Complete || e.Mismatch != "" || e.Err != nil {
+			return fmt.Errorf("stream ended %q, %s, %v: %w", e.Outcome, e.Mismatch, e.Err, sagecaller.ErrEntryUnavailable)
 		}
 	}
 	after, err := m.usage()
--- a/internal/sagecost/usage.go
+++ b/internal/sagecost/usage.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBadUsage reports process figures that can't be read.
-var ErrBadUsage = errors.New("malformed process figures")
+// ErrInvalidStat reports process figures that can't be read.
+var ErrInvalidStat = errors.New("malformed process figures")
 
 // ticksPerSecond is the unit of processor time in /proc; it is 100 on every Linux in use.
 const ticksPerSecond = 100
@@ -32,12 +32,12 @@
 	_, rest, ok := strings.Cut(string(b), ") ")
 	f := strings.Fields(rest)
 	if !ok || len(f) < 22 {
-		return Usage{}, fmt.Errorf("stat of %d: %w", pid, ErrBadUsage)
+		return Usage{}, fmt.Errorf("stat of %d: %w", pid, ErrInvalidStat)
 	}
 	var n [3]int64
 	for i, field := range []int{11, 12, 21} {
 		if n[i], err = strconv.ParseInt(f[field], 10, 64); err != nil {
-			return Usage{}, fmt.Errorf("stat of %d: %v: %w", pid, err, ErrBadUsage)
+			return Usage{}, fmt.Errorf("stat of %d: %v: %w", pid, err, ErrInvalidStat)
 		}
 	}
 	return Usage{
--- a/internal/sagedemo/demo.go
+++ b/internal/sagedemo/demo.go
@@ -13,8 +13,8 @@
 	"sagestand.example/sagestand/internal/sageworkload"
 )
 
-// ErrBroken reports that a promise was broken: an answer lost or crossed, a booking run twice.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated reports that a promise was broken: an answer lost or crossed, a booking run twice.
+var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 // Shape of the demo.
 const (
@@ -57,7 +57,7 @@
 	}
 }
 
-// Run runs the demo. It returns [ErrBroken], with the summary, if a promise was broken.
+// Run runs the demo. It returns [ErrGuaranteeViolated], with the summary, if a promise was broken.
 func (d *Demo) Run(ctx context.Context) (Summary, error) {
 	d.system = &sagefleet.Embedded{Layout: sagefleet.NewLayout(routers, engines, dataCentres), Log: d.Log}
 	if err := d.system.Start(ctx); err != nil {
@@ -94,13 +94,13 @@
 	return sum, sum.check()
 }
 
-// check returns [ErrBroken] if a promise was broken.
+// check returns [ErrGuaranteeViolated] if a promise was broken.
 func (s *Summary) check() error {
 	bad := s.Lost + s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete
 	if bad == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrBroken)
+	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // exitAndReturn takes the second data centre out after a third of the time and back after two.
@@ -112,7 +112,7 @@
 			return
 		case <-time.After(time.Until(start.Add(time.Duration(i+1) * third))):
 		}
-		if err := d.system.Submit(ctx, 0, sagefleet.ServiceTicket(uint64(i+2), dataCentres[1], inService)); err != nil {
+		if err := d.system.Submit(ctx, 0, sagefleet.DataCentreTicket(uint64(i+2), dataCentres[1], inService)); err != nil {
 			d.say("ticket %d was not accepted: %v", i+2, err)
 			continue
 		}
--- a/internal/sageexplain/explain.go
+++ b/internal/sageexplain/explain.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoLine reports that no log mentions the request.
-var ErrNoLine = errors.New("no line names the request: it was served without a failure, or its lines were left out under load")
+// ErrRequestNotFound reports that no log mentions the request.
+var ErrRequestNotFound = errors.New("no line names the request: it was served without a failure, or its lines were left out under load")
 
 // Line is one line about the request.
 type Line struct {
@@ -28,8 +28,8 @@
 	Pairs []string
 }
 
-// Story is what the logs say of one request, in order.
-type Story struct {
+// Timeline is what the logs say of one request, in order.
+type Timeline struct {
 	ID    string
 	Lines []Line
 	// Cause is what the last line says.
@@ -43,22 +43,22 @@
 }
 
 // Read collects the lines about a request. Lines that aren't logfmt are passed over.
-func Read(id string, logs ...Log) (Story, error) {
-	s := Story{ID: id}
+func Read(id string, logs ...Log) (Timeline, error) {
+	s := Timeline{ID: id}
 	for _, l := range logs {
 		if err := s.add(l); err != nil {
 			return s, fmt.Errorf("read %s: %w", l.Name, err)
 		}
 	}
 	if len(s.Lines) == 0 {
-		return s, fmt.Errorf("%s: %w", id, ErrNoLine)
+		return s, fmt.Errorf("%s: %w", id, ErrRequestNotFound)
 	}
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return strings.Compare(a.At, b.At) })
 	s.Cause = cause(&s.Lines[len(s.Lines)-1])
 	return s, nil
 }
 
-func (s *Story) add(l Log) error {
+func (s *Timeline) add(l Log) error {
 	b, err := io.ReadAll(l)
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 }
 
 // Write prints the story for a person.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	for _, l := range s.Lines {
 		if _, err := fmt.Fprintf(w, "%s  %-12s %s  %s\n", l.At, l.Node, l.Msg, strings.Join(l.Pairs, " ")); err != nil {
 			return fmt.Errorf("write story: %w", err)
--- a/internal/sageexplain/explain_test.go
+++ b/internal/sageexplain/explain_test.go
@@ -16,7 +16,7 @@
 const two = `at=2026-01-01T00:00:00Z node=vm2 level=info msg="relay: Request refused." id=q7 reason=not_fresh status=503
 `
 
-func TestStoryIsInOrderOverNodes(t *testing.T) {
+func TestTimelineMergesNodesInOrder(t *testing.T) {
 	s, err := Read("q7", Log{"one", strings.NewReader(one)}, Log{"two", strings.NewReader(two)})
 	require.NoError(t, err)
 	require.Len(t, s.Lines, 3)
@@ -30,5 +30,5 @@
 
 func TestUnknownRequest(t *testing.T) {
 	_, err := Read("q8", Log{"one", strings.NewReader(one)})
-	require.ErrorIs(t, err, ErrNoLine)
+	require.ErrorIs(t, err, ErrRequestNotFound)
 }
--- a/internal/sagefleet/embedded.go
+++ b/internal/sagefleet/embedded.go
@@ -22,7 +22,7 @@
 type Embedded struct {
 	Layout *Layout
 	// Engine is what each engine is like; its name is set from the layout.
-	Engine func(name string) *sagestandin.Engine
+	NewEngine func(name string) *sagestandin.Engine
 	// Log takes the nodes' logs; nil for none.
 	Log io.Writer
 
@@ -81,7 +81,7 @@
 	if err := e.serve(e.Layout.Platform, e.Platform.Handler()); err != nil {
 		return err
 	}
-	engine := e.Engine
+	engine := e.NewEngine
 	if engine == nil {
 		engine = DefaultEngine
 	}
--- a/internal/sagefleet/fleet.go
+++ b/internal/sagefleet/fleet.go
@@ -26,7 +26,7 @@
 	EngineArgs   []string
 	PlatformArgs []string
 	// Inline runs engines and applications inside this process, for fleets with many of them.
-	Inline bool
+	InProcessUpstreams bool
 
 	inline    []*http.Server
 	Platform  *Process
@@ -58,13 +58,13 @@
 func (f *Fleet) StartStandins(ctx context.Context) error {
 	f.Platform = f.standin("platform", f.Layout.Platform, append([]string{"platform"}, f.PlatformArgs...))
 	all := []*Process{f.Platform}
-	if f.Inline {
+	if f.InProcessUpstreams {
 		if err := f.serveUpstreams(); err != nil {
 			return err
 		}
 	}
 	for _, u := range f.Layout.Upstreams {
-		if f.Inline {
+		if f.InProcessUpstreams {
 			break
 		}
 		args := []string{string(u.Kind), "--name", u.Name}
@@ -107,8 +107,8 @@
 
 func (f *Fleet) standin(name, addr string, args []string) *Process {
 	return &Process{
-		Name: name, Path: f.Sagebench, Args: append(append([]string{"standin"}, args...), "--listen", addr),
-		Ready: "http://" + addr + "/standin/ready", Log: filepath.Join(f.Dir, name+".log"),
+		Name: name, Program: f.Sagebench, Args: append(append([]string{"standin"}, args...), "--listen", addr),
+		ReadyURL: "http://" + addr + "/standin/ready", LogFile: filepath.Join(f.Dir, name+".log"),
 	}
 }
 
@@ -146,8 +146,8 @@
 		return nil, fmt.Errorf("settings of %s: %w", s.Node.Name, err)
 	}
 	return &Process{
-		Name: s.Node.Name, Path: f.Sagestand, Args: []string{"serve", "--settings", path},
-		Ready: "http://" + s.Listen.Operator + "/readyz", Log: filepath.Join(f.Dir, s.Node.Name+".log"),
+		Name: s.Node.Name, Program: f.Sagestand, Args: []string{"serve", "--settings", path},
+		ReadyURL: "http://" + s.Listen.Operator + "/readyz", LogFile: filepath.Join(f.Dir, s.Node.Name+".log"),
 	}, nil
 }
 
--- a/internal/sagefleet/layout.go
+++ b/internal/sagefleet/layout.go
@@ -14,26 +14,26 @@
 
 // Names that every layout uses.
 const (
-	Model        = "assist"
-	ModelVersion = "assist@1"
-	ServiceRoute = "stock"
-	EngineSet    = "engines"
-	ServiceSet   = "applications"
-	AccountName  = "trentvale"
-	AccountKey   = "trentvale-demo-key"
-	OtherAccount = "haller"
-	OtherKey     = "haller-demo-key"
-	PeerKey      = "peer-demo-key"
-	OperatorKey  = "operator-demo-key"
-	engineSlots  = 16
-	serviceSlots = 64
-	entryPort    = 7101
-	peerPort     = 7201
-	operatorPort = 7301
-	standinPort  = 7000
-	platformHost = 250
-	engineHost   = 100
-	serviceHost  = 195
+	Model           = "assist"
+	ModelVersion    = "assist@1"
+	ServiceRoute    = "stock"
+	EngineSet       = "engines"
+	ServiceSet      = "applications"
+	AccountName     = "trentvale"
+	AccountKey      = "trentvale-demo-key"
+	OtherAccount    = "haller"
+	OtherAccountKey = "haller-demo-key"
+	PeerKey         = "peer-demo-key"
+	OperatorKey     = "operator-demo-key"
+	engineSlots     = 16
+	serviceSlots    = 64
+	entryPort       = 7101
+	peerPort        = 7201
+	operatorPort    = 7301
+	standinPort     = 7000
+	platformHost    = 250
+	engineHost      = 100
+	serviceHost     = 195
 	// hostsPerKind keeps the kinds apart: routers from 1, engines from 100, applications from 195 on.
 	hostsPerKind  = 50
 	stopMillis    = 5000
@@ -154,7 +154,7 @@
 	add(sageconfig.KindRoute, Model, sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: EngineSet, ModelSet: Model}})
 	add(sageconfig.KindRoute, ServiceRoute, sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteService, UpstreamSet: ServiceSet}})
 	add(sageconfig.KindClientAccount, AccountName, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hash(AccountKey), Weight: 1}})
-	add(sageconfig.KindClientAccount, OtherAccount, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hash(OtherKey), Weight: 1}})
+	add(sageconfig.KindClientAccount, OtherAccount, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hash(OtherAccountKey), Weight: 1}})
 	return t
 }
 
@@ -167,8 +167,8 @@
 	return s
 }
 
-// ServiceTicket returns the ticket that takes a data centre out of service or back.
-func ServiceTicket(number uint64, dataCentre string, inService bool) *sageconfig.Ticket {
+// DataCentreTicket returns the ticket that takes a data centre out of service or back.
+func DataCentreTicket(number uint64, dataCentre string, inService bool) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: number, Author: "sagebench", Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
 		DataCentre: &sageconfig.DataCentre{InService: inService, Region: "region1"},
--- a/internal/sagefleet/process.go
+++ b/internal/sagefleet/process.go
@@ -27,11 +27,11 @@
 type Process struct {
 	Name string
 	// Path and Args are what is run; Ready is the URL that answers 200 when it is ready.
-	Path  string
-	Args  []string
-	Ready string
+	Program  string
+	Args     []string
+	ReadyURL string
 	// Log is the file that takes its output.
-	Log string
+	LogFile string
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -41,12 +41,12 @@
 
 // Start starts the process; it does not wait until it is ready.
 func (p *Process) Start() error {
-	f, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	defer func() { _ = f.Close() }()
-	cmd := exec.Command(p.Path, p.Args...)
+	cmd := exec.Command(p.Program, p.Args...)
 	cmd.Stdout, cmd.Stderr = f, f
 	// The child dies with this process, so that an aborted test leaves nothing running.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -68,7 +68,7 @@
 }
 
 // WaitReady waits until the process answers on its ready URL.
-func (p *Process) WaitReady(ctx context.Context) error { return p.waitFor(ctx, p.Ready) }
+func (p *Process) WaitReady(ctx context.Context) error { return p.waitFor(ctx, p.ReadyURL) }
 
 // waitFor waits until the process answers 200 on url.
 func (p *Process) waitFor(ctx context.Context, url string) error {
@@ -88,9 +88,9 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.Log))
+			return fmt.Errorf("%s: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.LogFile))
 		case <-p.exited():
-			return fmt.Errorf("%s exited: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.Log))
+			return fmt.Errorf("%s exited: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.LogFile))
 		case <-time.After(readyPoll):
 		}
 	}
--- a/internal/sagepath/sagepath.go
+++ b/internal/sagepath/sagepath.go
@@ -26,8 +26,8 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrStep reports that a step did not end as it must.
-var ErrStep = errors.New("step failed")
+// ErrStepFailed reports that a step did not end as it must.
+var ErrStepFailed = errors.New("step failed")
 
 // limit bounds the whole check.
 const limit = 60 * time.Second
@@ -40,7 +40,7 @@
 }
 
 // Verdict returns "ok" or "FAIL".
-func (s Step) Verdict() string {
+func (s Step) Status() string {
 	if s.OK {
 		return "ok"
 	}
@@ -123,27 +123,27 @@
 }
 
 // complete turns anything but the whole right answer into an error.
-func complete(e sagecaller.End) error {
+func complete(e sagecaller.Result) error {
 	switch {
-	case e.Lost != nil:
-		return fmt.Errorf("lost: %v: %w", e.Lost, ErrStep)
-	case e.Wrong != "":
-		return fmt.Errorf("wrong answer: %s: %w", e.Wrong, ErrStep)
+	case e.Err != nil:
+		return fmt.Errorf("lost: %v: %w", e.Err, ErrStepFailed)
+	case e.Mismatch != "":
+		return fmt.Errorf("wrong answer: %s: %w", e.Mismatch, ErrStepFailed)
 	case e.Refusal != nil:
-		return fmt.Errorf("%v: %w", e.Refusal, ErrStep)
+		return fmt.Errorf("%v: %w", e.Refusal, ErrStepFailed)
 	case e.Outcome != sagewire.Complete:
-		return fmt.Errorf("outcome %q: %w", e.Outcome, ErrStep)
+		return fmt.Errorf("outcome %q: %w", e.Outcome, ErrStepFailed)
 	}
 	return nil
 }
 
 func (c *Check) chat(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("Is batch 17 cleared?")}, sagecaller.Options{Chat: "chat-1", Priority: sagewire.Urgent})
+	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("Is batch 17 cleared?")}, sagecaller.Options{ChatID: "chat-1", Priority: sagewire.Urgent})
 	return fmt.Sprintf("whole answer of %s by way of %s", e.Upstream, e.Entry), complete(e)
 }
 
 func (c *Check) stream(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("And batch 18?"), Stream: true, MaxTokens: 40}, sagecaller.Options{Chat: "chat-1"})
+	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("And batch 18?"), Stream: true, MaxTokens: 40}, sagecaller.Options{ChatID: "chat-1"})
 	return fmt.Sprintf("whole stream of %s, %d of %d prompt tokens cached", e.Upstream, e.CachedTokens, e.PromptTokens), complete(e)
 }
 
@@ -161,7 +161,7 @@
 func (c *Check) repeat(ctx context.Context) (string, error) {
 	e := c.caller.Service(ctx, http.MethodPost, sagefleet.ServiceRoute+"/reservations", []byte(`{"batch":17,"meters":4}`), sagecaller.Options{IdempotencyKey: bookingKey})
 	if e.Outcome != sagewire.AlreadyRun {
-		return "", fmt.Errorf("outcome %q, want already_run: %w", e.Outcome, ErrStep)
+		return "", fmt.Errorf("outcome %q, want already_run: %w", e.Outcome, ErrStepFailed)
 	}
 	return "the repeat did not run", c.executedOnce(ctx)
 }
@@ -173,15 +173,15 @@
 		return err
 	}
 	if n[bookingKey] != 1 {
-		return fmt.Errorf("the booking ran %d times: %w", n[bookingKey], ErrStep)
+		return fmt.Errorf("the booking ran %d times: %w", n[bookingKey], ErrStepFailed)
 	}
 	return nil
 }
 
 func (c *Check) refusal(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: "no-such-model", Messages: messages("Hello?")}, sagecaller.Options{Chat: "chat-2"})
+	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: "no-such-model", Messages: messages("Hello?")}, sagecaller.Options{ChatID: "chat-2"})
 	if e.Outcome != sagewire.NotRun || e.Refusal == nil || e.Refusal.Reason != sagewire.ReasonNoRoute {
-		return "", fmt.Errorf("outcome %q, %v, want not_run: no_route: %w", e.Outcome, e.Refusal, ErrStep)
+		return "", fmt.Errorf("outcome %q, %v, want not_run: no_route: %w", e.Outcome, e.Refusal, ErrStepFailed)
 	}
 	b, err := json.Marshal(e.Refusal)
 	return string(b), err
@@ -194,7 +194,7 @@
 		return "", err
 	}
 	if rep.Nodes != len(c.fleet.Nodes) || len(rep.Lines) == 0 {
-		return "", fmt.Errorf("report of %d nodes with %d lines, missing %v: %w", rep.Nodes, len(rep.Lines), rep.Missing, ErrStep)
+		return "", fmt.Errorf("report of %d nodes with %d lines, missing %v: %w", rep.Nodes, len(rep.Lines), rep.Missing, ErrStepFailed)
 	}
 	return fmt.Sprintf("%d lines from %d routers", len(rep.Lines), rep.Nodes), nil
 }
--- a/internal/sageproc/faults_test.go
+++ b/internal/sageproc/faults_test.go
@@ -61,7 +61,7 @@
 
 // One VM is frozen and the store is out. Callers of some VM are refused as overloaded for as long as
 // they try, although every engine idles. Each VM that runs must answer a chat.
-func TestEveryVMAnswersAChatThroughFaults(t *testing.T) {
+func TestEveryVMAnswersDuringFaults(t *testing.T) {
 	t.Parallel()
 	const paused, killed = 1, 2
 	f := start(t, eight, nil)
@@ -74,15 +74,15 @@
 		if i == paused {
 			continue
 		}
-		c := &sagecaller.Caller{Fixed: n.Listen.Entry, Key: sagefleet.AccountKey, HTTP: &http.Client{Timeout: limit}}
-		var e sagecaller.End
+		c := &sagecaller.Caller{FixedEntry: n.Listen.Entry, Key: sagefleet.AccountKey, HTTP: &http.Client{Timeout: limit}}
+		var e sagecaller.Result
 		eventually(t, &e, func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
 			defer cancel()
-			e = c.Chat(ctx, chatOf("hello", 4), sagecaller.Options{Chat: "c1"})
+			e = c.Chat(ctx, chatOf("hello", 4), sagecaller.Options{ChatID: "c1"})
 			return e.Outcome == sagewire.Complete
 		})
-		require.Empty(t, e.Wrong)
+		require.Empty(t, e.Mismatch)
 	}
 }
 
--- a/internal/sageproc/stop_test.go
+++ b/internal/sageproc/stop_test.go
@@ -23,7 +23,7 @@
 
 // Two of eight VMs are withdrawn, one after the other, while callers stream. A caller whose kept
 // answer names one of them, or whose stream runs there, must not notice.
-func TestTerminateUnderStreamsCutsNothing(t *testing.T) {
+func TestGracefulStopCompletesStreams(t *testing.T) {
 	t.Parallel()
 	f := start(t, eight, func(cfg *sagesettings.Settings) { cfg.Stop.WithinMillis = 12000 })
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -59,17 +59,17 @@
 
 // A stream runs longer than the stop may take. Its caller takes the part that came for the whole answer,
 // and nothing in the log says that it was cut.
-func TestStopDeadlineCutsWithAnErrorAndALogLine(t *testing.T) {
+func TestStopDeadlineAbortsStream(t *testing.T) {
 	t.Parallel()
 	f := start(t, 2, func(cfg *sagesettings.Settings) { cfg.Stop.WithinMillis = 3000 })
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
 	node := f.Layout.Nodes[1].Listen.Entry
-	c := &sagecaller.Caller{Fixed: node, Key: sagefleet.AccountKey, HTTP: &http.Client{Timeout: limit}}
+	c := &sagecaller.Caller{FixedEntry: node, Key: sagefleet.AccountKey, HTTP: &http.Client{Timeout: limit}}
 	eventually(t, "a chat is answered", func() bool {
 		return c.Chat(ctx, chatOf("hello", 2), sagecaller.Options{}).Outcome == sagewire.Complete
 	})
-	ends := make(chan sagecaller.End, 1)
+	ends := make(chan sagecaller.Result, 1)
 	go func() { ends <- c.Chat(ctx, chatOf("a long one", 600), sagecaller.Options{}) }()
 	eventually(t, "the stream runs", func() bool {
 		var s sagenode.Status
@@ -78,10 +78,10 @@
 	})
 	require.NoError(t, f.Nodes[1].Terminate(ctx))
 	e := <-ends
-	require.NoError(t, e.Lost)
+	require.NoError(t, e.Err)
 	require.NotEqual(t, sagewire.Complete, e.Outcome)
 	require.NotNil(t, e.Refusal)
-	log, err := os.ReadFile(f.Nodes[1].Log)
+	log, err := os.ReadFile(f.Nodes[1].LogFile)
 	require.NoError(t, err)
 	require.Contains(t, string(log), "Cutting requests at the stop deadline.")
 }
@@ -116,8 +116,8 @@
 					return
 				}
 				// Only the first address: a caller that may go on to the next would hide a refusal.
-				c := &sagecaller.Caller{Fixed: addrs[0], Key: sagefleet.AccountKey, HTTP: client}
-				e := c.Chat(ctx, chatOf(chat, 40), sagecaller.Options{Chat: chat})
+				c := &sagecaller.Caller{FixedEntry: addrs[0], Key: sagefleet.AccountKey, HTTP: client}
+				e := c.Chat(ctx, chatOf(chat, 40), sagecaller.Options{ChatID: chat})
 				s.note(&e)
 				if e.Refusal != nil {
 					time.Sleep(refusedPause)
@@ -129,17 +129,17 @@
 
 // note keeps what a caller would complain of. A refusal that says "not run" is no cut, but a VM that
 // is still named must not refuse as leaving.
-func (s *streams) note(e *sagecaller.End) {
+func (s *streams) note(e *sagecaller.Result) {
 	s.done.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.through[e.Entry]++
 	switch {
-	case e.Outcome == sagewire.Complete && e.Wrong == "":
+	case e.Outcome == sagewire.Complete && e.Mismatch == "":
 	case e.Refusal != nil && e.Outcome == sagewire.NotRun && e.Refusal.Reason != sagewire.ReasonLeaving:
 		s.refused[e.Refusal.Error()]++
 	default:
-		s.faults = append(s.faults, fmt.Sprintf("%s: outcome %q wrong %q lost %v refusal %v", e.Entry, e.Outcome, e.Wrong, e.Lost, e.Refusal))
+		s.faults = append(s.faults, fmt.Sprintf("%s: outcome %q wrong %q lost %v refusal %v", e.Entry, e.Outcome, e.Mismatch, e.Err, e.Refusal))
 	}
 }
 
--- a/internal/sagescale/doc.go
+++ b/internal/sagescale/doc.go
@@ -7,6 +7,6 @@
 //
 // # Usage
 //
-//	s := &sagescale.Measure{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Nodes: 50, Engines: 300}
+//	s := &sagescale.Measurement{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Nodes: 50, Engines: 300}
 //	fig, err := s.Run(ctx)
 package sagescale
--- a/internal/sagescale/sagescale.go
+++ b/internal/sagescale/sagescale.go
@@ -23,8 +23,8 @@
 	"sagestand.example/sagestand/internal/sagestandin"
 )
 
-// ErrNoFigure reports a node that did not tell a figure.
-var ErrNoFigure = errors.New("node told no such figure")
+// ErrMetricMissing reports a node that did not tell a figure.
+var ErrMetricMissing = errors.New("node told no such figure")
 
 // Shape of the measurement.
 const (
@@ -37,35 +37,35 @@
 
 var dataCentres = []string{"dc1", "dc2", "dc3"}
 
-// Spread is a figure over all nodes.
-type Spread struct {
+// NodeStats is a figure over all nodes.
+type NodeStats struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
 }
 
-// Times are the times from acceptance to in force over all nodes and tickets, in milliseconds.
-type Times struct {
+// Latencies are the times from acceptance to in force over all nodes and tickets, in milliseconds.
+type Latencies struct {
 	P50 float64 `json:"p50_millis"`
 	P99 float64 `json:"p99_millis"`
 	Max float64 `json:"max_millis"`
 	// Never counts nodes that did not get there within half a minute.
-	Never int `json:"never"`
+	NotReached int `json:"never"`
 }
 
-// Figures is the result.
-type Figures struct {
+// Results is the result.
+type Results struct {
 	Nodes                 int                `json:"nodes"`
 	Upstreams             int                `json:"upstreams"`
-	ControlBytesPerSecond Spread             `json:"control_bytes_per_second"`
-	CPUPercent            Spread             `json:"cpu_percent"`
-	RSSMegabytes          Spread             `json:"rss_megabytes"`
+	ControlBytesPerSecond NodeStats          `json:"control_bytes_per_second"`
+	CPUPercent            NodeStats          `json:"cpu_percent"`
+	RSSMegabytes          NodeStats          `json:"rss_megabytes"`
 	StoreCallsPerSecond   map[string]float64 `json:"store_calls_per_second"`
-	InForce               Times              `json:"in_force"`
-	InForceStoreOut       Times              `json:"in_force_store_out"`
+	InForce               Latencies          `json:"in_force"`
+	InForceStoreOut       Latencies          `json:"in_force_store_out"`
 }
 
-// Measure is one measurement. Its fields are set before Run.
-type Measure struct {
+// Measurement is one measurement. Its fields are set before Run.
+type Measurement struct {
 	Sagestand string
 	Sagebench string
 	Nodes     int
@@ -76,17 +76,17 @@
 	Seeds int
 	// Settle is how long the fleet is left alone before figures are taken, in seconds: nodes that have
 	// just met tell each other everything.
-	Settle int
+	SettleSeconds int
 	// Seconds is how long figures at rest are taken.
-	Seconds int
+	RestSeconds int
 
 	fleet  *sagefleet.Fleet
-	fig    Figures
+	fig    Results
 	number uint64
 }
 
 // Run starts the fleet and takes all figures.
-func (m *Measure) Run(ctx context.Context) (Figures, error) {
+func (m *Measurement) Run(ctx context.Context) (Results, error) {
 	dir, err := os.MkdirTemp("", "sagestand-scale")
 	if err != nil {
 		return m.fig, fmt.Errorf("scale: %w", err)
@@ -102,14 +102,14 @@
 			l.Nodes[i].Load.GrantMillis, l.Nodes[i].Load.PromiseMillis = m.GrantMillis, m.GrantMillis
 		}
 	}
-	m.fleet = &sagefleet.Fleet{Layout: l, Sagestand: m.Sagestand, Sagebench: m.Sagebench, Dir: dir, Inline: true}
+	m.fleet = &sagefleet.Fleet{Layout: l, Sagestand: m.Sagestand, Sagebench: m.Sagebench, Dir: dir, InProcessUpstreams: true}
 	defer m.fleet.Stop()
 	if err := m.fleet.Start(ctx); err != nil {
 		return m.fig, fmt.Errorf("scale: %w", err)
 	}
 	m.number = 1
 	m.fig.Nodes, m.fig.Upstreams = m.Nodes, len(l.Upstreams)
-	time.Sleep(time.Duration(m.Settle) * time.Second)
+	time.Sleep(time.Duration(m.SettleSeconds) * time.Second)
 	for _, step := range []func(context.Context) error{m.rest, m.spread, m.spreadStoreOut} {
 		if err := step(ctx); err != nil {
 			return m.fig, fmt.Errorf("scale: %w", err)
@@ -124,7 +124,7 @@
 	usage sagecost.Usage
 }
 
-func (m *Measure) sample(ctx context.Context) ([]sample, error) {
+func (m *Measurement) sample(ctx context.Context) ([]sample, error) {
 	out := make([]sample, m.Nodes)
 	for i := range out {
 		b, err := metric(ctx, m.fleet.Layout.Nodes[i].Listen.Operator, "sagestand_control_bytes_total")
@@ -152,7 +152,7 @@
 			return strconv.ParseFloat(v, 64)
 		}
 	}
-	return 0, fmt.Errorf("%s of %s: %w", name, addr, ErrNoFigure)
+	return 0, fmt.Errorf("%s of %s: %w", name, addr, ErrMetricMissing)
 }
 
 func get(ctx context.Context, url string) ([]byte, error) {
@@ -169,7 +169,7 @@
 }
 
 // rest takes the figures of nodes that only coordinate.
-func (m *Measure) rest(ctx context.Context) error {
+func (m *Measurement) rest(ctx context.Context) error {
 	calls, err := m.calls(ctx)
 	if err != nil {
 		return err
@@ -179,7 +179,7 @@
 		return err
 	}
 	start := time.Now()
-	time.Sleep(time.Duration(m.Seconds) * time.Second)
+	time.Sleep(time.Duration(m.RestSeconds) * time.Second)
 	after, err := m.sample(ctx)
 	if err != nil {
 		return err
@@ -201,12 +201,12 @@
 	return nil
 }
 
-func (s *Spread) add(v float64, n int) {
+func (s *NodeStats) add(v float64, n int) {
 	s.Mean += v / float64(n)
 	s.Max = max(s.Max, v)
 }
 
-func (m *Measure) calls(ctx context.Context) (map[string]int64, error) {
+func (m *Measurement) calls(ctx context.Context) (map[string]int64, error) {
 	b, err := get(ctx, "http://"+m.fleet.Layout.Platform+"/standin/calls")
 	if err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 }
 
 // spread submits tickets through different nodes and times them on all nodes.
-func (m *Measure) spread(ctx context.Context) error {
+func (m *Measurement) spread(ctx context.Context) error {
 	var all []time.Duration
 	for i := range tickets {
 		took, never, err := m.ticket(ctx, i*m.Nodes/tickets, func() error { return nil })
@@ -227,7 +227,7 @@
 			return err
 		}
 		all = append(all, took...)
-		m.fig.InForce.Never += never
+		m.fig.InForce.NotReached += never
 		time.Sleep(between)
 	}
 	m.fig.InForce.set(all)
@@ -235,16 +235,16 @@
 }
 
 // spreadStoreOut times a ticket whose acceptance is the store's last deed.
-func (m *Measure) spreadStoreOut(ctx context.Context) error {
+func (m *Measurement) spreadStoreOut(ctx context.Context) error {
 	took, never, err := m.ticket(ctx, m.Nodes-1, func() error {
 		return sagefleet.SetFaults(ctx, m.fleet.Layout.Platform, sagestandin.FaultPlan{Faults: []sagestandin.Fault{{Kind: sagestandin.FaultOutage}}})
 	})
 	m.fig.InForceStoreOut.set(took)
-	m.fig.InForceStoreOut.Never = never
+	m.fig.InForceStoreOut.NotReached = never
 	return err
 }
 
-func (t *Times) set(all []time.Duration) {
+func (t *Latencies) set(all []time.Duration) {
 	if len(all) == 0 {
 		return
 	}
@@ -256,9 +256,9 @@
 }
 
 // ticket submits one ticket through a node, runs then, and polls every node for its revision.
-func (m *Measure) ticket(ctx context.Context, through int, then func() error) ([]time.Duration, int, error) {
+func (m *Measurement) ticket(ctx context.Context, through int, then func() error) ([]time.Duration, int, error) {
 	m.number++
-	t := sagefleet.ServiceTicket(m.number, dataCentres[0], m.number%2 == 0)
+	t := sagefleet.DataCentreTicket(m.number, dataCentres[0], m.number%2 == 0)
 	t.Force = true
 	if err := m.fleet.Submit(ctx, through, t); err != nil {
 		return nil, 0, err
@@ -279,7 +279,7 @@
 }
 
 // reached polls one node until it holds the newest ticket; 0 means that it never did.
-func (m *Measure) reached(ctx context.Context, node int, accepted time.Time, slots chan struct{}) time.Duration {
+func (m *Measurement) reached(ctx context.Context, node int, accepted time.Time, slots chan struct{}) time.Duration {
 	for time.Since(accepted) < inForceBy {
 		slots <- struct{}{}
 		var st struct {
--- a/internal/sagetrace/play.go
+++ b/internal/sagetrace/play.go
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	start   time.Time
 	sent    map[string]time.Time
-	ends    map[string]sagecaller.End
+	ends    map[string]sagecaller.Result
 	chats   map[string]chan struct{}
 	callers map[int]*sagecaller.Caller
 	keys    map[string]string
@@ -45,7 +45,7 @@
 
 func newPlayer(t *Trace, l *sagefleet.Layout, s system) *player {
 	return &player{
-		trace: t, layout: l, system: s, sent: make(map[string]time.Time), ends: make(map[string]sagecaller.End), chats: make(map[string]chan struct{}),
+		trace: t, layout: l, system: s, sent: make(map[string]time.Time), ends: make(map[string]sagecaller.Result), chats: make(map[string]chan struct{}),
 		callers: make(map[int]*sagecaller.Caller), ticket: 1,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
 	}
@@ -93,7 +93,7 @@
 	return before, done
 }
 
-func (p *player) end(r *Request, sent time.Time, e sagecaller.End) {
+func (p *player) end(r *Request, sent time.Time, e sagecaller.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent[r.ID] = sent
@@ -104,7 +104,7 @@
 func (p *player) change(ctx context.Context, e *Event) error {
 	if e.Service != nil {
 		p.ticket++
-		return p.system.Submit(ctx, 0, sagefleet.ServiceTicket(p.ticket, e.Service.DataCentre, e.Service.InService))
+		return p.system.Submit(ctx, 0, sagefleet.DataCentreTicket(p.ticket, e.Service.DataCentre, e.Service.InService))
 	}
 	addr := p.layout.Platform
 	for _, u := range p.layout.Upstreams {
@@ -123,7 +123,7 @@
 	if c == nil {
 		c = &sagecaller.Caller{Entries: p.layout.Entries(), Key: sagefleet.AccountKey, HTTP: p.http}
 		if router > 0 {
-			c.Fixed = p.layout.Nodes[router-1].Listen.Entry
+			c.FixedEntry = p.layout.Nodes[router-1].Listen.Entry
 		}
 		p.callers[router] = c
 	}
@@ -131,12 +131,12 @@
 }
 
 // send sends one request.
-func (p *player) send(ctx context.Context, r *Request) sagecaller.End {
+func (p *player) send(ctx context.Context, r *Request) sagecaller.Result {
 	patience := time.Duration(r.PatienceMillis) * time.Millisecond
 	if patience == 0 {
 		patience = defaultPatience
 	}
-	opt := sagecaller.Options{Chat: r.Chat, Context: r.Context, Priority: r.Priority, Deadline: time.Now().Add(patience), IdempotencyKey: p.key(r.Key)}
+	opt := sagecaller.Options{ChatID: r.Chat, Context: r.Context, Priority: r.Priority, Deadline: time.Now().Add(patience), IdempotencyKey: p.key(r.Key)}
 	c := p.caller(r.Router)
 	switch r.Kind {
 	case Booking:
--- a/internal/sagetrace/replay.go
+++ b/internal/sagetrace/replay.go
@@ -75,7 +75,7 @@
 // forbidden returns the data centre that served a request although it must not have, or "". A request
 // counts if it was sent and answered within the span: one that waits for an earlier one of its chat is
 // sent later than its event, and may then be served rightly after the span.
-func (p *player) forbidden(e *Event, end *sagecaller.End) string {
+func (p *player) forbidden(e *Event, end *sagecaller.Result) string {
 	sent, ended := p.sent[e.Request.ID].Sub(p.start), end.EndedAt.Sub(p.start)
 	for _, u := range p.layout.Upstreams {
 		for _, n := range p.trace.Expect.NoWork {
@@ -90,12 +90,12 @@
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // mismatch says how the end of a request differs from what its trace states.
-func mismatch(r *Request, e *sagecaller.End) string {
+func mismatch(r *Request, e *sagecaller.Result) string {
 	switch {
-	case e.Lost != nil:
-		return fmt.Sprintf("%s: no outcome: %v", r.ID, e.Lost)
-	case e.Wrong != "":
-		return fmt.Sprintf("%s: wrong answer: %s", r.ID, e.Wrong)
+	case e.Err != nil:
+		return fmt.Sprintf("%s: no outcome: %v", r.ID, e.Err)
+	case e.Mismatch != "":
+		return fmt.Sprintf("%s: wrong answer: %s", r.ID, e.Mismatch)
 	case !slices.Contains(r.Outcomes, e.Outcome):
 		return fmt.Sprintf("%s: %s, want %v (%v)", r.ID, e.Outcome, r.Outcomes, e.Refusal)
 	case e.Outcome == sagewire.NotRun && e.Refusal != nil && e.Refusal.Reason != sagewire.ReasonNoRoute && e.Refusal.RetryAt.IsZero():
--- a/internal/sagetrace/trace_test.go
+++ b/internal/sagetrace/trace_test.go
@@ -40,18 +40,18 @@
 	}
 	require.NoError(t, tr.Check())
 	start := time.Now()
-	good := sagecaller.End{Outcome: sagewire.Complete, Upstream: "application1", EndedAt: start.Add(15 * time.Millisecond)}
+	good := sagecaller.Result{Outcome: sagewire.Complete, Upstream: "application1", EndedAt: start.Add(15 * time.Millisecond)}
 	tests := []struct {
 		name   string
-		end    sagecaller.End
+		end    sagecaller.Result
 		runs   int
 		expect Expect
 		want   int
 	}{
 		{"as stated", good, 1, Expect{Executions: map[string][]int{"k": {1}}}, 0},
-		{"other outcome", sagecaller.End{Outcome: sagewire.Unknown}, 1, Expect{}, 1},
-		{"foreign answer", sagecaller.End{Outcome: sagewire.Complete, Wrong: "foreign"}, 1, Expect{}, 1},
-		{"no outcome", sagecaller.End{Lost: ErrBadTrace}, 1, Expect{}, 1},
+		{"other outcome", sagecaller.Result{Outcome: sagewire.Unknown}, 1, Expect{}, 1},
+		{"foreign answer", sagecaller.Result{Outcome: sagewire.Complete, Mismatch: "foreign"}, 1, Expect{}, 1},
+		{"no outcome", sagecaller.Result{Err: ErrBadTrace}, 1, Expect{}, 1},
 		{"ran twice", good, 2, Expect{}, 1},
 		{"never ran", good, 0, Expect{Executions: map[string][]int{"k": {1}}}, 1},
 		{"served where it must not", good, 1, Expect{NoWork: []NoWork{{DataCentre: "derby", FromMillis: 0, ToMillis: 20}}}, 1},
--- a/internal/sageworkload/load.go
+++ b/internal/sageworkload/load.go
@@ -84,7 +84,7 @@
 			history = append(history, sagestandin.Message{Role: "user", Content: words(rng, messageWords)})
 			req := &sagestandin.ChatRequest{Model: l.Model, Messages: history, Stream: turn%2 == 0, MaxTokens: answerTokens}
 			e := c.Chat(ctx, req, sagecaller.Options{
-				Chat: chat, Context: fmt.Sprintf("context-%d", shared),
+				ChatID: chat, Context: fmt.Sprintf("context-%d", shared),
 				Priority: sagewire.Priority(rng.Intn(sagewire.NumPriorities)), Deadline: time.Now().Add(patience),
 			})
 			l.counter.add(e)
@@ -99,7 +99,7 @@
 }
 
 // comeBack waits as a refusal asks, at most as long as the load goes on.
-func (l *Load) comeBack(ctx context.Context, e sagecaller.End) {
+func (l *Load) comeBack(ctx context.Context, e sagecaller.Result) {
 	at := time.Now().Add(maxPause)
 	if e.Refusal != nil && e.Refusal.RetryAt.After(at) {
 		at = e.Refusal.RetryAt
@@ -121,7 +121,7 @@
 		key := uuid.Must(uuid.NewV7()).String()
 		body := []byte(fmt.Sprintf(`{"item":%q,"n":%d}`, words(rng, 2), n))
 		book := func(c *sagecaller.Caller, chat string) {
-			e := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{Chat: chat, IdempotencyKey: key, Deadline: time.Now().Add(patience)})
+			e := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{ChatID: chat, IdempotencyKey: key, Deadline: time.Now().Add(patience)})
 			l.counter.addBooking(key, e)
 			if e.Outcome != sagewire.Complete && e.Outcome != sagewire.AlreadyRun {
 				l.comeBack(ctx, e)
--- a/internal/sageworkload/tally.go
+++ b/internal/sageworkload/tally.go
@@ -27,16 +27,16 @@
 const maxProblems = 10
 
 // Add counts one end.
-func (t *Tally) Add(e sagecaller.End) {
+func (t *Tally) Add(e sagecaller.Result) {
 	t.Requests++
 	switch {
-	case e.Lost != nil:
+	case e.Err != nil:
 		t.Lost++
-		t.problem("lost by way of " + e.Entry + ": " + e.Lost.Error())
+		t.problem("lost by way of " + e.Entry + ": " + e.Err.Error())
 		return
-	case e.Wrong != "":
+	case e.Mismatch != "":
 		t.Wrong++
-		t.problem("wrong answer by way of " + e.Entry + ": " + e.Wrong)
+		t.problem("wrong answer by way of " + e.Entry + ": " + e.Mismatch)
 		return
 	}
 	switch e.Outcome {
@@ -83,13 +83,13 @@
 	complete, notRun, unknown, already int
 }
 
-func (c *counter) add(e sagecaller.End) {
+func (c *counter) add(e sagecaller.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Add(e)
 }
 
-func (c *counter) addBooking(key string, e sagecaller.End) {
+func (c *counter) addBooking(key string, e sagecaller.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Add(e)
@@ -99,7 +99,7 @@
 		c.runs[key] = b
 	}
 	switch {
-	case e.Lost != nil:
+	case e.Err != nil:
 		b.unknown++
 	case e.Outcome == sagewire.Complete:
 		b.complete++
