--- a/cmd/sagebench/chaos.go
+++ b/cmd/sagebench/chaos.go
@@ -26,7 +26,7 @@
 			sum, err := r.Do(c.Context())
 			perr := out.Print(c.OutOrStdout(), sum, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "chaos: %d kills, %d freezes, %d outages; %d requests: complete %d, not_run %d, unknown %d, already_run %d, broken off %d, wrong %d; %d bookings: executed twice %d, false not_run %d, false complete %d\n",
-					sum.Kills, sum.Freezes, sum.Outages, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.Wrong, sum.Bookings, sum.ExecutedTwice, sum.FalseNotRun, sum.FalseComplete)
+					sum.Kills, sum.Freezes, sum.Outages, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.WrongAnswers, sum.Bookings, sum.ExecutedTwice, sum.FalseNotRun, sum.FalseComplete)
 				for _, p := range sum.Problems {
 					_, _ = fmt.Fprintln(w, "seen: "+p)
 				}
--- a/cmd/sagebench/confirm.go
+++ b/cmd/sagebench/confirm.go
@@ -23,7 +23,7 @@
 			sum, err := r.Do(c.Context())
 			perr := out.Print(c.OutOrStdout(), sum, func(w io.Writer) {
 				_, _ = fmt.Fprintf(w, "%s: %d requests: complete %d, not_run %d, unknown %d, already_run %d, broken off %d, wrong %d; cached %.3f of prompt tokens; %d engines killed; begun in the left data centre %d, then %d\n",
-					sum.Scenario, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.Wrong, sum.CacheReuse(), sum.Kills, sum.BegunInForce, sum.BegunAtReturn)
+					sum.Scenario, sum.Requests, sum.Complete, sum.NotRun, sum.Unknown, sum.AlreadyRun, sum.Lost, sum.WrongAnswers, sum.CacheReuse(), sum.Kills, sum.BegunInForce, sum.BegunAtReturn)
 				for _, p := range sum.Problems {
 					_, _ = fmt.Fprintln(w, "seen: "+p)
 				}
--- a/cmd/sagestand/demo.go
+++ b/cmd/sagestand/demo.go
@@ -50,7 +50,7 @@
 		v    any
 	}{
 		{"requests", s.Requests}, {"complete", s.Complete}, {"not_run", s.NotRun}, {"unknown", s.Unknown}, {"already_run", s.AlreadyRun},
-		{"lost", s.Lost}, {"wrong", s.Wrong}, {"bookings", s.Bookings}, {"executed_twice", s.ExecutedTwice}, {"false_not_run", s.FalseNotRun},
+		{"lost", s.Lost}, {"wrong", s.WrongAnswers}, {"bookings", s.Bookings}, {"executed_twice", s.ExecutedTwice}, {"false_not_run", s.FalseNotRun},
 		{"cache_reuse", fmt.Sprintf("%.3f", s.CacheReuse)}, {"load_skew", fmt.Sprintf("%.2f", s.LoadSkew)},
 		{"control_bytes_per_second", fmt.Sprintf("%.0f a router", s.ControlBytesPerSecond)},
 		{"claim_bytes_per_booking", fmt.Sprintf("%.0f", s.ClaimBytesPerBooking)},
--- a/internal/sagechaos/sagechaos.go
+++ b/internal/sagechaos/sagechaos.go
@@ -87,7 +87,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: r.Until,
+		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: r.Until,
 	}
 	faults := make(chan error, 1)
 	go func() { faults <- r.faults(ctx) }()
@@ -106,10 +106,10 @@
 // check returns [ErrGuaranteeViolated] if a promise was broken. Lost requests are those that broke off in
 // sight of their callers.
 func (s *Summary) check() error {
-	if bad := s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; bad == 0 && s.Complete > 0 {
+	if bad := s.WrongAnswers + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; bad == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // faults breaks one thing after another while the load goes on, and mends each.
--- a/internal/sageconfirm/run.go
+++ b/internal/sageconfirm/run.go
@@ -63,9 +63,9 @@
 // Check returns [ErrGuaranteeViolated] if a caller got a wrong answer, a booking ran twice, or a data centre
 // out of service began new work.
 func (s *Summary) Check() error {
-	if s.Wrong+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
+	if s.WrongAnswers+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
 		return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w",
-			s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+			s.Complete, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 	}
 	if s.BegunAtReturn != s.BegunInForce {
 		return fmt.Errorf("%d requests begun in a data centre out of service: %w", s.BegunAtReturn-s.BegunInForce, ErrGuaranteeViolated)
@@ -104,7 +104,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phase),
+		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phase),
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- steps(ctx) }()
--- a/internal/sageconfirm/run_test.go
+++ b/internal/sageconfirm/run_test.go
@@ -14,7 +14,7 @@
 	require.NoError(t, good.Check())
 	for name, s := range map[string]Summary{
 		"nothing complete": {},
-		"wrong answer":     {Tally: sageworkload.Tally{Complete: 5, Wrong: 1}},
+		"wrong answer":     {Tally: sageworkload.Tally{Complete: 5, WrongAnswers: 1}},
 		"booked twice":     {Tally: sageworkload.Tally{Complete: 5}, Audit: sageworkload.Audit{ExecutedTwice: 1}},
 		"new work":         {Tally: sageworkload.Tally{Complete: 5}, BegunInForce: 3, BegunAtReturn: 4},
 	} {
--- a/internal/sagedemo/demo.go
+++ b/internal/sagedemo/demo.go
@@ -77,7 +77,7 @@
 	start := time.Now()
 	load := &sageworkload.Load{
 		Entries: d.system.Layout.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: seed, Until: d.Until,
+		ChatCallers: chats, BookingCallers: bookers, Seed: seed, Until: d.Until,
 	}
 	before := d.system.ControlBytes()
 	var skew skew
@@ -96,11 +96,11 @@
 
 // check returns [ErrGuaranteeViolated] if a promise was broken.
 func (s *Summary) check() error {
-	bad := s.Lost + s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete
+	bad := s.Lost + s.WrongAnswers + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete
 	if bad == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // exitAndReturn takes the second data centre out after a third of the time and back after two.
--- a/internal/sagemeasure/cold.go
+++ b/internal/sagemeasure/cold.go
@@ -61,9 +61,9 @@
 	{name: "power of two choices", pick: pickTwo},
 }
 
-// Cold measures how far engines are loaded beyond what they bear, above all just after a start, and
+// ColdStart measures how far engines are loaded beyond what they bear, above all just after a start, and
 // what the bound costs in refusals and unused capacity.
-func Cold(seed uint64) ([]Sample, error) {
+func ColdStart(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, sc := range []coldScenario{
 		{"trentvale, 60% load, VMs replaced", 8, 12, 0.6, coldReplaced},
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -26,7 +26,7 @@
 func TestInForceWithoutStore(t *testing.T) {
 	f, err := newConfigFleet(1, 20, 4, false)
 	require.NoError(t, err)
-	f.Loss = 0.3
+	f.LossRate = 0.3
 	s, err := f.inForce(true)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, value(t, s, "in force, max"), float64(inForceTarget))
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -79,7 +79,7 @@
 func newConfigFleet(seed uint64, n, dataCentres int, tables bool) (*configFleet, error) {
 	f := &configFleet{MemberFleet: NewMemberFleet(seed), tables: tables, reaches: func(*configNode) bool { return true }}
 	f.a = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
-	if err := f.Add(n, dataCentres, sagemember.DefaultLimits()); err != nil {
+	if err := f.AddNodes(n, dataCentres, sagemember.DefaultLimits()); err != nil {
 		return nil, fmt.Errorf("config fleet: %w", err)
 	}
 	for i, m := range f.Nodes {
@@ -185,7 +185,7 @@
 		}
 	}
 	if f.tables {
-		f.Round()
+		f.RunRound()
 		return
 	}
 	f.Now = f.Now.Add(time.Second)
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -7,11 +7,11 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// Contact measures how old a node's latest contact to most of the roster gets while all is well, by
+// QuorumContact measures how old a node's latest contact to most of the roster gets while all is well, by
 // the heartbeats of the real member tables and by the digests of the configuration. The rule "quorum" needs it to stay below the freshness period, or nodes
 // would stop serving in an outage of the store for no reason. The roster is one node of each data
 // centre.
-func Contact(seed uint64) ([]Sample, error) {
+func QuorumContact(seed uint64) ([]Sample, error) {
 	const rounds = 60
 	var out []Sample
 	for _, size := range []struct{ nodes, dataCentres int }{{8, 4}, {50, 9}, {150, 9}, {400, 9}} {
@@ -25,7 +25,7 @@
 			f.step()
 		}
 		for _, loss := range []float64{0, 0.3} {
-			f.Loss = loss
+			f.LossRate = loss
 			var heartbeats, digests time.Duration
 			bytes := f.bytesOut()
 			for range rounds {
--- a/internal/sagemeasure/exit.go
+++ b/internal/sagemeasure/exit.go
@@ -16,9 +16,9 @@
 	exitUse = 0.9
 )
 
-// Exit measures service while a data centre is taken out and brought back. Its engines come back
+// DataCentreExit measures service while a data centre is taken out and brought back. Its engines come back
 // cold.
-func Exit(seed uint64) ([]Sample, error) {
+func DataCentreExit(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
 		s.use = exitUse
--- a/internal/sagemeasure/inforce.go
+++ b/internal/sagemeasure/inforce.go
@@ -27,7 +27,7 @@
 		}
 		for _, outage := range []bool{false, true} {
 			for _, loss := range []float64{0, 0.01, 0.1, 0.3} {
-				f.Loss = loss
+				f.LossRate = loss
 				s, err := f.inForce(outage)
 				if err != nil {
 					return nil, fmt.Errorf("%d nodes: %w", size.nodes, err)
@@ -43,7 +43,7 @@
 			}
 		}
 		for _, loss := range []float64{0, 0.3} {
-			f.Loss = loss
+			f.LossRate = loss
 			for range settleRounds {
 				f.step()
 			}
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// Isolated measures what each rule for isolated nodes costs in service, and how much work it lets go
+// Isolation measures what each rule for isolated nodes costs in service, and how much work it lets go
 // to a data centre that operators took out.
-func Isolated(seed uint64) ([]Sample, error) {
+func Isolation(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, t := range troubles() {
 		for _, way := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
@@ -99,7 +99,7 @@
 	for _, n := range f.nodes {
 		byTable[n.MemberNode] = n
 	}
-	f.Cut = func(from, to *MemberNode) bool { return !t.link(byTable[from], byTable[to]) }
+	f.LinkDown = func(from, to *MemberNode) bool { return !t.link(byTable[from], byTable[to]) }
 	f.reaches = t.store
 	var lost, sent, offered float64
 	accepted := t.exit < 0
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -21,16 +21,16 @@
 	Now  time.Time
 	Rand *rand.Rand
 	// Loss is the part of the exchanges that fail, half of them after the peer took the message.
-	Loss float64
+	LossRate float64
 	// Cut says which direction of which link is broken.
-	Cut   func(from, to *MemberNode) bool
-	Nodes []*MemberNode
+	LinkDown func(from, to *MemberNode) bool
+	Nodes    []*MemberNode
 	// Bytes counts what all messages carried; Exchanges counts the meetings begun.
-	Bytes     int64
-	Exchanges int64
+	MessageBytes int64
+	Exchanges    int64
 	// DirectEvictions is the baseline: how often a node would have been dropped by a node whose last
 	// directFailures calls to it failed.
-	DirectEvictions int64
+	BaselineEvictions int64
 
 	failures map[[2]string]int
 }
@@ -57,11 +57,11 @@
 }
 
 // Add starts n nodes over data centres in turn; the first node of the fleet is their hint.
-func (f *MemberFleet) Add(n, dcs int, limits sagemember.Limits) error {
+func (f *MemberFleet) AddNodes(n, dcs int, limits sagemember.Limits) error {
 	for range n {
 		i := len(f.Nodes)
 		addr := fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
-		if _, err := f.Start(addr, fmt.Sprintf("dc%d", i%dcs), limits); err != nil {
+		if _, err := f.StartNode(addr, fmt.Sprintf("dc%d", i%dcs), limits); err != nil {
 			return fmt.Errorf("add node %d: %w", i, err)
 		}
 	}
@@ -69,8 +69,8 @@
 }
 
 // Start starts a process at an address; one that ran there before is stopped.
-func (f *MemberFleet) Start(addr, dc string, limits sagemember.Limits) (*MemberNode, error) {
-	if old := f.At(addr); old != nil {
+func (f *MemberFleet) StartNode(addr, dc string, limits sagemember.Limits) (*MemberNode, error) {
+	if old := f.NodeAt(addr); old != nil {
 		old.Stopped = true
 	}
 	t := &sagemember.Table{
@@ -96,7 +96,7 @@
 }
 
 // At returns the running process at an address.
-func (f *MemberFleet) At(addr string) *MemberNode {
+func (f *MemberFleet) NodeAt(addr string) *MemberNode {
 	for _, n := range f.Nodes {
 		if !n.Stopped && n.Table.Self.Address == addr {
 			return n
@@ -117,7 +117,7 @@
 }
 
 // Round lets a second pass: every running node ticks and meets one peer, in random order.
-func (f *MemberFleet) Round() {
+func (f *MemberFleet) RunRound() {
 	f.Now = f.Now.Add(time.Second)
 	list := f.Running()
 	f.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -136,23 +136,23 @@
 // here: it is what the fake link is for, and the table is told of it by the engine.
 func (f *MemberFleet) noteDirect(from *MemberNode, addr string, err error) {
 	link := [2]string{from.Table.Self.Address, addr}
-	if to := f.At(addr); err == nil || to == nil || to.Paused {
+	if to := f.NodeAt(addr); err == nil || to == nil || to.Paused {
 		f.failures[link] = 0
 		return
 	}
 	f.failures[link]++
 	if f.failures[link] == directFailures {
-		f.DirectEvictions++
+		f.BaselineEvictions++
 	}
 }
 
 // Rounds lets rounds pass until done says so, at most limit, and returns how many did.
-func (f *MemberFleet) Rounds(limit int, done func() bool) int {
+func (f *MemberFleet) RunUntil(limit int, done func() bool) int {
 	for i := range limit {
 		if done() {
 			return i
 		}
-		f.Round()
+		f.RunRound()
 	}
 	return limit
 }
@@ -160,12 +160,12 @@
 // carry counts a message and says whether it arrives.
 func (f *MemberFleet) carry(from, to *MemberNode, parts []sagegossip.Part) bool {
 	for _, p := range parts {
-		f.Bytes += int64(len(p.Section) + len(p.Data) + partFrame)
+		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partFrame)
 	}
 	if to == nil || to.Stopped || to.Paused {
 		return false
 	}
-	return f.Cut == nil || !f.Cut(from, to)
+	return f.LinkDown == nil || !f.LinkDown(from, to)
 }
 
 // partFrame is what the protobuf encoding adds to a part.
@@ -173,16 +173,16 @@
 
 // Meet implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
-	f, to := n.fleet, n.fleet.At(addr)
+	f, to := n.fleet, n.fleet.NodeAt(addr)
 	fate := f.Rand.Float64()
-	if !f.carry(n, to, digests) || fate < f.Loss/2 {
+	if !f.carry(n, to, digests) || fate < f.LossRate/2 {
 		return nil, nil, errLost
 	}
 	deltas, own, err = to.Engine.Answer(digests)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer: %w", err)
 	}
-	if !f.carry(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.Loss {
+	if !f.carry(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.LossRate {
 		return nil, nil, errLost
 	}
 	return deltas, own, nil
@@ -190,7 +190,7 @@
 
 // Push implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
-	to := n.fleet.At(addr)
+	to := n.fleet.NodeAt(addr)
 	if !n.fleet.carry(n, to, deltas) {
 		return errLost
 	}
@@ -201,7 +201,7 @@
 }
 
 // Agreed says whether every running node counts exactly the running and paused nodes as live.
-func (f *MemberFleet) Agreed() bool {
+func (f *MemberFleet) Converged() bool {
 	there := make(map[uint64]bool)
 	for _, n := range f.Nodes {
 		if !n.Stopped {
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -48,18 +48,18 @@
 
 func memberRun(seed uint64, size memberSize, loss float64) ([]Sample, error) {
 	f := NewMemberFleet(seed)
-	f.Loss = loss
-	if err := f.Add(size.nodes, size.dcs, sagemember.DefaultLimits()); err != nil {
+	f.LossRate = loss
+	if err := f.AddNodes(size.nodes, size.dcs, sagemember.DefaultLimits()); err != nil {
 		return nil, err
 	}
 	scenario := fmt.Sprintf("%d nodes, %g%% lost", size.nodes, loss*100)
 	sample := func(metric, unit string, v float64, t *Target) Sample {
 		return Sample{Scenario: scenario, Policy: "indirect check", Metric: metric, Unit: unit, Value: v, Target: t}
 	}
-	boot := f.Rounds(memberBoot, f.Agreed)
-	evictions, bytes := f.Evictions(), f.Bytes
-	f.Rounds(memberSteady, func() bool { return false })
-	perNode := 2 * float64(f.Bytes-bytes) / memberSteady / float64(size.nodes)
+	boot := f.RunUntil(memberBoot, f.Converged)
+	evictions, bytes := f.Evictions(), f.MessageBytes
+	f.RunUntil(memberSteady, func() bool { return false })
+	perNode := 2 * float64(f.MessageBytes-bytes) / memberSteady / float64(size.nodes)
 	wrong := f.Evictions() - evictions
 	join, leave, death, err := f.change()
 	if err != nil {
@@ -77,7 +77,7 @@
 
 // change lets a node join, leave and die, and returns the rounds until each was known everywhere.
 func (f *MemberFleet) change() (join, leave, death int, err error) {
-	n, err := f.Start("10.9.9.9:7000", "dc0", sagemember.DefaultLimits())
+	n, err := f.StartNode("10.9.9.9:7000", "dc0", sagemember.DefaultLimits())
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -92,11 +92,11 @@
 			return true
 		}
 	}
-	join = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
+	join = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
 	n.Table.AdvancePhase(sagemember.Leaving)
-	leave = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
+	leave = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
 	n.Stopped = true
-	death = f.Rounds(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
+	death = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
 	return join, leave, death, nil
 }
 
@@ -143,22 +143,22 @@
 		limits := sagemember.DefaultLimits()
 		limits.IndirectChecks = checks
 		f := NewMemberFleet(seed)
-		if err := f.Add(l.nodes, 4, limits); err != nil {
+		if err := f.AddNodes(l.nodes, 4, limits); err != nil {
 			return nil, err
 		}
-		f.Rounds(memberBoot, f.Agreed)
-		f.Loss = l.loss
+		f.RunUntil(memberBoot, f.Converged)
+		f.LossRate = l.loss
 		if l.cut != nil {
-			f.Cut = l.cut(f)
+			f.LinkDown = l.cut(f)
 		}
-		f.Rounds(memberLinks, func() bool { return false })
+		f.RunUntil(memberLinks, func() bool { return false })
 		policy, target := "indirect check", &Target{AtMost, 0}
 		if checks == 0 {
 			policy, target = "no check", nil
 		}
 		samples = append(samples, Sample{Scenario: l.name, Policy: policy, Metric: metric, Value: float64(f.Evictions()), Target: target})
 		if checks > 0 {
-			samples = append(samples, Sample{Scenario: l.name, Policy: "three failed calls", Metric: metric, Value: float64(f.DirectEvictions)})
+			samples = append(samples, Sample{Scenario: l.name, Policy: "three failed calls", Metric: metric, Value: float64(f.BaselineEvictions)})
 		}
 	}
 	return samples, nil
--- a/internal/sagemeasure/membership_test.go
+++ b/internal/sagemeasure/membership_test.go
@@ -13,9 +13,9 @@
 		samples, err := memberRun(7, memberSize{nodes: 20, dcs: 3}, 0.3)
 		require.NoError(t, err)
 		f := NewMemberFleet(7)
-		f.Loss = 0.3
-		require.NoError(t, f.Add(20, 3, sagemember.DefaultLimits()))
-		f.Rounds(30, func() bool { return false })
+		f.LossRate = 0.3
+		require.NoError(t, f.AddNodes(20, 3, sagemember.DefaultLimits()))
+		f.RunUntil(30, func() bool { return false })
 		return samples, f.Nodes[5].Table.All()
 	}
 	samples, nodes := run()
--- a/internal/sagemeasure/registry.go
+++ b/internal/sagemeasure/registry.go
@@ -9,17 +9,17 @@
 var registry = map[string]Func{
 	"churn":      Churn,
 	"claims":     Claims,
-	"cold":       Cold,
-	"contact":    Contact,
-	"exit":       Exit,
+	"cold":       ColdStart,
+	"contact":    QuorumContact,
+	"exit":       DataCentreExit,
 	"inforce":    InForce,
-	"isolated":   Isolated,
+	"isolated":   Isolation,
 	"membership": Membership,
 	"retry":      Retry,
 	"skew":       Skew,
-	"slope":      Slope,
+	"slope":      Scaling,
 	"surge":      Surge,
-	"weigh":      Weigh,
+	"weigh":      PlacementAlternatives,
 }
 
 // Names returns the names of all measures in order.
--- a/internal/sagemeasure/report.go
+++ b/internal/sagemeasure/report.go
@@ -13,9 +13,9 @@
 
 // Errors of this package.
 var (
-	ErrNoSeeds    = errors.New("measure needs at least one seed")
-	ErrBadSample  = errors.New("sample is not a finite number or has no name")
-	ErrIncomplete = errors.New("a seed left out a figure that others gave")
+	ErrNoSeeds       = errors.New("measure needs at least one seed")
+	ErrInvalidSample = errors.New("sample is not a finite number or has no name")
+	ErrIncomplete    = errors.New("a seed left out a figure that others gave")
 )
 
 // Comparison says on which side of its limit a figure must stay.
@@ -106,7 +106,7 @@
 
 func (r *Report) add(s Sample) error {
 	if s.Metric == "" || math.IsNaN(s.Value) || math.IsInf(s.Value, 0) {
-		return fmt.Errorf("%s %s %q is %v: %w", s.Scenario, s.Policy, s.Metric, s.Value, ErrBadSample)
+		return fmt.Errorf("%s %s %q is %v: %w", s.Scenario, s.Policy, s.Metric, s.Value, ErrInvalidSample)
 	}
 	for i := range r.Rows {
 		row := &r.Rows[i]
--- a/internal/sagemeasure/report_test.go
+++ b/internal/sagemeasure/report_test.go
@@ -30,7 +30,7 @@
 	require.ErrorIs(t, err, ErrNoSeeds)
 	nan := func(uint64) ([]Sample, error) { return []Sample{{Metric: "m", Value: math.NaN()}}, nil }
 	_, err = Run("nan", nan, 1, 1)
-	require.ErrorIs(t, err, ErrBadSample)
+	require.ErrorIs(t, err, ErrInvalidSample)
 	partial := func(seed uint64) ([]Sample, error) {
 		if seed == 1 {
 			return []Sample{{Metric: "m"}}, nil
--- a/internal/sagemeasure/slope.go
+++ b/internal/sagemeasure/slope.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Slope measures how cache reuse and skew go with the number of engines of one set, with haller's
+// Scaling measures how cache reuse and skew go with the number of engines of one set, with haller's
 // kind of load: 18 engines and 8 routers, then more of both.
-func Slope(seed uint64) ([]Sample, error) {
+func Scaling(seed uint64) ([]Sample, error) {
 	const start, end = 60 * time.Second, 100 * time.Second
 	var out []Sample
 	for _, n := range []int{18, 36, 72} {
--- a/internal/sagemeasure/weigh.go
+++ b/internal/sagemeasure/weigh.go
@@ -1,9 +1,9 @@
 package sagemeasure
 
-// Weigh measures the ways that were weighed for placement under the same churn: how a returning chat
+// PlacementAlternatives measures the ways that were weighed for placement under the same churn: how a returning chat
 // finds its engine, how a hot context widens, which multiples of the mean bound the load, and how
 // fresh the view of the load is.
-func Weigh(seed uint64) ([]Sample, error) {
+func PlacementAlternatives(seed uint64) ([]Sample, error) {
 	ways := []variant{
 		{name: "place: hash only", policy: byLoad(1.35, 1.1)},
 		{name: "place: router memory", memory: true, policy: byLoad(1.35, 1.1)},
--- a/internal/sageworkload/load.go
+++ b/internal/sageworkload/load.go
@@ -35,10 +35,10 @@
 	Model   string
 	Service string
 	// Chats and Bookers are how many callers of each kind work side by side.
-	Chats   int
-	Bookers int
-	Seed    int64
-	Until   time.Time
+	ChatCallers    int
+	BookingCallers int
+	Seed           int64
+	Until          time.Time
 
 	counter counter
 }
@@ -47,10 +47,10 @@
 func (l *Load) Run(ctx context.Context) Tally {
 	l.counter.runs = make(map[string]*bookingEnd)
 	var wg sync.WaitGroup
-	for i := range l.Chats {
+	for i := range l.ChatCallers {
 		wg.Go(func() { l.chats(ctx, rand.New(rand.NewSource(l.Seed+int64(i)))) })
 	}
-	for i := range l.Bookers {
+	for i := range l.BookingCallers {
 		wg.Go(func() { l.bookings(ctx, rand.New(rand.NewSource(l.Seed-int64(i)-1))) })
 	}
 	wg.Wait()
--- a/internal/sageworkload/tally.go
+++ b/internal/sageworkload/tally.go
@@ -17,7 +17,7 @@
 	// Lost counts requests that ended without any outcome told.
 	Lost int `json:"lost"`
 	// Wrong counts answers that were not those of their request.
-	Wrong        int      `json:"wrong"`
+	WrongAnswers int      `json:"wrong"`
 	PromptTokens int      `json:"prompt_tokens"`
 	CachedTokens int      `json:"cached_tokens"`
 	Problems     []string `json:"problems,omitempty"`
@@ -35,7 +35,7 @@
 		t.problem("lost by way of " + e.Entry + ": " + e.Err.Error())
 		return
 	case e.Mismatch != "":
-		t.Wrong++
+		t.WrongAnswers++
 		t.problem("wrong answer by way of " + e.Entry + ": " + e.Mismatch)
 		return
 	}
@@ -51,7 +51,7 @@
 	case sagewire.AlreadyRun:
 		t.AlreadyRun++
 	default:
-		t.Wrong++
+		t.WrongAnswers++
 		t.problem("outcome " + string(e.Outcome))
 	}
 }
--- a/pkg/sagemember/table_test.go
+++ b/pkg/sagemember/table_test.go
@@ -17,15 +17,15 @@
 func fleetOf(t *testing.T, n, dcs int) *sagemeasure.MemberFleet {
 	t.Helper()
 	f := sagemeasure.NewMemberFleet(1)
-	require.NoError(t, f.Add(n, dcs, sagemember.DefaultLimits()))
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed())
+	require.NoError(t, f.AddNodes(n, dcs, sagemember.DefaultLimits()))
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged())
 	return f
 }
 
 func rounds(f *sagemeasure.MemberFleet, n int) {
 	for range n {
-		f.Round()
+		f.RunRound()
 	}
 }
 
@@ -34,10 +34,10 @@
 
 func TestJoinLeaveAndDeathReachEveryNode(t *testing.T) {
 	f := fleetOf(t, 8, 4)
-	late, err := f.Start("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
+	late, err := f.StartNode("10.0.1.1:7000", "dc1", sagemember.DefaultLimits())
 	require.NoError(t, err)
-	f.Rounds(40, f.Agreed)
-	require.True(t, f.Agreed(), "a node that starts later is known everywhere")
+	f.RunUntil(40, f.Converged)
+	require.True(t, f.Converged(), "a node that starts later is known everywhere")
 
 	late.Table.Report(41, 7)
 	late.Table.AdvancePhase(sagemember.Leaving)
@@ -57,8 +57,8 @@
 	require.Equal(t, sagemember.Leaving, late.Table.LocalNode().Phase, "leaving is never taken back")
 
 	late.Stopped = true
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "a dead node is dropped everywhere")
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "a dead node is dropped everywhere")
 }
 
 // Callers of one data centre lose a healthy VM: it is dropped by a node that can't reach it, though
@@ -68,7 +68,7 @@
 		t.Run(fmt.Sprint(both), func(t *testing.T) {
 			f := fleetOf(t, 8, 4)
 			a, b := f.Nodes[0], f.Nodes[4] // the two of dc0
-			f.Cut = func(from, to *sagemeasure.MemberNode) bool {
+			f.LinkDown = func(from, to *sagemeasure.MemberNode) bool {
 				return from == a && to == b || both && from == b && to == a
 			}
 			rounds(f, 300)
@@ -82,7 +82,7 @@
 func TestLossEvictsNobodyThanksToTheCheck(t *testing.T) {
 	evictions := func(checks int) int64 {
 		f := fleetOf(t, 24, 4)
-		f.Loss = 0.45
+		f.LossRate = 0.45
 		for _, n := range f.Nodes {
 			n.Table.Limits.IndirectChecks = checks
 			n.Table.Limits.SuspectAfter = 3 * time.Second
@@ -101,7 +101,7 @@
 func TestIsolatedNodeEvictsNobodyForAWhile(t *testing.T) {
 	f := fleetOf(t, 8, 4)
 	alone := f.Nodes[3]
-	f.Cut = func(from, to *sagemeasure.MemberNode) bool { return from == alone || to == alone }
+	f.LinkDown = func(from, to *sagemeasure.MemberNode) bool { return from == alone || to == alone }
 	rounds(f, 60)
 	require.Zero(t, alone.Table.Evictions())
 	require.Len(t, alone.Table.Live(), 8)
@@ -110,9 +110,9 @@
 			require.Len(t, n.Table.Live(), 7, "the others have asked each other")
 		}
 	}
-	f.Cut = nil
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "it is taken back")
+	f.LinkDown = nil
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "it is taken back")
 }
 
 // A VM is replaced at the same address. Callers are sent to the old one, or the new one is dropped
@@ -122,11 +122,11 @@
 	old := f.Nodes[4]
 	oldID := old.Table.LocalNode().Incarnation
 	late := old.Engine.Digests()[0].Data
-	fresh, err := f.Start(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
+	fresh, err := f.StartNode(old.Table.LocalNode().Address, "dc0", sagemember.DefaultLimits())
 	require.NoError(t, err)
 	freshID := fresh.Table.LocalNode().Incarnation
 	require.NotEqual(t, oldID, freshID)
-	took := f.Rounds(60, f.Agreed)
+	took := f.RunUntil(60, f.Converged)
 	require.Less(t, took, 12, "the old one goes by direct evidence, not by its silence")
 
 	d := new(member.Digest)
@@ -136,8 +136,8 @@
 		b, err := proto.Marshal(d)
 		require.NoError(t, err)
 		f.Nodes[i%3].Table.Delta(b, 1000)
-		f.Round()
-		require.True(t, f.Agreed())
+		f.RunRound()
+		require.True(t, f.Converged())
 		x, ok := find(f.Nodes[i%3], oldID)
 		require.True(t, ok)
 		require.Equal(t, sagemember.Gone, x.Phase)
@@ -154,8 +154,8 @@
 	rounds(f, 3)
 	late := dead.Engine.Digests()[0].Data
 	dead.Stopped = true
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed())
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged())
 	d := new(member.Digest)
 	require.NoError(t, proto.Unmarshal(late, d))
 	d.Counters[0] += 2
@@ -166,7 +166,7 @@
 	require.True(t, ok)
 	require.Equal(t, sagemember.Dead, x.State)
 	rounds(f, 20)
-	require.True(t, f.Agreed())
+	require.True(t, f.Converged())
 }
 
 // A process is stopped for a minute and continued. It answers callers from its old view, drops every
@@ -183,8 +183,8 @@
 	p.Paused = false
 	require.False(t, p.Table.Fresh(), "noticed before anything is answered")
 	require.Len(t, p.Table.Live(), 1)
-	f.Rounds(40, f.Agreed)
-	require.True(t, f.Agreed())
+	f.RunUntil(40, f.Converged)
+	require.True(t, f.Converged())
 	require.True(t, p.Table.Fresh())
 	require.Zero(t, p.Table.Evictions())
 	require.EqualValues(t, 1, p.Table.Pauses())
@@ -200,7 +200,7 @@
 		p.Paused = true
 		rounds(f, 25)
 		p.Paused = false
-		back = append(back, f.Rounds(100, func() bool {
+		back = append(back, f.RunUntil(100, func() bool {
 			x, ok := find(seer, id)
 			return ok && x.State == sagemember.Alive
 		}))
@@ -225,7 +225,7 @@
 	require.NoError(t, err)
 	a.Table.Delta(b, 1000)
 	rounds(f, 60)
-	require.True(t, f.Agreed(), "the victim's heartbeats have overtaken the wrong one")
+	require.True(t, f.Converged(), "the victim's heartbeats have overtaken the wrong one")
 	require.Equal(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
 	require.Zero(t, f.Evictions())
 
@@ -236,8 +236,8 @@
 	b, err = proto.Marshal(&member.Delta{Records: []*member.Record{bad, rec}})
 	require.NoError(t, err)
 	require.ErrorIs(t, a.Table.Merge(b), sagemember.ErrBadNode)
-	f.Rounds(60, f.Agreed)
-	require.True(t, f.Agreed(), "the victim went on as another incarnation")
+	f.RunUntil(60, f.Converged)
+	require.True(t, f.Converged(), "the victim went on as another incarnation")
 	require.NotEqual(t, me.Incarnation, victim.Table.LocalNode().Incarnation)
 }
 
@@ -265,13 +265,13 @@
 	for _, n := range []int{8, 50, 150, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := sagemeasure.NewMemberFleet(1)
-			if err := f.Add(n, 9, sagemember.DefaultLimits()); err != nil {
+			if err := f.AddNodes(n, 9, sagemember.DefaultLimits()); err != nil {
 				b.Fatal(err)
 			}
-			f.Rounds(40, f.Agreed)
+			f.RunUntil(40, f.Converged)
 			b.ResetTimer()
 			for range b.N {
-				f.Round()
+				f.RunRound()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*n), "ns/node-second")
 		})
