--- a/internal/sageloadd/bytes_test.go
+++ b/internal/sageloadd/bytes_test.go
@@ -20,9 +20,9 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// BenchmarkControlBytes runs nodes that call each other over loopback for some seconds, each asking
-// for units of every engine, and reports what one node sends and receives for allotments a second.
-// Busy nodes begin twenty requests a second each, and so hurry for units that they lack.
+// BenchmarkControlBytes measures the traffic of grant requests per node, sent and received, among nodes that call
+// each other over loopback. Idle nodes only vote for coordinators; each busy node starts about twenty requests a
+// second at random engines and sends urgent requests for the units that it lacks.
 func BenchmarkControlBytes(b *testing.B) {
 	for _, c := range []struct {
 		nodes, engines int
@@ -36,11 +36,11 @@
 	}
 }
 
-// measured is how long bytes are counted.
-const measured = 6 * time.Second
+// measurePeriod is how long bytes are counted.
+const measurePeriod = 6 * time.Second
 
 func controlBytes(b *testing.B, nodes, engines int, busy bool) float64 {
-	engine := httptest.NewServer(http.HandlerFunc(report))
+	engine := httptest.NewServer(http.HandlerFunc(serveReport))
 	defer engine.Close()
 	f := &fleet{state: sageconfig.NewState()}
 	for i := range engines {
@@ -60,7 +60,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	sum := func() (n int64) {
+	totalBytes := func() (n int64) {
 		for _, s := range servers {
 			n += s.Bytes()
 		}
@@ -74,18 +74,19 @@
 		go func() { _ = servers[i].Run(ctx) }()
 		go func() { _ = s.Run(ctx) }()
 		if busy {
-			go requests(ctx, s, engines)
+			go sendRequests(ctx, s, engines)
 		}
 	}
 	time.Sleep(3 * limits.GrantDuration)
-	before := sum()
-	time.Sleep(measured)
-	// Every byte passes one server and one client, so a node sees twice its server's share.
-	return 2 * float64(sum()-before) / measured.Seconds() / float64(nodes)
+	before := totalBytes()
+	time.Sleep(measurePeriod)
+	// Only servers count bytes. Every byte passes one server and one client, so the traffic of a node is twice
+	// the average of the servers.
+	return 2 * float64(totalBytes()-before) / measurePeriod.Seconds() / float64(nodes)
 }
 
-// requests begins twenty requests a second of half a second each at engines chosen at random.
-func requests(ctx context.Context, s *Service, engines int) {
+// sendRequests starts about twenty requests a second at random engines, each of which takes half a second.
+func sendRequests(ctx context.Context, s *Service, engines int) {
 	for ctx.Err() == nil {
 		name := fmt.Sprintf("derby-engine-%03d", rand.IntN(engines))
 		if s.Acquire(name, time.Now()) {
@@ -96,13 +97,13 @@
 }
 
 func TestSizeOfGrantRequest(t *testing.T) {
-	ask := &allot.AskRequest{Node: "10.0.0.1:7201", Holder: "78gcdu0edbfsb", EchoHome: "njic1gpv6m523"}
+	req := &allot.AskRequest{Node: "10.0.0.1:7201", Holder: "78gcdu0edbfsb", EchoHome: "njic1gpv6m523"}
 	res := &allot.AskResponse{Home: "njic1gpv6m523"}
 	for i := range 6 {
-		ask.Wants = append(ask.Wants, &allot.Want{Upstream: fmt.Sprintf("derby-engine-%03d", i), Seq: 1 << 20, Echo: 1 << 20, Over: 2, Units: 3, Recognise: true})
+		req.Wants = append(req.Wants, &allot.Want{Upstream: fmt.Sprintf("derby-engine-%03d", i), Seq: 1 << 20, Echo: 1 << 20, Over: 2, Units: 3, Recognise: true})
 		res.Grants = append(res.Grants, encodeGrant(i, sageload.Grant{Seq: 1 << 20, Units: 3, Cap: 16,
 			BootID: shortID("a9a536d1-550e-4aad-a01f-a5568754a1a0"), ReportFresh: true, Report: sageload.Report{InFlight: 12, CacheGeneration: 3, AsOf: time.Now()}}))
 	}
-	t.Logf("six upstreams: ask %d bytes, answer %d bytes", proto.Size(ask), proto.Size(res))
-	require.Less(t, proto.Size(ask)+proto.Size(res), 1000, "one ask about six upstreams and its answer")
+	t.Logf("six upstreams: request %d bytes, response %d bytes", proto.Size(req), proto.Size(res))
+	require.Less(t, proto.Size(req)+proto.Size(res), 1000, "one request for six upstreams and its response")
 }
--- a/internal/sageloadd/home.go
+++ b/internal/sageloadd/coordinator.go
@@ -16,35 +16,35 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// maxReport bounds the body of a load report.
-const maxReport = 4 << 10
+// maxReportBytes is the maximum size of a load report.
+const maxReportBytes = 4 << 10
 
-// maxWants bounds one ask; more would be a mistake of the asker.
+// maxWants is the maximum number of upstreams in one grant request; a larger request indicates a fault of the sender.
 const maxWants = 4096
 
-// warmAfter is the number of requests that an engine must have completed since its boot before the
+// warmAfterRequests is the number of requests that an engine must have completed since its boot before the
 // guaranteed shares apply to it.
-const warmAfter = 100
+const warmAfterRequests = 100
 
 // Errors of the service.
 var (
 	ErrInvalidReport  = errors.New("malformed load report")
-	ErrInvalidRequest = errors.New("malformed ask")
+	ErrInvalidRequest = errors.New("malformed grant request")
 )
 
-// Ask implements [allot.Allot]: it answers another router as home.
+// Ask implements [allot.Allot]: it handles the grant request of another router as coordinator.
 func (s *Service) Ask(_ context.Context, req *allot.AskRequest) (*allot.AskResponse, error) {
 	s.init()
 	if len(req.Wants) > maxWants || req.Holder == "" {
-		return nil, fmt.Errorf("%d wants of holder %q: %w", len(req.Wants), req.Holder, ErrInvalidRequest)
+		return nil, fmt.Errorf("%d wants from holder %q: %w", len(req.Wants), req.Holder, ErrInvalidRequest)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	res := &allot.AskResponse{Home: s.process}
+	res := &allot.AskResponse{Home: s.processID}
 	for i, w := range req.Wants {
-		u := s.find(w.Upstream)
+		u := s.lookup(w.Upstream)
 		if u == nil || !u.engine {
-			continue // the asker has a newer or older configuration; it asks again
+			continue // the sender has a newer or older configuration and will send the request again
 		}
 		g := s.grant(u, sageload.GrantRequest{
 			Upstream: w.Upstream, Holder: req.Holder, Node: req.Node, Seq: w.Seq, AdoptedSeq: w.Echo, Coordinator: req.EchoHome,
@@ -55,24 +55,24 @@
 	return res, nil
 }
 
-// grant answers one want as home; mu is held. The instant is read here, inside the lock, so that the
-// ledger sees time run forward.
+// grant handles the request for one upstream as coordinator; the caller holds mu. The time is read under the
+// lock, so that it never goes backwards for the ledger.
 func (s *Service) grant(u *upstream, w sageload.GrantRequest, cold bool) sageload.Grant {
 	now := time.Now()
 	l := s.ledgerOf(u)
-	if cold && now.Sub(u.restarted) > coldSpacing {
-		u.restarted = now
+	if cold && now.Sub(u.rampRestartedAt) > minRampRestartInterval {
+		u.rampRestartedAt = now
 		u.ramp.Restart()
 		s.Log.Warn("Latency says that the upstream is cold.", "upstream", u.name)
 	}
 	return l.HandleRequest(now, w)
 }
 
-// ledgerOf returns the ledger of an upstream; it is made once for the life of the process.
+// ledgerOf returns the ledger of an upstream, which it creates on first use and keeps until the process ends.
 func (s *Service) ledgerOf(u *upstream) *sageload.Ledger {
 	if u.ledger == nil {
-		u.ledger = &sageload.Ledger{Coordinator: s.process, Limits: s.Limits, Floor: min(s.Floor, u.max), WarmAfterRequests: warmAfter}
-		for _, m := range u.electorate {
+		u.ledger = &sageload.Ledger{Coordinator: s.processID, Limits: s.Limits, Floor: min(s.Floor, u.maxInFlight), WarmAfterRequests: warmAfterRequests}
+		for _, m := range u.voters {
 			u.ledger.Voters = append(u.ledger.Voters, m.Name)
 		}
 		if s.resigned {
@@ -82,50 +82,50 @@
 	return u.ledger
 }
 
-func encodeGrant(want int, g sageload.Grant) *allot.Grant {
+func encodeGrant(index int, g sageload.Grant) *allot.Grant {
 	return &allot.Grant{
-		Want: uint32(want), Seq: g.Seq, Units: uint32(g.Units), BootId: g.BootID, Cap: uint32(max(g.Cap, 0)),
+		Want: uint32(index), Seq: g.Seq, Units: uint32(g.Units), BootId: g.BootID, Cap: uint32(max(g.Cap, 0)),
 		Known: g.ReportFresh, Pending: g.Pending, Resigned: g.Resigned, Warm: g.GuaranteedUsable,
 		InFlight: uint32(max(g.Report.InFlight, 0)), CacheGeneration: g.Report.CacheGeneration, AsOf: g.Report.AsOf.UnixMicro(),
 	}
 }
 
-// probe reads the load of every engine whose home this node is.
-func (s *Service) probe(ctx context.Context, wait *sync.WaitGroup) {
+// probeEngines starts a load probe of every engine that this node coordinates.
+func (s *Service) probeEngines(ctx context.Context, wg *sync.WaitGroup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	live := s.live()
 	for _, u := range s.upstreams {
-		home, ok := s.homeOf(u, live)
-		if !u.engine || !ok || home != s.Node || u.probing {
+		coordinator, ok := s.coordinatorOf(u, live)
+		if !u.engine || !ok || coordinator != s.Node || u.probing {
 			continue
 		}
 		u.probing = true
 		address := u.address
-		wait.Go(func() { s.probeOne(ctx, u, address) })
+		wg.Go(func() { s.probeEngine(ctx, u, address) })
 	}
 }
 
-func (s *Service) probeOne(ctx context.Context, u *upstream, address string) {
+func (s *Service) probeEngine(ctx context.Context, u *upstream, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.Limits.GrantDuration/2)
 	defer cancel()
 	sent := time.Now()
-	r, err := s.read(ctx, address)
+	r, err := s.readReport(ctx, address)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u.probing = false
 	if err != nil || address != u.address {
 		return
 	}
-	bears := u.ramp.Observe(r)
-	if u.out {
-		bears = 0
+	capacity := u.ramp.Observe(r)
+	if u.outOfService {
+		capacity = 0
 	}
-	s.ledgerOf(u).RecordReport(time.Now(), sent, r, bears)
+	s.ledgerOf(u).RecordReport(time.Now(), sent, r, capacity)
 }
 
-// read calls GET /v1/load of an upstream.
-func (s *Service) read(ctx context.Context, address string) (sageload.Report, error) {
+// readReport reads the load report of an upstream.
+func (s *Service) readReport(ctx context.Context, address string) (sageload.Report, error) {
 	var r sageload.Report
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+loadPath, nil)
 	if err != nil {
@@ -144,7 +144,7 @@
 	if res.StatusCode != http.StatusOK {
 		return r, fmt.Errorf("status %d: %w", res.StatusCode, ErrInvalidReport)
 	}
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxReport))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxReportBytes))
 	if err != nil {
 		return r, fmt.Errorf("read load report: %w", err)
 	}
@@ -158,9 +158,9 @@
 	return r, nil
 }
 
-// shortID shortens an id that goes with every grant.
+// shortID returns a hash of a long boot id, as every grant carries one.
 func shortID(id string) string {
-	if len(id) <= shortBytes {
+	if len(id) <= shortIDBytes {
 		return id
 	}
 	return base32(xxhash.Sum64String(id))
--- a/internal/sageloadd/dial.go
+++ b/internal/sageloadd/dial.go
@@ -11,28 +11,25 @@
 	"github.com/pkg/errors"
 )
 
-// loadPath is where an engine reports its load.
+// loadPath is the path of an engine's load report.
 const loadPath = "/v1/load"
 
-// dialTimeout bounds the connection and the first read on it.
+// dialTimeout bounds the connection setup, and separately the exchange that reads the boot id.
 const dialTimeout = time.Second
 
-// ErrRestarted says that an engine has restarted since the request got its unit.
+// ErrRestarted reports that an engine has restarted since the request got its unit.
 var ErrRestarted = errors.New("upstream has restarted")
 
-// Dial connects to an upstream for requests; a dispatcher uses it for every connection. To an engine
-// it first reads the load on the new connection, for the boot id.
+// Dial connects to an upstream for requests; the dispatcher uses it for every connection. If the upstream is an
+// engine, Dial first reads the engine's load on the new connection and takes the boot id from it. The returned
+// connection implements sageconn.BootIdentifier, and no request for another boot is sent on it.
 //
-// The connection knows its boot from then on (sagedispatch.Booted), and no attempt for another boot
-// goes out on it.
-//
-// A restarted engine is cold and falls over under the units that were granted for its warm
-// predecessor; the home may learn of the restart a second later. The restart breaks every old
-// connection, so whoever comes next dials, sees the new boot id here, and nothing is sent on units
-// of the earlier boot.
+// A restarted engine is cold and would be overloaded by the requests that were granted to it when it was warm;
+// its coordinator may detect the restart a second later. A restart breaks all connections to the engine, so the
+// next request dials, and Dial rejects it if its unit was granted for the earlier boot.
 func (s *Service) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	s.init()
-	expected, engine := s.boot(address)
+	expected, engine := s.expectedBoot(address)
 	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, fmt.Errorf("dial upstream: %w", err)
@@ -40,52 +37,52 @@
 	if !engine {
 		return c, nil
 	}
-	boot, err := bootOf(c, address)
+	bootID, err := readBootID(c, address)
 	if err != nil {
 		_ = c.Close()
 		return nil, fmt.Errorf("read boot id: %w", err)
 	}
-	s.seen(address, boot)
-	if expected != "" && boot != expected {
+	s.observeBoot(address, bootID)
+	if expected != "" && bootID != expected {
 		_ = c.Close()
 		return nil, fmt.Errorf("%s: %w", address, ErrRestarted)
 	}
-	return &booted{Conn: c, boot: boot}, nil
+	return &bootConn{Conn: c, bootID: bootID}, nil
 }
 
-// booted is a connection to one boot of an engine.
-type booted struct {
+// bootConn is a connection to an engine together with the engine's boot id.
+type bootConn struct {
 	net.Conn
 
-	boot string
+	bootID string
 }
 
-// BootID returns the boot that the connection leads to.
-func (c *booted) BootID() string { return c.boot }
+// BootID returns the boot id of the engine at the other end.
+func (c *bootConn) BootID() string { return c.bootID }
 
-func (s *Service) boot(address string) (id string, engine bool) {
+func (s *Service) expectedBoot(address string) (id string, engine bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.byAddress[address]
 	if u == nil || !u.engine {
 		return "", false
 	}
-	return u.holding.BootID(), true
+	return u.allotment.BootID(), true
 }
 
-func (s *Service) seen(address, boot string) {
+func (s *Service) observeBoot(address, bootID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.byAddress[address]
-	if u == nil || u.holding.BootID() == boot {
+	if u == nil || u.allotment.BootID() == bootID {
 		return
 	}
-	u.holding.ObserveBoot(boot)
-	s.hurry()
+	u.allotment.ObserveBoot(bootID)
+	s.requestSoon()
 }
 
-// bootOf reads the load on a new connection and leaves it ready for the next request.
-func bootOf(c net.Conn, address string) (string, error) {
+// readBootID reads the load report on a new connection and leaves the connection ready for the next request.
+func readBootID(c net.Conn, address string) (string, error) {
 	if err := c.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return "", fmt.Errorf("set deadline: %w", err)
 	}
@@ -96,7 +93,7 @@
 	if err := req.Write(c); err != nil {
 		return "", fmt.Errorf("send: %w", err)
 	}
-	res, err := http.ReadResponse(bufio.NewReaderSize(c, maxReport), req)
+	res, err := http.ReadResponse(bufio.NewReaderSize(c, maxReportBytes), req)
 	if err != nil {
 		return "", fmt.Errorf("receive: %w", err)
 	}
--- a/internal/sageloadd/doc.go
+++ b/internal/sageloadd/doc.go
@@ -1,10 +1,10 @@
-// Package sageloadd is the service "load" of a node. For each upstream of the configuration it keeps
-// the router's side of the in-flight allotment, and for those whose home this node is, the home's
-// side too: it probes them, grants shares to other routers and ramps cold ones.
+// Package sageloadd is the service "load" of a node. For each configured upstream it keeps the node's own
+// in-flight allotment. For the upstreams that this node coordinates, it also probes their load, grants units to
+// the other routers and limits cold engines by a ramp.
 //
-// The decisions are those of package sageload; this package adds the periods, the calls between
-// nodes and the probes. Application services report no load, so their limit is divided among the
-// roster once and for all. See docs/design/allotments.md.
+// Package sageload makes the decisions; this package adds the timers, the calls between nodes and the probes.
+// Application services don't report load, so their limit is divided statically among the nodes of the roster.
+// See docs/design/allotments.md.
 //
 // # Usage
 //
--- a/internal/sageloadd/latency.go
+++ b/internal/sageloadd/latency.go
@@ -8,18 +8,19 @@
 	"sagestand.example/sagestand/internal/sagedispatch"
 )
 
-// leastTokens is the number of prompt tokens from which the time to the first token tells the
-// engine's speed rather than that of the network.
-const leastTokens = 16
+// minPromptTokens is the number of uncached prompt tokens from which the time to the first token depends on the
+// engine's speed rather than on the network.
+const minPromptTokens = 16
 
-// Dispatcher makes attempts at upstreams.
+// Dispatcher sends one attempt of a request to an upstream.
 type Dispatcher interface {
 	Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result
 }
 
-// TimedDispatcher passes attempts on, each bound to the boot of the engine that its unit is for, and feeds the time to the first token, per uncached prompt token, to the
-// detector of cold engines. Answers that are not streamed come when they are whole, so their time
-// tells the length of the answer and is left out.
+// TimedDispatcher forwards attempts to Next, each bound to the engine boot for which its unit was granted. It
+// reports the time to the first token, divided by the number of uncached prompt tokens, to the detector of cold
+// engines. Responses that aren't streamed arrive when they are complete, so their time depends on the length of
+// the output; they are left out.
 type TimedDispatcher struct {
 	Next Dispatcher
 	Load *Service
@@ -27,24 +28,24 @@
 
 // Do implements [Dispatcher].
 func (t *TimedDispatcher) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
-	if id, ok := t.Load.boot(a.Address); ok {
+	if id, ok := t.Load.expectedBoot(a.Address); ok {
 		a.BootID = id
 	}
 	start := time.Now()
 	res := t.Next.Do(ctx, w, a)
-	fresh := res.PromptTokens - res.CachedTokens
-	if a.Engine && a.Stream && !res.FirstByteAt.IsZero() && fresh >= leastTokens {
-		t.Load.latency(a.Address, res.FirstByteAt.Sub(start).Seconds()/float64(fresh))
+	uncached := res.PromptTokens - res.CachedTokens
+	if a.Engine && a.Stream && !res.FirstByteAt.IsZero() && uncached >= minPromptTokens {
+		t.Load.recordLatency(a.Address, res.FirstByteAt.Sub(start).Seconds()/float64(uncached))
 	}
 	return res
 }
 
-// latency takes the latency of one answer, see [sageload.Detector].
-func (s *Service) latency(address string, latency float64) {
+// recordLatency adds the latency of one response, in seconds per uncached prompt token, to the engine's detector.
+func (s *Service) recordLatency(address string, latency float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u := s.byAddress[address]; u != nil && u.detector.Observe(latency) {
-		u.cold = true
-		s.hurry()
+		u.coldObserved = true
+		s.requestSoon()
 	}
 }
--- a/internal/sageloadd/service.go
+++ b/internal/sageloadd/service.go
@@ -13,24 +13,25 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// Parts of a grant period. An ask that is lost leaves time for another before the grant ends.
 const (
-	asksPerGrant = 4
-	// kickSpacing is the least time after a hurried ask, so that a shortage doesn't turn into a stream
-	// of asks; never more than half a round.
-	kickSpacing = 100 * time.Millisecond
-	// silentGrants is after how many grant periods an upstream's load counts as unknown.
-	silentGrants = 2
-	// idleAfter is how long a router keeps asking for a spare unit after its last use.
-	idleAfter = time.Minute
+	// requestsPerGrant is the number of request rounds in one grant period: after a lost request there is
+	// time for another one before the grant expires.
+	requestsPerGrant = 4
+	// minRequestSpacing is the minimum delay after an urgent request, so that a shortage of units doesn't
+	// cause a continuous stream of requests. Run uses half a round if that is shorter.
+	minRequestSpacing = 100 * time.Millisecond
+	// maxReportAgeGrants is the age of a load report, in grant periods, from which the load counts as unknown.
+	maxReportAgeGrants = 2
+	// reserveIdleTimeout is how long after its last use of an upstream a router still requests reserve units.
+	reserveIdleTimeout = time.Minute
 )
 
-// Config is what the service needs of the configuration.
+// Config provides the current configuration.
 type Config interface {
 	State() *sageconfig.State
 }
 
-// Peers makes calls to other nodes.
+// Peers provides the URLs of other nodes and the HTTP client for calls to them.
 type Peers interface {
 	URL(addr string) string
 	HTTP() *http.Client
@@ -38,58 +39,59 @@
 
 // Service is the load service of one node. Its exported fields are set before Run.
 type Service struct {
-	// Node is this node's address on the roster, at which other nodes call it.
+	// Node is this node's address in the roster, at which other nodes call it.
 	Node string
-	// Roster holds every node by address; it is the same on all of them.
+	// Roster lists all nodes by address and is the same on every node.
 	Roster []sageload.Member
-	// Live returns the nodes that are up and not leaving; nil means the roster.
+	// Live returns the nodes that are up and not leaving; if it is nil, all nodes of the roster count as live.
 	Live   func() []sageload.Member
 	Config Config
 	Peers  Peers
-	// Probe makes the calls to upstreams; nil means a client of its own.
+	// ProbeClient sends the load probes to upstreams; if it is nil, the service creates a client.
 	ProbeClient *http.Client
 	Limits      sageload.Limits
-	// Floor is the part of a warm engine's limit that is set aside for the guaranteed shares.
+	// Floor is the number of units of a warm engine's limit that are set aside for the guaranteed shares.
 	Floor int
-	// Ramp is the number of completed requests for one more at once on a cold engine.
+	// RampCompletions is the number of completed requests after which a cold engine may have one more request
+	// in flight.
 	RampCompletions uint64
 	Log             sagelog.Logger
 
-	mu        sync.Mutex
-	process   string
-	started   time.Time
-	state     *sageconfig.State
-	upstreams map[string]*upstream
-	byAddress map[string]*upstream
-	calls     map[string]bool   // homes with an ask under way
-	processes map[string]string // the process that last answered, by node
-	kick      chan struct{}
-	once      sync.Once
-	resigned  bool
+	mu             sync.Mutex
+	processID      string
+	started        time.Time
+	state          *sageconfig.State
+	upstreams      map[string]*upstream
+	byAddress      map[string]*upstream
+	pendingCalls   map[string]bool   // coordinators with a request in progress
+	peerProcessIDs map[string]string // by node, the process that last responded
+	wake           chan struct{}
+	once           sync.Once
+	resigned       bool
 }
 
 func (s *Service) init() {
 	s.once.Do(func() {
-		s.process = base32(rand.Uint64())
+		s.processID = base32(rand.Uint64())
 		s.started = time.Now()
 		s.upstreams = make(map[string]*upstream)
 		s.byAddress = make(map[string]*upstream)
-		s.calls = make(map[string]bool)
-		s.processes = make(map[string]string)
-		s.kick = make(chan struct{}, 1)
+		s.pendingCalls = make(map[string]bool)
+		s.peerProcessIDs = make(map[string]string)
+		s.wake = make(chan struct{}, 1)
 		if s.ProbeClient == nil {
 			s.ProbeClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 		}
 	})
 }
 
-// shortBytes is the length of a 64-bit number in base 32.
-const shortBytes = 13
+// shortIDBytes is the length of a 64-bit number in base 32.
+const shortIDBytes = 13
 
-// base32 writes v in shortBytes characters.
+// base32 encodes v in shortIDBytes characters, the least significant first.
 func base32(v uint64) string {
 	const digits = "0123456789abcdefghijklmnopqrstuv"
-	var b [shortBytes]byte
+	var b [shortIDBytes]byte
 	for i := range b {
 		b[i] = digits[v&31]
 		v >>= 5
@@ -97,47 +99,47 @@
 	return string(b[:])
 }
 
-// Run asks, probes and grants until ctx ends.
+// Run probes engines and requests grants until ctx ends, and resigns then.
 func (s *Service) Run(ctx context.Context) error {
 	if err := s.Limits.Validate(); err != nil {
 		return fmt.Errorf("load service: %w", err)
 	}
 	s.init()
-	period := s.Limits.GrantDuration / asksPerGrant
+	period := s.Limits.GrantDuration / requestsPerGrant
 	t := time.NewTicker(period)
 	defer t.Stop()
-	var wait sync.WaitGroup
-	defer wait.Wait()
-	s.round(ctx, &wait)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	s.runRound(ctx, &wg)
 	for {
 		select {
 		case <-ctx.Done():
 			s.Resign()
 			return nil
 		case <-t.C:
-			s.round(ctx, &wait)
-		case <-s.kick:
-			s.ask(ctx, &wait, true)
+			s.runRound(ctx, &wg)
+		case <-s.wake:
+			s.requestGrants(ctx, &wg, true)
 			select {
 			case <-ctx.Done():
-			case <-time.After(min(kickSpacing, period/2)):
+			case <-time.After(min(minRequestSpacing, period/2)):
 			}
 		}
 	}
 }
 
-// round follows the configuration, probes what this node is home of, and asks for shares.
-func (s *Service) round(ctx context.Context, wait *sync.WaitGroup) {
+// runRound applies the current configuration, probes the engines that this node coordinates and requests grants.
+func (s *Service) runRound(ctx context.Context, wg *sync.WaitGroup) {
 	s.mu.Lock()
-	s.follow()
+	s.applyConfig()
 	s.mu.Unlock()
-	s.probe(ctx, wait)
-	s.ask(ctx, wait, false)
+	s.probeEngines(ctx, wg)
+	s.requestGrants(ctx, wg, false)
 }
 
-// Resign ends every term of this home: what it granted runs out, nothing new is granted, and the
-// other nodes may turn to a successor at once. A node that leaves calls it before it says so; it
-// goes on asking for its own requests.
+// Resign ends this node's terms as coordinator: it grants nothing more, its earlier grants expire, and the other
+// nodes may turn to a successor immediately. A leaving node calls it before it announces that it leaves, and
+// continues to request units for its own requests.
 func (s *Service) Resign() {
 	s.init()
 	s.mu.Lock()
@@ -167,7 +169,7 @@
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := s.find(name)
+	u := s.lookup(name)
 	if u == nil {
 		return sageload.View{Upstream: name}
 	}
@@ -179,92 +181,94 @@
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := s.find(name)
+	u := s.lookup(name)
 	if u == nil {
 		return false
 	}
-	u.used = now
-	// The caller's instant may be old by now if it was paused; the deadline is held against the
-	// present one.
-	if !u.holding.Acquire(time.Now()) {
-		// Whoever waits for a unit tries again and again; the ask grows by doubling.
-		u.missed = min(u.missed+1, 1+u.holding.InUse())
-		if u.hasty() {
-			s.hurry()
+	u.lastUsed = now
+	// The grant's deadline is compared with the current time, as now is outdated if the caller was paused.
+	if !u.allotment.Acquire(time.Now()) {
+		// Callers that wait for a unit retry often. The bound lets the requested units at most about double
+		// from one request to the next.
+		u.missedAcquires = min(u.missedAcquires+1, 1+u.allotment.InUse())
+		if u.urgent() {
+			s.requestSoon()
 		}
 		return false
 	}
 	u.estimate.RecordDispatch()
-	u.peak = max(u.peak, u.holding.InUse())
+	u.peakInUse = max(u.peakInUse, u.allotment.InUse())
 	return true
 }
 
-// Release gives a unit back.
+// Release returns a unit to this node's allotment of an upstream.
 func (s *Service) Release(name string, _ time.Time, _ bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u := s.upstreams[name]; u != nil {
-		u.holding.Release()
+		u.allotment.Release()
 		u.estimate.RecordEnd()
 	}
 }
 
-// Slots returns how many requests this node may have in flight at the named upstreams together, and
-// takes note that queued more wait for them.
+// Slots returns how many requests this node may have in flight at the named upstreams together, and records
+// queued, the number of requests that wait for these upstreams.
 func (s *Service) Slots(names []string, queued int) int {
 	s.init()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, n, grow := time.Now(), 0, false
-	each := (queued + len(names) - 1) / max(len(names), 1)
+	now, total, grow := time.Now(), 0, false
+	perUpstream := (queued + len(names) - 1) / max(len(names), 1)
 	for _, name := range names {
-		u := s.find(name)
+		u := s.lookup(name)
 		if u == nil {
 			continue
 		}
-		n += u.holding.InUse() + u.holding.Free(now)
-		grow = grow || each > u.queued
-		u.queued = each
+		total += u.allotment.InUse() + u.allotment.Free(now)
+		grow = grow || perUpstream > u.queued
+		u.queued = perUpstream
 		if queued > 0 {
-			u.used = now
+			u.lastUsed = now
 		}
 	}
-	if n == 0 {
-		grow = s.wantFirst(names, now) || grow
+	if total == 0 {
+		grow = s.requestInitialUnits(names, now) || grow
 	}
 	if grow {
-		s.hurry()
+		s.requestSoon()
 	}
-	return n
+	return total
 }
 
-// firstWants is how many upstreams of a set a node that holds no unit of it asks at a time.
-const firstWants = 3
+// maxInitialUpstreams is the number of upstreams of a set from which a node without any unit of the set requests
+// units at a time.
+const maxInitialUpstreams = 3
 
-// wantFirst wants a unit of a few upstreams of a set of which this node holds none; mu is held.
+// requestInitialUnits marks a few upstreams of a set of which this node holds no unit, so that the next request
+// asks for one unit of each. It reports whether an urgent request is needed. The caller holds mu.
 //
-// It guards against a node that never serves: nothing is placed without a unit, and units are only
-// asked for where something was placed. Asking all of a large set would be a call to each home every
-// round; a few are enough, others the next second, in case those are out or cold.
-func (s *Service) wantFirst(names []string, now time.Time) bool {
-	first := int((sageload.NodeHash(s.Node) + uint64(now.Unix())) % uint64(max(len(names), 1)))
-	hasty := false
-	for i, left := 0, firstWants; i < len(names) && left > 0; i++ {
-		u := s.find(names[(first+i)%len(names)])
-		if u == nil || u.out {
+// Without it a new node would never serve: it places requests only with a unit, and otherwise requests units
+// only of upstreams that it has used. Requesting from a large set as a whole would cost a call to each
+// coordinator every round. Each second another few are selected, in case some are out of service or cold.
+func (s *Service) requestInitialUnits(names []string, now time.Time) bool {
+	start := int((sageload.NodeHash(s.Node) + uint64(now.Unix())) % uint64(max(len(names), 1)))
+	needsRequest := false
+	for i, remaining := 0, maxInitialUpstreams; i < len(names) && remaining > 0; i++ {
+		u := s.lookup(names[(start+i)%len(names)])
+		if u == nil || u.outOfService {
 			continue
 		}
-		u.missed, u.used = max(u.missed, 1), now
-		hasty = hasty || u.hasty()
-		left--
+		u.missedAcquires, u.lastUsed = max(u.missedAcquires, 1), now
+		needsRequest = needsRequest || u.urgent()
+		remaining--
 	}
-	return hasty
+	return needsRequest
 }
 
-// hurry makes the service ask soon instead of at the next round.
-func (s *Service) hurry() {
+// requestSoon makes Run send an urgent request before the next round.
+func (s *Service) requestSoon() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/sageloadd/service_test.go
+++ b/internal/sageloadd/service_test.go
@@ -24,20 +24,20 @@
 
 const slots = 6
 
-// fleet is three nodes before one engine stand-in, over real connections on loopback.
+// fleet is three nodes and one engine stand-in, connected over loopback.
 type fleet struct {
-	nodes  []*Service
-	engine *httptest.Server
-	state  *sageconfig.State
-	stop   map[string]func() // by node
-	gone   atomic.Value      // name of the node that is down
+	nodes    []*Service
+	engine   *httptest.Server
+	state    *sageconfig.State
+	stop     map[string]func() // by node
+	downNode atomic.Value      // name of the node that is down
 }
 
 func (f *fleet) live(roster []sageload.Member) func() []sageload.Member {
 	return func() []sageload.Member {
 		var out []sageload.Member
 		for _, m := range roster {
-			if m.Name != f.gone.Load() {
+			if m.Name != f.downNode.Load() {
 				out = append(out, m)
 			}
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// report answers as a warm engine that is idle.
-func report(w http.ResponseWriter, _ *http.Request) {
+// serveReport responds with the load report of a warm, idle engine.
+func serveReport(w http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(w).Encode(sageload.Report{BootID: "boot1", Slots: slots, Capacity: slots, Completed: 1000, AsOf: time.Now()})
 }
 
@@ -55,7 +55,7 @@
 func (f *fleet) HTTP() *http.Client       { return http.DefaultClient }
 
 func newFleet(t testing.TB) *fleet {
-	f := &fleet{state: sageconfig.NewState(), stop: map[string]func(){}, engine: httptest.NewServer(http.HandlerFunc(report))}
+	f := &fleet{state: sageconfig.NewState(), stop: map[string]func(){}, engine: httptest.NewServer(http.HandlerFunc(serveReport))}
 	t.Cleanup(f.engine.Close)
 	f.state.Apply(sageconfig.Entry{TicketNumber: 1, Change: sageconfig.Change{
 		Key: sageconfig.EntryKey{Kind: sageconfig.KindUpstream, Name: "engine1"},
@@ -71,8 +71,8 @@
 		muxes = append(muxes, mux)
 		roster = append(roster, sageload.Member{Name: strings.TrimPrefix(srv.URL, "http://"), DataCentre: "derby"})
 	}
-	var wait sync.WaitGroup
-	t.Cleanup(wait.Wait)
+	var wg sync.WaitGroup
+	t.Cleanup(wg.Wait)
 	for i, m := range roster {
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
@@ -81,51 +81,51 @@
 		h := allot.NewAllotServer(s)
 		muxes[i].Handle(h.PathPrefix(), h)
 		f.nodes = append(f.nodes, s)
-		wait.Go(func() { _ = s.Run(ctx) })
+		wg.Go(func() { _ = s.Run(ctx) })
 	}
 	return f
 }
 
-// take takes every unit that a node can get and returns their number.
-func take(s *Service) int {
-	n := 0
+// acquireAll acquires units until the node has no free one, and returns their number.
+func acquireAll(s *Service) int {
+	acquired := 0
 	for s.Acquire("engine1", time.Now()) {
-		n++
+		acquired++
 	}
-	return n
+	return acquired
 }
 
-// Story: three routers each know only their own requests and together fill an engine three times
-// over. They get units from the engine's home, all but the guaranteed one, and never more.
+// Three routers that each limited only their own requests could together send three times an engine's limit.
+// With units granted by the engine's coordinator they get all but the guaranteed one, and never more.
 func TestNodesShareAnEngine(t *testing.T) {
 	f := newFleet(t)
-	taken := 0
+	acquired := 0
 	require.Eventually(t, func() bool {
 		for _, s := range f.nodes {
-			taken += take(s)
+			acquired += acquireAll(s)
 		}
-		return taken >= slots-1
+		return acquired >= slots-1
 	}, 20*time.Second, 20*time.Millisecond)
 	time.Sleep(2 * testLimits.GrantDuration)
 	for _, s := range f.nodes {
-		taken += take(s)
+		acquired += acquireAll(s)
 	}
-	require.Equal(t, slots-1, taken, "the guaranteed unit stays unused for a request's lifetime after the start")
+	require.Equal(t, slots-1, acquired, "the guaranteed unit stays unused for a request's lifetime after the start")
 	v := f.nodes[0].View("engine1")
 	require.True(t, v.Known)
 	require.Equal(t, slots, v.Cap)
 	require.NotEmpty(t, v.BootID)
 }
 
-// Story: the VM that is an engine's home dies, and the engine gets no work any more although it and
-// the other routers are well. Another node becomes its home and grants.
+// When the VM of an engine's coordinator fails, the engine would get no more requests although it and the other
+// routers work. Another node must become coordinator and grant units.
 func TestCoordinatorFailover(t *testing.T) {
 	f := newFleet(t)
 	roster := f.nodes[0].Roster
-	home, _ := sageload.Coordinator("engine1", "derby", roster)
+	coordinator, _ := sageload.Coordinator("engine1", "derby", roster)
 	var others []*Service
 	for _, s := range f.nodes {
-		if s.Node != home {
+		if s.Node != coordinator {
 			others = append(others, s)
 		}
 	}
@@ -137,9 +137,9 @@
 		return ok
 	}
 	require.Eventually(t, granted, 20*time.Second, 20*time.Millisecond)
-	f.stop[home]()
-	f.gone.Store(home)
-	require.Eventually(t, func() bool { return !granted() }, 20*time.Second, 5*time.Millisecond, "the old grants run out")
+	f.stop[coordinator]()
+	f.downNode.Store(coordinator)
+	require.Eventually(t, func() bool { return !granted() }, 20*time.Second, 5*time.Millisecond, "the old grants expire")
 	require.Eventually(t, granted, 20*time.Second, 20*time.Millisecond)
 	granting := ""
 	for _, s := range others {
@@ -150,8 +150,8 @@
 	require.NotEmpty(t, granting)
 }
 
-// Story: an engine restarts cold, and a router that has not heard of it sends on units granted for
-// the warm one. A new connection names its boot first, and another than expected carries nothing.
+// An engine restarts cold, and a router that doesn't know of the restart still holds units granted for the earlier
+// boot. Dial reads the boot id first and rejects a connection to another boot than expected.
 func TestDialRejectsRestartedEngine(t *testing.T) {
 	f := newFleet(t)
 	s := f.nodes[0]
@@ -160,11 +160,11 @@
 	c, err := s.Dial(context.Background(), "tcp", address)
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
-	s.seen(address, "boot-of-before")
+	s.observeBoot(address, "boot-of-before")
 	_, err = s.Dial(context.Background(), "tcp", address)
 	require.ErrorIs(t, err, ErrRestarted)
 	c, err = s.Dial(context.Background(), "tcp", address)
-	require.NoError(t, err, "the next request is for the boot that is there")
+	require.NoError(t, err, "the next request expects the current boot")
 	require.NoError(t, c.Close())
 }
 
