--- a/internal/sageclaims/backlog.go
+++ b/internal/sageclaims/backlog.go
@@ -13,36 +13,36 @@
 
 // Limits of the backlog.
 const (
-	maxBacklog    = 20_000
-	backlogPause  = 250 * time.Millisecond
-	backlogMost   = 4 * time.Second
-	backlogAtOnce = 64
-	// noClaimFor is how long after its deadline a claim may still be written by a slow owner, and so
-	// how long a release that found no claim is repeated.
-	noClaimFor = 30 * time.Second
-	drainFor   = 5 * time.Second
+	maxBacklogJobs    = 20_000
+	initialJobDelay   = 250 * time.Millisecond
+	maxJobDelay       = 4 * time.Second
+	maxConcurrentJobs = 64
+	// missingClaimTimeout is how long after its deadline a claim may still be written by a slow owner, and
+	// therefore how long a job that finds no claim is retried.
+	missingClaimTimeout = 30 * time.Second
+	drainTimeout        = 5 * time.Second
 )
 
-// job is a finish or a release that has to reach the store.
+// job is a finish or a release that has to be committed.
 type job struct {
 	object string
 	entry  sageclaim.Entry
 	answer []byte
-	// giveUp is when a job that finds no claim is dropped.
-	giveUp time.Time
-	// after is when a job that failed is tried again; its pauses double.
-	after time.Time
-	pause time.Duration
+	// abandonAt is when a job that finds no claim is abandoned.
+	abandonAt time.Time
+	// retryAt is when a failed job is due again; retryDelay, the time from the failure, doubles each time.
+	retryAt    time.Time
+	retryDelay time.Duration
 }
 
-// failed returns the job as it is to be tried again.
-func (j job) failed(now time.Time) job {
-	j.pause = min(max(2*j.pause, backlogPause), backlogMost)
-	j.after = now.Add(j.pause)
+// withBackoff returns the failed job with the time of its next attempt.
+func (j job) withBackoff(now time.Time) job {
+	j.retryDelay = min(max(2*j.retryDelay, initialJobDelay), maxJobDelay)
+	j.retryAt = now.Add(j.retryDelay)
 	return j
 }
 
-// backlog holds the jobs that wait.
+// backlog holds the jobs that are not committed yet.
 type backlog struct {
 	mu      sync.Mutex
 	jobs    []job
@@ -50,7 +50,7 @@
 	dropped int64
 }
 
-func (b *backlog) signal() chan struct{} {
+func (b *backlog) wakeChannel() chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.wake == nil {
@@ -59,12 +59,12 @@
 	return b.wake
 }
 
-// push adds jobs. Beyond the bound they are dropped: the claim then stays claimed, which refuses
-// repeats and shows in the list of unsettled requests, but never runs anything twice.
-func (b *backlog) push(jobs ...job) {
-	wake := b.signal()
+// add adds jobs and wakes Run. Jobs beyond maxBacklogJobs are dropped: their claims stay claimed, so repeated
+// requests are refused and the claims appear in the list of unknown outcomes, but no request runs twice.
+func (b *backlog) add(jobs ...job) {
+	wake := b.wakeChannel()
 	b.mu.Lock()
-	free := max(0, maxBacklog-len(b.jobs))
+	free := max(0, maxBacklogJobs-len(b.jobs))
 	b.dropped += int64(max(0, len(jobs)-free))
 	b.jobs = append(b.jobs, jobs[:min(free, len(jobs))]...)
 	b.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-func (b *backlog) take() []job {
+func (b *backlog) takeAll() []job {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	jobs := b.jobs
@@ -88,87 +88,89 @@
 	return len(b.jobs)
 }
 
-func (s *Service) push(j job, deadline time.Time) {
-	j.giveUp = deadline.Add(noClaimFor)
-	s.backlog.push(j)
+func (s *Service) enqueue(j job, deadline time.Time) {
+	j.abandonAt = deadline.Add(missingClaimTimeout)
+	s.backlog.add(j)
 }
 
-// Run brings finishes and releases to the store until ctx ends, and then for a while what is left.
+// Run commits finishes and releases until ctx ends, and then tries for up to drainTimeout to commit the rest.
 func (s *Service) Run(ctx context.Context) error {
 	s.init()
-	go s.sweepUntil(ctx)
-	wake := s.backlog.signal()
+	go s.runSweeps(ctx)
+	wake := s.backlog.wakeChannel()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-wake:
-			if s.work(ctx, false) > 0 {
-				// What failed comes back after a pause, so that an outage isn't met by a storm.
-				wait(ctx, backlogPause)
-				s.backlog.push()
+			if s.runJobs(ctx, false) > 0 {
+				// Failed jobs are retried after a delay, so that an outage of the store doesn't cause a
+				// burst of calls.
+				sleep(ctx, initialJobDelay)
+				s.backlog.add()
 			}
 		}
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainFor)
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainTimeout)
 	defer cancel()
-	for s.work(last, true) > 0 && wait(last, backlogPause) {
+	for s.runJobs(drainCtx, true) > 0 && sleep(drainCtx, initialJobDelay) {
 	}
 	if n := s.backlog.len(); n > 0 {
-		s.Log.Warn("Stopped with outcomes not recorded; they show as unsettled.", "count", n)
+		s.Log.Warn("Stopped with outcomes not recorded; they are listed as unknown.", "count", n)
 	}
 	s.Committer.Wait()
 	return nil
 }
 
-// work tries every waiting job that is due, or all, once and returns how many wait again.
-func (s *Service) work(ctx context.Context, all bool) int {
+// runJobs runs the jobs that are due, or all jobs if all is set, once each. It returns the number of jobs left.
+func (s *Service) runJobs(ctx context.Context, all bool) int {
 	var mu sync.Mutex
-	var again []job
+	var retries []job
 	var g errgroup.Group
-	g.SetLimit(backlogAtOnce)
+	g.SetLimit(maxConcurrentJobs)
 	now := time.Now()
-	for _, j := range s.backlog.take() {
-		if now.Before(j.after) && !all {
+	for _, j := range s.backlog.takeAll() {
+		if now.Before(j.retryAt) && !all {
 			mu.Lock()
-			again = append(again, j)
+			retries = append(retries, j)
 			mu.Unlock()
 			continue
 		}
 		g.Go(func() error {
-			if !s.try(ctx, j) {
+			if !s.runJob(ctx, j) {
 				mu.Lock()
-				again = append(again, j.failed(time.Now()))
+				retries = append(retries, j.withBackoff(time.Now()))
 				mu.Unlock()
 			}
 			return nil
 		})
 	}
 	_ = g.Wait()
-	if len(again) > 0 {
-		s.backlog.push(again...)
+	if len(retries) > 0 {
+		s.backlog.add(retries...)
 	}
-	return len(again)
+	return len(retries)
 }
 
-// try reports whether the job is done with. What memory shows may lag behind the store, so a job that
-// seems to have no effect is tried once more on the object as the store has it.
-func (s *Service) try(ctx context.Context, j job) bool {
-	for _, fresh := range []bool{false, true} {
-		rec, _, err := s.commit(ctx, j.object, j.entry, j.answer, fresh)
+// runJob commits the job and reports whether it needs no retry. The cache may be older than the store, so a job
+// that seems to have no effect is committed again with the object read from the store.
+func (s *Service) runJob(ctx context.Context, j job) bool {
+	for _, bypassCache := range []bool{false, true} {
+		rec, _, err := s.commit(ctx, j.object, j.entry, j.answer, bypassCache)
 		switch {
 		case err == nil && rec.ClaimID == j.entry.ClaimID && rec.State != sageclaim.StateClaimed:
-			return s.listLate(ctx, &rec)
-		case err == nil && fresh:
-			return true // the claim is another's by now
+			return s.listIfSwept(ctx, &rec)
+		case err == nil && bypassCache:
+			return true // the key has another claim by now
 		case err != nil && !errors.Is(err, sageclaim.ErrNoClaim):
 			return false
 		}
 	}
-	return time.Now().After(j.giveUp)
+	return time.Now().After(j.abandonAt)
 }
 
-// listLate lists a request with an unknown outcome at once if the sweep has passed its bucket.
-func (s *Service) listLate(ctx context.Context, rec *sageclaim.Record) bool {
+// listIfSwept lists a request with an unknown outcome immediately if the sweep may have passed its bucket. It
+// returns false if that failed.
+func (s *Service) listIfSwept(ctx context.Context, rec *sageclaim.Record) bool {
 	now := time.Now()
 	key, err := sageclaim.ParseKey(rec.Key)
 	if err != nil || rec.State != sageclaim.StateFinished || !rec.Unresolved(now) || now.Before(key.CreatedAt.Add(s.SweepAfter)) {
--- a/internal/sageclaims/commit.go
+++ b/internal/sageclaims/commit.go
@@ -14,13 +14,14 @@
 	"sagestand.example/sagestand/pkg/sageclaim"
 )
 
-// ownerTimeout bounds one call to an owner; failedFor is how long an owner that failed is passed over.
 const (
+	// ownerTimeout bounds one call to an owner.
 	ownerTimeout = 500 * time.Millisecond
-	failedFor    = 2 * time.Second
+	// ownerRetryDelay is how long an owner is not called after a failed call.
+	ownerRetryDelay = 2 * time.Second
 )
 
-// errorNames carry the errors of a commit between nodes.
+// errorNames are the names under which the errors of a commit are sent between nodes.
 var errorNames = map[string]error{
 	"store": sageclaim.ErrStoreUnavailable, "unsettled": sageclaim.ErrOutcomeUnknown, "full": sageclaim.ErrClaimNotTaken,
 	"late": sageclaim.ErrDeadlinePassed, "no_claim": sageclaim.ErrNoClaim,
@@ -35,13 +36,13 @@
 	return "unsettled"
 }
 
-// failures remembers owners that didn't answer.
-type failures struct {
+// ownerFailures records the owners whose last call failed.
+type ownerFailures struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-func (f *failures) note(addr string, now time.Time) {
+func (f *ownerFailures) record(addr string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.until == nil {
@@ -52,25 +53,25 @@
 			delete(f.until, a)
 		}
 	}
-	f.until[addr] = now.Add(failedFor)
+	f.until[addr] = now.Add(ownerRetryDelay)
 }
 
-func (f *failures) has(addr string, now time.Time) bool {
+func (f *ownerFailures) failedRecently(addr string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return now.Before(f.until[addr])
 }
 
-// owner returns the node that collects the entries of an object: the live node with the greatest
-// hash of address and object.
+// owner returns the node that batches the entries of an object: the live node with the greatest hash of address
+// and object.
 func (s *Service) owner(object string) string {
-	best, most := s.Self, weight(s.Self, object)
+	bestAddr, bestWeight := s.Self, weight(s.Self, object)
 	for _, addr := range s.Peers() {
-		if w := weight(addr, object); w > most || (w == most && addr < best) {
-			best, most = addr, w
+		if w := weight(addr, object); w > bestWeight || (w == bestWeight && addr < bestAddr) {
+			bestAddr, bestWeight = addr, w
 		}
 	}
-	return best
+	return bestAddr
 }
 
 func weight(addr, object string) uint64 {
@@ -81,26 +82,28 @@
 	return d.Sum64()
 }
 
-// commit commits an entry by the object's owner, or by this node when the owner can't do it.
+// commit commits an entry through the object's owner, or on this node if the owner can't do it. With bypassCache
+// the object is read from the store first. It returns the record of the entry's key, and the answer if one is
+// cached.
 //
-// The entry may then be committed twice, by a slow owner and by this node. Both bear the same claim
-// id, and the same entry a second time has no effect.
-func (s *Service) commit(ctx context.Context, object string, e sageclaim.Entry, answer []byte, fresh bool) (sageclaim.Record, []byte, error) {
+// A slow owner and this node may both commit the entry. Both use the same claim id, and committing the same entry
+// again has no effect.
+func (s *Service) commit(ctx context.Context, object string, e sageclaim.Entry, answer []byte, bypassCache bool) (sageclaim.Record, []byte, error) {
 	addr := s.owner(object)
-	if addr != s.Self && !s.failed.has(addr, time.Now()) {
-		rec, ans, err := s.ask(ctx, addr, object, e, answer, fresh)
+	if addr != s.Self && !s.failedOwners.failedRecently(addr, time.Now()) {
+		rec, ans, err := s.callOwner(ctx, addr, object, e, answer, bypassCache)
 		if err == nil || errors.Is(err, sageclaim.ErrClaimNotTaken) || errors.Is(err, sageclaim.ErrDeadlinePassed) || errors.Is(err, sageclaim.ErrNoClaim) {
 			return rec, ans, err
 		}
-		s.failed.note(addr, time.Now())
-		// The owner may have committed what this node's memory doesn't show.
-		fresh = true
+		s.failedOwners.record(addr, time.Now())
+		// The owner may have committed entries that this node's cache doesn't have.
+		bypassCache = true
 	}
-	return s.commitHere(ctx, object, e, answer, fresh)
+	return s.commitLocal(ctx, object, e, answer, bypassCache)
 }
 
-func (s *Service) commitHere(ctx context.Context, object string, e sageclaim.Entry, answer []byte, fresh bool) (sageclaim.Record, []byte, error) {
-	if fresh {
+func (s *Service) commitLocal(ctx context.Context, object string, e sageclaim.Entry, answer []byte, bypassCache bool) (sageclaim.Record, []byte, error) {
+	if bypassCache {
 		s.Committer.Invalidate(object)
 	}
 	rec, err := s.Committer.Commit(ctx, object, e)
@@ -111,28 +114,28 @@
 		return rec, nil, nil
 	}
 	if answer != nil && rec.ClaimID == e.ClaimID {
-		s.held.put(rec.ClaimID, answer)
+		s.answers.put(rec.ClaimID, answer)
 	}
-	return rec, s.held.get(rec.ClaimID), nil
+	return rec, s.answers.get(rec.ClaimID), nil
 }
 
-func (s *Service) ask(ctx context.Context, addr, object string, e sageclaim.Entry, answer []byte, fresh bool) (sageclaim.Record, []byte, error) {
+func (s *Service) callOwner(ctx context.Context, addr, object string, e sageclaim.Entry, answer []byte, bypassCache bool) (sageclaim.Record, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	b, err := json.Marshal(&e)
 	if err != nil {
 		return sageclaim.Record{}, nil, fmt.Errorf("encode entry: %w", err)
 	}
-	res, err := s.Dial(addr).Commit(ctx, &claim.CommitRequest{Object: object, Entry: b, Answer: answer, Fresh: fresh})
+	res, err := s.Dial(addr).Commit(ctx, &claim.CommitRequest{Object: object, Entry: b, Answer: answer, Fresh: bypassCache})
 	if err != nil {
-		return sageclaim.Record{}, nil, fmt.Errorf("ask %s: %v: %w", addr, err, sageclaim.ErrOutcomeUnknown)
+		return sageclaim.Record{}, nil, fmt.Errorf("call owner %s: %v: %w", addr, err, sageclaim.ErrOutcomeUnknown)
 	}
 	if res.GetError() != "" {
-		known, ok := errorNames[res.GetError()]
+		cause, ok := errorNames[res.GetError()]
 		if !ok {
-			known = sageclaim.ErrOutcomeUnknown
+			cause = sageclaim.ErrOutcomeUnknown
 		}
-		return sageclaim.Record{}, nil, fmt.Errorf("owner %s: %w", addr, known)
+		return sageclaim.Record{}, nil, fmt.Errorf("owner %s: %w", addr, cause)
 	}
 	rec, err := sageclaim.DecodeRecord(res.GetRecord())
 	if err != nil {
@@ -144,7 +147,7 @@
 	return rec, res.GetAnswer(), nil
 }
 
-// Commit implements the call of other nodes.
+// Commit implements [claim.Claims]: it commits an entry for another node.
 func (s *Service) Commit(ctx context.Context, r *claim.CommitRequest) (*claim.CommitResponse, error) {
 	s.init()
 	e, err := sageclaim.DecodeEntry(r.GetEntry())
@@ -155,11 +158,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("commit: %w", err)
 	}
-	// Nodes with other rules would claim one key in two objects.
+	// A node with different rules would claim the same key in another object.
 	if s.Rules.ObjectKey(e.Account, key) != r.GetObject() {
 		return nil, fmt.Errorf("commit to %q: %w", r.GetObject(), sageclaim.ErrInvalidEntry)
 	}
-	rec, ans, err := s.commitHere(ctx, r.GetObject(), e, r.GetAnswer(), r.GetFresh())
+	rec, ans, err := s.commitLocal(ctx, r.GetObject(), e, r.GetAnswer(), r.GetFresh())
 	if err != nil {
 		return &claim.CommitResponse{Error: errorName(err)}, nil
 	}
--- a/internal/sageclaims/decode_test.go
+++ b/internal/sageclaims/decode_test.go
@@ -12,7 +12,7 @@
 	"sagestand.example/sagestand/pkg/sageobject"
 )
 
-// Whatever another node sends, the call neither fails hard nor writes what it can't read again.
+// FuzzCommit checks that no request of another node makes Commit panic or write an object that can't be decoded.
 func FuzzCommit(f *testing.F) {
 	f.Add("claims/x", []byte(`{"op":"claim","account":"a","key":"1764700000123-x","claim_id":"c","fingerprint":"f","deadline":"2100-01-01T00:00:00Z"}`))
 	f.Fuzz(func(t *testing.T, object string, entry []byte) {
@@ -54,10 +54,10 @@
 	})
 }
 
-// BenchmarkAnswerCache says what a held answer of 300 bytes costs in memory.
+// BenchmarkAnswerCache measures the memory per cached answer of 300 bytes.
 func BenchmarkAnswerCache(b *testing.B) {
-	a := booked(strings.Repeat("x", 300)).Answer
-	h := held{limit: 8 << 20}
+	a := completed(strings.Repeat("x", 300)).Answer
+	h := answerCache{maxBytes: 8 << 20}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -74,7 +74,7 @@
 }
 
 func FuzzDecodeAnswer(f *testing.F) {
-	f.Add(encodeAnswer(booked("x").Answer))
+	f.Add(encodeAnswer(completed("x").Answer))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, err := decodeAnswer(b)
 		if err == nil && (a.Status < 200 || a.Status > 599) {
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -18,54 +18,53 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Limits of the service.
 const (
-	// retryLater is when a caller may come back after a failure without a better estimate.
-	retryLater = time.Second
-	// pollFirst and pollMost bound the pauses between two looks at a claim in flight.
-	pollFirst = 50 * time.Millisecond
-	pollMost  = time.Second
+	// refusalRetryDelay is the delay for retry_at in refusals for which no better estimate exists.
+	refusalRetryDelay = time.Second
+	// initialPollInterval and maxPollInterval bound the interval between reads of a claim in flight, which doubles.
+	initialPollInterval = 50 * time.Millisecond
+	maxPollInterval     = time.Second
 )
 
-// Service claims keys. Its exported fields are set before first use.
+// Service claims idempotency keys. Its exported fields are set before first use.
 type Service struct {
 	Rules     sageclaim.Rules
 	Committer *sageclaim.Committer
-	// Store holds the list of unsettled requests; it is the committer's.
+	// Store holds the list of unknown outcomes; it is the committer's store.
 	Store sageobject.Store
-	// Self is this node's own address for other nodes.
+	// Self is the address at which other nodes call this node.
 	Self string
 	// Peers returns the addresses of the other live nodes.
 	Peers func() []string
-	// Dial returns the client for a node.
+	// Dial returns a client for calls to another node.
 	Dial func(addr string) claim.Claims
-	// HeldBytes bounds the answers held for repeats.
+	// MaxAnswerBytes is the maximum size of the answer cache, from which repeated requests are answered.
 	MaxAnswerBytes int
-	// SettleAfter is how long after its bucket a claim object is searched for unsettled requests; it
-	// exceeds the latest deadline that callers may set.
+	// SweepAfter is how long after the start of its bucket a claim object is searched for unresolved requests;
+	// it is longer than the latest deadline that callers may set.
 	SweepAfter time.Duration
 	Log        sagelog.Logger
 	Metrics    *metrics.Set
 
-	once     sync.Once
-	held     held
-	failed   failures
-	backlog  backlog
-	outcomes map[string]*metrics.Counter
+	once         sync.Once
+	answers      answerCache
+	failedOwners ownerFailures
+	backlog      backlog
+	outcomes     map[string]*metrics.Counter
 }
 
 func (s *Service) init() {
 	s.once.Do(func() {
-		s.held.limit = s.MaxAnswerBytes
+		s.answers.maxBytes = s.MaxAnswerBytes
 		if s.Metrics == nil {
 			s.Metrics = metrics.NewSet()
 		}
-		s.register()
+		s.registerMetrics()
 	})
 }
 
-// handle is what a claim keeps for its finish.
-type handle struct {
+// claimHandle is the state that Finish needs of a claim.
+type claimHandle struct {
 	object string
 	entry  sageclaim.Entry
 }
@@ -78,17 +77,17 @@
 	if err != nil {
 		return nil, nil, sagewire.Refuse(sagewire.ReasonBadRequest, err.Error(), time.Time{})
 	}
-	if ref := s.checkAge(key, now); ref != nil {
+	if ref := s.checkKeyAge(key, now); ref != nil {
 		return nil, nil, ref
 	}
-	h := &handle{object: s.Rules.ObjectKey(r.Account, key), entry: sageclaim.Entry{
+	h := &claimHandle{object: s.Rules.ObjectKey(r.Account, key), entry: sageclaim.Entry{
 		Op: sageclaim.OpClaim, Account: r.Account, Key: key.Text, ClaimID: r.ID,
 		Fingerprint: sageclaim.Fingerprint(r.Method, r.Path, r.Body), Deadline: r.Deadline.UTC(),
 	}}
-	return s.claim(ctx, h)
+	return s.commitClaim(ctx, h)
 }
 
-func (s *Service) checkAge(key sageclaim.Key, now time.Time) *sagewire.Refusal {
+func (s *Service) checkKeyAge(key sageclaim.Key, now time.Time) *sagewire.Refusal {
 	err := s.Rules.Check(key, now)
 	switch {
 	case errors.Is(err, sageclaim.ErrKeyExpired):
@@ -99,89 +98,91 @@
 	return nil
 }
 
-// claim commits the claim, and waits while another one of the same key is in flight.
-func (s *Service) claim(ctx context.Context, h *handle) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
-	for pause, fresh := pollFirst, false; ; pause = min(2*pause, pollMost) {
-		rec, ans, err := s.commit(ctx, h.object, h.entry, nil, fresh)
-		if err == nil && rec.ClaimID != h.entry.ClaimID && !fresh {
-			// Memory may lag behind the store: what it says of another claim is not told to callers.
-			fresh = true
-			rec, ans, err = s.commit(ctx, h.object, h.entry, nil, fresh)
+// commitClaim commits the claim; while another claim of the same key is in flight, it waits and tries again.
+func (s *Service) commitClaim(ctx context.Context, h *claimHandle) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+	for interval, bypassCache := initialPollInterval, false; ; interval = min(2*interval, maxPollInterval) {
+		rec, ans, err := s.commit(ctx, h.object, h.entry, nil, bypassCache)
+		if err == nil && rec.ClaimID != h.entry.ClaimID && !bypassCache {
+			// The cache may be older than the store, so its record of another claim is read again before
+			// it decides the response.
+			bypassCache = true
+			rec, ans, err = s.commit(ctx, h.object, h.entry, nil, bypassCache)
 		}
 		if err != nil {
-			return nil, s.heldAnswer(ans), s.refuse(h, err)
+			return nil, s.decodeCachedAnswer(ans), s.refuseError(h, err)
 		}
 		now := time.Now()
 		if rec.ClaimID == h.entry.ClaimID {
-			return s.granted(h, &rec, now)
+			return s.confirmGrant(h, &rec, now)
 		}
-		if ref := s.judge(h, &rec, now); ref != nil {
-			return nil, s.heldAnswer(ans), ref
+		if ref := s.refusalFor(h, &rec, now); ref != nil {
+			return nil, s.decodeCachedAnswer(ans), ref
 		}
-		if !wait(ctx, pause) {
-			return nil, nil, s.count(already(sagewire.ReasonKeyInUse, "a request with this key is in flight", &rec, rec.Deadline))
+		if !sleep(ctx, interval) {
+			return nil, nil, s.countRefusal(alreadyRun(sagewire.ReasonKeyInUse, "a request with this key is in flight", &rec, rec.Deadline))
 		}
 	}
 }
 
-// granted returns the claim unless its time is over.
+// confirmGrant returns the claim unless its deadline has passed.
 //
-// It guards against a router that was paused between the claim and here: its caller has left or
-// been told something else, so the request must not go out any more.
-func (s *Service) granted(h *handle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+// If this router was paused after the commit, its caller may have left or have got another response, so the
+// request must not be sent any more.
+func (s *Service) confirmGrant(h *claimHandle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
 	if rec.State != sageclaim.StateClaimed || now.After(h.entry.Deadline) {
-		s.release(h)
-		return nil, nil, s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
+		s.releaseClaim(h)
+		return nil, nil, s.countRefusal(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
 	}
 	s.outcomes["granted"].Inc()
 	return &sageentry.Claim{ID: h.entry.ClaimID, IdempotencyKey: h.entry.Key, Token: h}, nil, nil
 }
 
-// judge says why another claim's record refuses this one; nil means that it is in flight.
-func (s *Service) judge(h *handle, rec *sageclaim.Record, now time.Time) *sagewire.Refusal {
+// refusalFor returns the refusal that follows from the record of another claim of the key, or nil if that claim is
+// in flight.
+func (s *Service) refusalFor(h *claimHandle, rec *sageclaim.Record, now time.Time) *sagewire.Refusal {
 	switch {
 	case rec.Fingerprint != h.entry.Fingerprint:
-		return s.count(sagewire.Refuse(sagewire.ReasonBadRequest, "the key was used for another request; this one was not run", time.Time{}))
+		return s.countRefusal(sagewire.Refuse(sagewire.ReasonBadRequest, "the key was used for another request; this one was not run", time.Time{}))
 	case rec.State == sageclaim.StateFinished && rec.Outcome == sagewire.Complete:
-		return s.count(already(sagewire.ReasonKeyInUse, fmt.Sprintf("it ran and was answered with status %d", rec.Status), rec, time.Time{}))
+		return s.countRefusal(alreadyRun(sagewire.ReasonKeyInUse, fmt.Sprintf("it ran and was answered with status %d", rec.Status), rec, time.Time{}))
 	case rec.Unresolved(now):
-		return s.count(already(sagewire.ReasonAnswerLost, "it may have run; its outcome is unknown and listed for the operators", rec, time.Time{}))
+		return s.countRefusal(alreadyRun(sagewire.ReasonAnswerLost, "it may have run; its outcome is unknown and listed for the operators", rec, time.Time{}))
 	}
 	return nil
 }
 
-func already(reason sagewire.Reason, detail string, rec *sageclaim.Record, retryAt time.Time) *sagewire.Refusal {
+func alreadyRun(reason sagewire.Reason, detail string, rec *sageclaim.Record, retryAt time.Time) *sagewire.Refusal {
 	return &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: reason, Detail: detail, Status: string(rec.State), RetryAt: retryAt}
 }
 
-// refuse maps an error of a commit. Nothing was sent for the claim, so "not run" is true of this
-// sending; what this node knows of an earlier one goes first.
-func (s *Service) refuse(h *handle, err error) *sagewire.Refusal {
+// refuseError returns the refusal for a failed commit. Nothing was sent to an upstream, so "not run" is true of
+// this attempt; but if the cache has a claim of an earlier attempt, the refusal follows from that one.
+func (s *Service) refuseError(h *claimHandle, err error) *sagewire.Refusal {
 	if errors.Is(err, sageclaim.ErrOutcomeUnknown) {
-		s.release(h)
+		s.releaseClaim(h)
 	}
 	now := time.Now()
 	if rec, ok := s.Committer.CachedRecord(h.object, h.entry.Account, h.entry.Key); ok && rec.State != sageclaim.StateReleased && rec.ClaimID != h.entry.ClaimID {
-		if ref := s.judge(h, &rec, now); ref != nil {
+		if ref := s.refusalFor(h, &rec, now); ref != nil {
 			return ref
 		}
-		return s.count(already(sagewire.ReasonKeyInUse, "a request with this key was in flight when the store was last seen", &rec, now.Add(retryLater)))
+		return s.countRefusal(alreadyRun(sagewire.ReasonKeyInUse, "a request with this key was in flight when the store was last seen", &rec, now.Add(refusalRetryDelay)))
 	}
 	if errors.Is(err, sageclaim.ErrClaimNotTaken) {
-		return s.count(sagewire.Refuse(sagewire.ReasonOverloaded, "too many keys of that instant", now.Add(retryLater)))
+		return s.countRefusal(sagewire.Refuse(sagewire.ReasonOverloaded, "too many keys of that instant", now.Add(refusalRetryDelay)))
 	}
 	if errors.Is(err, sageclaim.ErrDeadlinePassed) {
-		return s.count(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
+		return s.countRefusal(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
 	}
-	s.Log.Warn("Can't claim.", "err", err)
+	s.Log.Warn("Can't claim an idempotency key.", "err", err)
 	detail := "this sending was not run; whether an earlier one with the same key ran can't be told now, send again with the same key"
-	return s.count(sagewire.Refuse(sagewire.ReasonStoreUnavailable, detail, now.Add(retryLater)))
+	return s.countRefusal(sagewire.Refuse(sagewire.ReasonStoreUnavailable, detail, now.Add(refusalRetryDelay)))
 }
 
-// Finish implements [sageentry.Claims]. It does not wait for the store, but for one thing: a request
-// that did not run is released before its caller hears so and comes again.
+// Finish implements [sageentry.Claims]. It waits for the store only if the request did not run: the claim is then
+// released before the caller gets the response and may send the request again.
 func (s *Service) Finish(ctx context.Context, c *sageentry.Claim, res *sagedispatch.Result) {
-	h, ok := c.Token.(*handle)
+	h, ok := c.Token.(*claimHandle)
 	if !ok {
 		return
 	}
@@ -189,7 +190,7 @@
 	switch res.Outcome {
 	case sagewire.NotRun:
 		j.entry.Op = sageclaim.OpRelease
-		if s.try(ctx, j) {
+		if s.runJob(ctx, j) {
 			return
 		}
 	case sagewire.Complete:
@@ -198,16 +199,16 @@
 	default:
 		j.entry.Op, j.entry.Outcome = sageclaim.OpFinish, sagewire.Unknown
 	}
-	s.push(j, h.entry.Deadline)
+	s.enqueue(j, h.entry.Deadline)
 }
 
-// release frees a claim that was refused, as soon as the store allows.
-func (s *Service) release(h *handle) {
+// releaseClaim enqueues the release of a claim whose request was refused.
+func (s *Service) releaseClaim(h *claimHandle) {
 	e := sageclaim.Entry{Op: sageclaim.OpRelease, Account: h.entry.Account, Key: h.entry.Key, ClaimID: h.entry.ClaimID}
-	s.push(job{object: h.object, entry: e}, h.entry.Deadline)
+	s.enqueue(job{object: h.object, entry: e}, h.entry.Deadline)
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/sageclaims/service_test.go
+++ b/internal/sageclaims/service_test.go
@@ -23,28 +23,28 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// fleet is a few nodes with one store. Calls between nodes are direct, and cut for nodes in dead.
+// fleet is a few nodes with one store. Calls between nodes are direct; calls to unreachable nodes time out.
 type fleet struct {
-	store *sageobject.Memory
-	nodes []*Service
-	mu    sync.Mutex
-	dead  map[string]bool
-	down  bool
-	pause time.Duration
-	end   context.CancelFunc
-	wg    sync.WaitGroup
+	store       *sageobject.Memory
+	nodes       []*Service
+	mu          sync.Mutex
+	unreachable map[string]bool
+	storeDown   bool
+	putDelay    time.Duration
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
-type directCall struct {
+type directClient struct {
 	f    *fleet
 	addr string
 }
 
-func (d *directCall) Commit(ctx context.Context, r *claim.CommitRequest) (*claim.CommitResponse, error) {
+func (d *directClient) Commit(ctx context.Context, r *claim.CommitRequest) (*claim.CommitResponse, error) {
 	d.f.mu.Lock()
-	dead := d.f.dead[d.addr]
+	unreachable := d.f.unreachable[d.addr]
 	d.f.mu.Unlock()
-	if dead {
+	if unreachable {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -57,35 +57,35 @@
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{dead: make(map[string]bool)}
+	f := &fleet{unreachable: make(map[string]bool)}
 	f.store = &sageobject.Memory{Before: func(sageobject.Op, string) error {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.down {
+		if f.storeDown {
 			return sageobject.ErrUnavailable
 		}
 		return nil
 	}, After: func(op sageobject.Op, _ string) error {
 		f.mu.Lock()
-		pause := f.pause
+		delay := f.putDelay
 		if op == sageobject.OpPut {
-			f.pause = 0
+			f.putDelay = 0
 		}
 		f.mu.Unlock()
 		if op == sageobject.OpPut {
-			time.Sleep(pause)
+			time.Sleep(delay)
 		}
 		return nil
 	}}
-	ctx, end := context.WithCancel(t.Context())
-	f.end = end
+	ctx, cancel := context.WithCancel(t.Context())
+	f.cancel = cancel
 	for i := range n {
 		self := fmt.Sprint("n", i)
 		s := &Service{
 			Rules:     sageclaim.Rules{Bucket: 2 * time.Second, Shards: 4, Retention: time.Hour, MaxAhead: time.Minute},
 			Committer: &sageclaim.Committer{Store: f.store, BatchWindow: 10 * time.Millisecond}, Store: f.store,
 			Self: self, MaxAnswerBytes: 1 << 20, SweepAfter: time.Minute,
-			Dial: func(addr string) claim.Claims { return &directCall{f: f, addr: addr} },
+			Dial: func(addr string) claim.Claims { return &directClient{f: f, addr: addr} },
 			Peers: func() []string {
 				var out []string
 				for j := range n {
@@ -102,19 +102,19 @@
 	return f
 }
 
-// stop ends the nodes; it must be deferred inside the bubble.
+// stop stops the nodes; it must be deferred inside the bubble of synctest.
 func (f *fleet) stop() {
-	f.end()
+	f.cancel()
 	f.wg.Wait()
 	for _, n := range f.nodes {
 		n.Committer.Wait()
 	}
 }
 
-func (f *fleet) setDown(v bool) {
+func (f *fleet) setStoreDown(v bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.down = v
+	f.storeDown = v
 }
 
 var nextID int
@@ -127,10 +127,10 @@
 	}
 }
 
-func keyNow(name string) string { return fmt.Sprintf("%d-%s", time.Now().UnixMilli(), name) }
+func newKey(name string) string { return fmt.Sprintf("%d-%s", time.Now().UnixMilli(), name) }
 
-// bubble runs f with a fleet in virtual time.
-func bubble(t *testing.T, n int, run func(t *testing.T, f *fleet)) {
+// runFleet runs a test with a fleet of n nodes in virtual time.
+func runFleet(t *testing.T, n int, run func(t *testing.T, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, n)
@@ -139,19 +139,19 @@
 	})
 }
 
-func booked(body string) *sagedispatch.Result {
+func completed(body string) *sagedispatch.Result {
 	return &sagedispatch.Result{Outcome: sagewire.Complete, Status: 201, Answer: &sagedispatch.Answer{
 		Status: 201, Header: http.Header{"Content-Type": {"application/json"}}, Body: []byte(body),
 	}}
 }
 
-// A family's box is baked twice: the app repeats a booking through another router.
+// An app repeats a booking through another router. Without the claim in the store the booking would run twice.
 func TestRepeatThroughOtherNodeGetsCachedAnswer(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, f *fleet) {
-		key := keyNow("a")
+	runFleet(t, 3, func(t *testing.T, f *fleet) {
+		key := newKey("a")
 		c, _, ref := f.nodes[0].Claim(t.Context(), request(key, "box"))
 		require.Nil(t, ref)
-		f.nodes[0].Finish(t.Context(), c, booked("booked 1"))
+		f.nodes[0].Finish(t.Context(), c, completed("booked 1"))
 		time.Sleep(time.Second)
 		for _, n := range f.nodes {
 			c, ans, ref := n.Claim(t.Context(), request(key, "box"))
@@ -165,8 +165,8 @@
 }
 
 func TestSameKeyWithOtherBody(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, f *fleet) {
-		key := keyNow("a")
+	runFleet(t, 2, func(t *testing.T, f *fleet) {
+		key := newKey("a")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "one box"))
 		require.Nil(t, ref)
 		_, _, ref = f.nodes[1].Claim(t.Context(), request(key, "two boxes"))
@@ -177,10 +177,10 @@
 }
 
 func TestInvalidKeys(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
 		old := fmt.Sprintf("%d-x", time.Now().Add(-2*time.Hour).UnixMilli())
-		ahead := fmt.Sprintf("%d-x", time.Now().Add(2*time.Minute).UnixMilli())
-		for key, reason := range map[string]sagewire.Reason{"plain": sagewire.ReasonBadRequest, old: sagewire.ReasonKeyExpired, ahead: sagewire.ReasonBadRequest} {
+		future := fmt.Sprintf("%d-x", time.Now().Add(2*time.Minute).UnixMilli())
+		for key, reason := range map[string]sagewire.Reason{"plain": sagewire.ReasonBadRequest, old: sagewire.ReasonKeyExpired, future: sagewire.ReasonBadRequest} {
 			_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
 			require.NotNil(t, ref, key)
 			assert.Equal(t, reason, ref.Reason, key)
@@ -189,19 +189,19 @@
 	})
 }
 
-// Two sendings of one booking arrive together. The second waits inside its deadline, and gets the
-// answer of the first, or runs if the first did not.
+// A booking arrives twice at the same time. The second request waits up to its deadline; it gets the answer of the
+// first, or runs if the first did not run.
 func TestWaitsForRequestInFlight(t *testing.T) {
 	for _, ran := range []bool{true, false} {
-		t.Run(fmt.Sprintf("ran=%v", ran), func(t *testing.T) {
-			bubble(t, 3, func(t *testing.T, f *fleet) {
-				key := keyNow("a")
+		t.Run(fmt.Sprintf("first ran=%v", ran), func(t *testing.T) {
+			runFleet(t, 3, func(t *testing.T, f *fleet) {
+				key := newKey("a")
 				c, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
 				require.Nil(t, ref)
 				f.wg.Go(func() {
 					time.Sleep(3 * time.Second)
 					if ran {
-						f.nodes[0].Finish(t.Context(), c, booked("1"))
+						f.nodes[0].Finish(t.Context(), c, completed("1"))
 						return
 					}
 					f.nodes[0].Finish(t.Context(), c, &sagedispatch.Result{Outcome: sagewire.NotRun})
@@ -218,9 +218,9 @@
 			})
 		})
 	}
-	t.Run("deadline first", func(t *testing.T) {
-		bubble(t, 2, func(t *testing.T, f *fleet) {
-			key := keyNow("a")
+	t.Run("deadline passes first", func(t *testing.T) {
+		runFleet(t, 2, func(t *testing.T, f *fleet) {
+			key := newKey("a")
 			_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
 			require.Nil(t, ref)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -234,13 +234,13 @@
 	})
 }
 
-// The store is down: the booking is refused at once, and runs when it is sent again later.
+// While the store is unavailable a booking is refused immediately; it runs when it is sent again later.
 func TestStoreUnavailable(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, f *fleet) {
-		key, ran := keyNow("a"), keyNow("ran")
+	runFleet(t, 3, func(t *testing.T, f *fleet) {
+		key, ran := newKey("a"), newKey("ran")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(ran, "b"))
 		require.Nil(t, ref)
-		f.setDown(true)
+		f.setStoreDown(true)
 		start := time.Now()
 		_, _, ref = f.nodes[0].Claim(t.Context(), request(key, "b"))
 		require.NotNil(t, ref)
@@ -248,46 +248,47 @@
 		assert.Equal(t, sagewire.ReasonStoreUnavailable, ref.Reason)
 		assert.False(t, ref.RetryAt.IsZero())
 		assert.Less(t, time.Since(start), 100*time.Millisecond, "virtual time")
-		f.setDown(false)
+		f.setStoreDown(false)
 		_, _, ref = f.nodes[1].Claim(t.Context(), request(key, "b"))
 		assert.Nil(t, ref)
 	})
 }
 
-// A caller whose booking runs sends it again to the same router during an outage of the store. "Not
-// run" would make it book anew; what the router remembers says better.
+// A caller repeats a booking that is in flight at the same router during an outage of the store. After "not run"
+// it might book under a new key, so the router must use the claim in its cache and respond "already run".
 func TestStoreUnavailableWithCachedClaim(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
-		key := keyNow("a")
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
+		key := newKey("a")
 		_, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
 		require.Nil(t, ref)
-		f.setDown(true)
+		f.setStoreDown(true)
 		_, _, ref = f.nodes[0].Claim(t.Context(), request(key, "b"))
 		require.NotNil(t, ref)
 		assert.Equal(t, sagewire.AlreadyRun, ref.Outcome)
 	})
 }
 
-// The owner of an object is frozen or cut off; bookings of its objects go on without it.
+// The owner of an object is frozen or cut off. Bookings of its objects must be claimed without it.
 func TestOwnerUnreachable(t *testing.T) {
-	bubble(t, 3, func(t *testing.T, f *fleet) {
+	runFleet(t, 3, func(t *testing.T, f *fleet) {
 		f.mu.Lock()
-		f.dead["n1"], f.dead["n2"] = true, true
+		f.unreachable["n1"], f.unreachable["n2"] = true, true
 		f.mu.Unlock()
 		for i := range 20 {
-			c, _, ref := f.nodes[0].Claim(t.Context(), request(keyNow(fmt.Sprint(i)), "b"))
+			c, _, ref := f.nodes[0].Claim(t.Context(), request(newKey(fmt.Sprint(i)), "b"))
 			require.Nil(t, ref)
-			f.nodes[0].Finish(t.Context(), c, booked("1"))
+			f.nodes[0].Finish(t.Context(), c, completed("1"))
 		}
 	})
 }
 
-// A router pauses between the claim's commit and the request: by then its caller has given up.
+// A router is paused between the commit of a claim and the request, until its caller has left. The request must
+// not be sent, and the claim must be released.
 func TestClaimCommittedAfterDeadlineIsReleased(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
-		r := request(keyNow("a"), "b")
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
+		r := request(newKey("a"), "b")
 		f.mu.Lock()
-		f.pause = time.Until(r.Deadline) + time.Second
+		f.putDelay = time.Until(r.Deadline) + time.Second
 		f.mu.Unlock()
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
 		require.NotNil(t, ref)
@@ -299,11 +300,11 @@
 	})
 }
 
-// Nobody knows whether a booking ran: its router died after the claim. A repeat is told so, and the
-// booking appears on the operators' list until a person settles it.
+// A router crashes after the claim, so it is unknown whether the booking ran. A repeated request is refused with
+// that reason, and the booking stays on the operators' list until an operator resolves it.
 func TestRouterCrashAfterClaim(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, f *fleet) {
-		r := request(keyNow("a"), "b")
+	runFleet(t, 2, func(t *testing.T, f *fleet) {
+		r := request(newKey("a"), "b")
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
 		require.Nil(t, ref)
 		time.Sleep(11 * time.Second)
@@ -329,18 +330,18 @@
 	})
 }
 
-// An unknown outcome of a key that was made long before its use, and a store outage just when it is
-// to be recorded: it still reaches the list.
+// A key is used long after its creation, when its bucket has been swept, and the store is unavailable when the
+// unknown outcome is to be recorded. The outcome must still be listed.
 func TestUnknownOutcomeOfOldKeyIsListed(t *testing.T) {
-	bubble(t, 2, func(t *testing.T, f *fleet) {
-		key := keyNow("old")
+	runFleet(t, 2, func(t *testing.T, f *fleet) {
+		key := newKey("old")
 		time.Sleep(10 * time.Minute)
 		c, _, ref := f.nodes[0].Claim(t.Context(), request(key, "b"))
 		require.Nil(t, ref)
-		f.setDown(true)
+		f.setStoreDown(true)
 		f.nodes[0].Finish(t.Context(), c, &sagedispatch.Result{Outcome: sagewire.Unknown})
 		time.Sleep(time.Minute)
-		f.setDown(false)
+		f.setStoreDown(false)
 		time.Sleep(5 * time.Second)
 		list, err := f.nodes[1].UnknownOutcomes(t.Context())
 		require.NoError(t, err)
@@ -349,10 +350,10 @@
 	})
 }
 
-// Objects go after retention, and with them nothing unsettled.
+// Claim objects are deleted after the retention period, and their unresolved requests stay listed.
 func TestDeleteExpired(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
-		_, _, ref := f.nodes[0].Claim(t.Context(), request(keyNow("a"), "b"))
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
+		_, _, ref := f.nodes[0].Claim(t.Context(), request(newKey("a"), "b"))
 		require.Nil(t, ref)
 		time.Sleep(69 * time.Minute)
 		metas, err := f.store.List(t.Context(), sageclaim.Prefix)
@@ -369,19 +370,19 @@
 }
 
 func TestAnswerCacheIsBounded(t *testing.T) {
-	h := held{limit: 1000}
+	h := answerCache{maxBytes: 1000}
 	for i := range 100 {
 		h.put(fmt.Sprint(i), make([]byte, 100))
 		require.LessOrEqual(t, h.bytes(), 1000)
 	}
 	assert.Nil(t, h.get("0"))
 	assert.NotNil(t, h.get("99"))
-	assert.Nil(t, encodeAnswer(&sagedispatch.Answer{Status: 200, Body: make([]byte, maxHeldAnswer+1)}))
+	assert.Nil(t, encodeAnswer(&sagedispatch.Answer{Status: 200, Body: make([]byte, maxCachedAnswerBytes+1)}))
 }
 
 func TestOperatorAPI(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
-		r := request(keyNow("a"), "b")
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
+		r := request(newKey("a"), "b")
 		_, _, ref := f.nodes[0].Claim(t.Context(), r)
 		require.Nil(t, ref)
 		time.Sleep(2 * time.Minute)
@@ -393,29 +394,29 @@
 		code, body := call(http.MethodGet, "")
 		assert.Equal(t, http.StatusOK, code)
 		assert.Contains(t, body, r.IdempotencyKey)
-		set := fmt.Sprintf(`{"account":"haller","key":%q,"claim_id":%q,"outcome":"%%s"}`, r.IdempotencyKey, r.ID)
-		for _, bad := range []string{"{", fmt.Sprintf(set, "unknown"), strings.Replace(fmt.Sprintf(set, "not_run"), r.ID, "other", 1), strings.Replace(fmt.Sprintf(set, "not_run"), r.IdempotencyKey, "1-x", 1)} {
-			code, body = call(http.MethodPost, bad)
-			assert.Equal(t, http.StatusBadRequest, code, "%s: %s", bad, body)
+		format := fmt.Sprintf(`{"account":"haller","key":%q,"claim_id":%q,"outcome":"%%s"}`, r.IdempotencyKey, r.ID)
+		for _, invalid := range []string{"{", fmt.Sprintf(format, "unknown"), strings.Replace(fmt.Sprintf(format, "not_run"), r.ID, "other", 1), strings.Replace(fmt.Sprintf(format, "not_run"), r.IdempotencyKey, "1-x", 1)} {
+			code, body = call(http.MethodPost, invalid)
+			assert.Equal(t, http.StatusBadRequest, code, "%s: %s", invalid, body)
 		}
-		code, body = call(http.MethodPost, fmt.Sprintf(set, "complete"))
+		code, body = call(http.MethodPost, fmt.Sprintf(format, "complete"))
 		assert.Equal(t, http.StatusOK, code, body)
 		_, body = call(http.MethodGet, "")
 		assert.NotContains(t, body, r.IdempotencyKey)
-		f.setDown(true)
+		f.setStoreDown(true)
 		code, _ = call(http.MethodGet, "")
 		assert.Equal(t, http.StatusServiceUnavailable, code)
 	})
 }
 
-// A booking that ran is told as unknown, or a released one blocks its key: another node wrote the
-// object while this one, its owner, couldn't be reached, and this one goes by what it remembers.
+// Another node writes a claim object while its owner can't be reached, so the owner's cache is outdated. By the
+// cache alone, the owner would report a booking that ran as unknown, or leave the claim of a key unreleased.
 func TestStaleCache(t *testing.T) {
-	bubble(t, 1, func(t *testing.T, f *fleet) {
+	runFleet(t, 1, func(t *testing.T, f *fleet) {
 		other := &sageclaim.Committer{Store: f.store}
 		defer other.Wait()
 		n := f.nodes[0]
-		r := request(keyNow("a"), "b")
+		r := request(newKey("a"), "b")
 		_, _, ref := n.Claim(t.Context(), r)
 		require.Nil(t, ref)
 		key, err := sageclaim.ParseKey(r.IdempotencyKey)
@@ -433,7 +434,7 @@
 		require.NotNil(t, ref)
 		assert.Equal(t, sagewire.ReasonKeyInUse, ref.Reason, "it ran; its outcome is known")
 
-		second := request(keyNow("b"), "b")
+		second := request(newKey("b"), "b")
 		_, _, ref = n.Claim(t.Context(), second)
 		require.Nil(t, ref)
 		key, err = sageclaim.ParseKey(second.IdempotencyKey)
@@ -444,12 +445,12 @@
 			_, err = other.Commit(t.Context(), object, e)
 			require.NoError(t, err)
 		}
-		require.True(t, n.try(t.Context(), job{object: object, entry: entry(sageclaim.OpRelease, "x")}))
+		require.True(t, n.runJob(t.Context(), job{object: object, entry: entry(sageclaim.OpRelease, "x")}))
 		o, err := f.store.Get(t.Context(), object)
 		require.NoError(t, err)
-		book, err := sageclaim.DecodeClaimLog(o.Value)
+		claimLog, err := sageclaim.DecodeClaimLog(o.Value)
 		require.NoError(t, err)
-		rec, _ := book.Record(r.Account, r.IdempotencyKey)
+		rec, _ := claimLog.Record(r.Account, r.IdempotencyKey)
 		assert.Equal(t, sageclaim.StateReleased, rec.State)
 	})
 }
--- a/internal/sageclaims/sweep.go
+++ b/internal/sageclaims/sweep.go
@@ -18,66 +18,68 @@
 	cursorKey     = "unknown-cursor"
 )
 
-// sweepEvery is the pause between two sweeps; a deletion follows every deleteEvery sweeps.
 const (
-	sweepEvery  = 15 * time.Second
-	deleteEvery = 20
+	// sweepInterval is the delay between sweeps.
+	sweepInterval = 15 * time.Second
+	// sweepsPerDeletion is the number of sweep intervals from one deletion of expired claims to the next.
+	sweepsPerDeletion = 20
 )
 
-// listPause lies between two lists. A new cursor starts a whole retention back, a list for each minute;
-// all at once they were 147 calls a second of the 2,000 that the store takes.
-const listPause = 50 * time.Millisecond
+// listInterval is the delay after each list call. A new cursor starts a whole retention period back and needs one
+// list call per minute of it; without a delay these were 147 calls a second, of the 2,000 that the store allows.
+const listInterval = 50 * time.Millisecond
 
-// cursor says up to which bucket claim objects were searched, and deleted. It lives in the store, so
-// that a node that takes over goes on where another one stopped, also after an outage of all nodes.
+// cursor records up to which bucket claim objects have been searched, and up to which they have been deleted. It
+// is kept in the store, so that another node can continue the sweep, also after an outage of all nodes.
 type cursor struct {
 	SweptUntil   time.Time `json:"swept_until"`
 	DeletedUntil time.Time `json:"deleted_until"`
 }
 
-// sweepUntil sweeps until ctx ends, while this node owns the cursor.
-func (s *Service) sweepUntil(ctx context.Context) {
-	for n := 1; wait(ctx, sweepEvery); n++ {
+// runSweeps sweeps and deletes expired claims until ctx ends, whenever this node owns the cursor.
+func (s *Service) runSweeps(ctx context.Context) {
+	for n := 1; sleep(ctx, sweepInterval); n++ {
 		if s.owner(cursorKey) != s.Self {
 			continue
 		}
 		if err := s.Sweep(ctx, time.Now()); err != nil && ctx.Err() == nil {
 			s.Log.Warn("Can't sweep claims.", "err", err)
 		}
-		if n%deleteEvery == 0 {
+		if n%sweepsPerDeletion == 0 {
 			if err := s.DeleteExpired(ctx, time.Now()); err != nil && ctx.Err() == nil {
-				s.Log.Warn("Can't delete old claims.", "err", err)
+				s.Log.Warn("Can't delete expired claims.", "err", err)
 			}
 		}
 	}
 }
 
-// Sweep lists the unsettled requests of every bucket that is old enough and not searched yet.
+// Sweep adds the unresolved requests of every bucket that is old enough and not yet searched to the list of
+// unknown outcomes.
 //
-// It guards against losing track of a request whose router died: nobody else knows of it but its
-// claim. The list is written before the cursor moves, so a crash between the two only repeats work.
+// If a router crashes, the claims of its requests are the only record of them. The list is written before the
+// cursor, so a crash between the two writes only repeats work.
 func (s *Service) Sweep(ctx context.Context, now time.Time) error {
 	until := s.Rules.BucketStart(now.Add(-s.SweepAfter))
-	cur, version, err := s.cursor(ctx, now)
+	cur, version, err := s.readCursor(ctx, now)
 	if err != nil || !cur.SweptUntil.Before(until) {
 		return err
 	}
-	err = s.eachObject(ctx, cur.SweptUntil, until, func(m sageobject.Meta) error { return s.listUnsettled(ctx, m.Key, now) })
+	err = s.forEachObject(ctx, cur.SweptUntil, until, func(m sageobject.Meta) error { return s.listUnresolved(ctx, m.Key, now) })
 	if err != nil {
 		return err
 	}
 	cur.SweptUntil = until
-	return s.moveCursor(ctx, &cur, version)
+	return s.writeCursor(ctx, &cur, version)
 }
 
-// eachObject calls f for each claim object whose bucket starts in [from, until).
-func (s *Service) eachObject(ctx context.Context, from, until time.Time, f func(sageobject.Meta) error) error {
+// forEachObject calls f for each claim object whose bucket starts in [from, until).
+func (s *Service) forEachObject(ctx context.Context, from, until time.Time, f func(sageobject.Meta) error) error {
 	for minute := from.Truncate(time.Minute); minute.Before(until); minute = minute.Add(time.Minute) {
 		metas, err := s.Store.List(ctx, s.Rules.MinutePrefix(minute))
 		if err != nil {
 			return fmt.Errorf("list claims: %w", err)
 		}
-		if !wait(ctx, listPause) {
+		if !sleep(ctx, listInterval) {
 			return fmt.Errorf("list claims: %w", ctx.Err())
 		}
 		for _, m := range metas {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-func (s *Service) moveCursor(ctx context.Context, cur *cursor, version int64) error {
+func (s *Service) writeCursor(ctx context.Context, cur *cursor, version int64) error {
 	b, err := json.Marshal(cur)
 	if err != nil {
 		return fmt.Errorf("encode cursor: %w", err)
@@ -104,11 +106,11 @@
 	return nil
 }
 
-func (s *Service) cursor(ctx context.Context, now time.Time) (cursor, int64, error) {
+func (s *Service) readCursor(ctx context.Context, now time.Time) (cursor, int64, error) {
 	o, err := s.Store.Get(ctx, cursorKey)
 	if errors.Is(err, sageobject.ErrNotFound) {
-		first := s.Rules.BucketStart(now.Add(-s.Rules.Retention - sageclaim.DeleteMargin))
-		return cursor{SweptUntil: first, DeletedUntil: first}, sageobject.NoVersion, nil
+		start := s.Rules.BucketStart(now.Add(-s.Rules.Retention - sageclaim.DeleteMargin))
+		return cursor{SweptUntil: start, DeletedUntil: start}, sageobject.NoVersion, nil
 	}
 	if err != nil {
 		return cursor{}, 0, fmt.Errorf("read cursor: %w", err)
@@ -120,8 +122,8 @@
 	return c, o.Version, nil
 }
 
-// listUnsettled copies the unsettled requests of one claim object to the operators' list.
-func (s *Service) listUnsettled(ctx context.Context, object string, now time.Time) error {
+// listUnresolved adds the unresolved requests of one claim object to the list of unknown outcomes.
+func (s *Service) listUnresolved(ctx context.Context, object string, now time.Time) error {
 	o, err := s.Store.Get(ctx, object)
 	if errors.Is(err, sageobject.ErrNotFound) {
 		return nil
@@ -129,12 +131,12 @@
 	if err != nil {
 		return fmt.Errorf("read claims: %w", err)
 	}
-	book, err := sageclaim.DecodeClaimLog(o.Value)
+	claimLog, err := sageclaim.DecodeClaimLog(o.Value)
 	if err != nil {
 		return fmt.Errorf("%s: %w", object, err)
 	}
 	var found []sageclaim.Record
-	for _, r := range book.Records() {
+	for _, r := range claimLog.Records() {
 		if r.Unresolved(now) {
 			found = append(found, r)
 		}
@@ -145,7 +147,7 @@
 	return s.addUnknown(ctx, now, found)
 }
 
-// addUnknown adds records to the list object of the present hour, once each.
+// addUnknown adds records to the list object of the current hour, unless it has their claim ids already.
 func (s *Service) addUnknown(ctx context.Context, now time.Time, found []sageclaim.Record) error {
 	key := unknownPrefix + now.UTC().Format("2006010215")
 	for {
@@ -159,12 +161,12 @@
 				return err
 			}
 		}
-		have := make(map[string]bool, len(list))
+		listed := make(map[string]bool, len(list))
 		for _, r := range list {
-			have[r.ClaimID] = true
+			listed[r.ClaimID] = true
 		}
 		for _, r := range found {
-			if !have[r.ClaimID] {
+			if !listed[r.ClaimID] {
 				list = append(list, r)
 			}
 		}
@@ -196,16 +198,16 @@
 	return list, nil
 }
 
-// DeleteOld deletes claim objects beyond retention, after a last search for unsettled requests: a
-// key may have been used long after its creation, when its bucket had been searched already.
+// DeleteExpired deletes claim objects that have exceeded the retention period. It first searches each once more
+// for unresolved requests, because a key may be used long after its creation, when its bucket has been searched.
 func (s *Service) DeleteExpired(ctx context.Context, now time.Time) error {
 	until := s.Rules.BucketStart(now.Add(-s.Rules.Bucket - s.Rules.Retention - sageclaim.DeleteMargin))
-	cur, version, err := s.cursor(ctx, now)
+	cur, version, err := s.readCursor(ctx, now)
 	if err != nil || !cur.DeletedUntil.Before(until) {
 		return err
 	}
-	err = s.eachObject(ctx, cur.DeletedUntil, until, func(m sageobject.Meta) error {
-		if err := s.listUnsettled(ctx, m.Key, now); err != nil {
+	err = s.forEachObject(ctx, cur.DeletedUntil, until, func(m sageobject.Meta) error {
+		if err := s.listUnresolved(ctx, m.Key, now); err != nil {
 			return err
 		}
 		if err := s.Store.Delete(ctx, m.Key, m.Version); err != nil && !errors.Is(err, sageobject.ErrNotFound) {
@@ -217,5 +219,5 @@
 		return err
 	}
 	cur.DeletedUntil = until
-	return s.moveCursor(ctx, &cur, version)
+	return s.writeCursor(ctx, &cur, version)
 }
--- a/internal/sageclaims/unknown.go
+++ b/internal/sageclaims/unknown.go
@@ -15,10 +15,10 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// maxSettleBytes bounds the body of a settlement.
-const maxSettleBytes = 4 << 10
+// maxResolutionBytes is the maximum body size of a [Resolution].
+const maxResolutionBytes = 4 << 10
 
-// Unknown returns the listed requests whose outcome nobody has settled yet.
+// UnknownOutcomes returns the listed requests whose outcome is still unresolved.
 func (s *Service) UnknownOutcomes(ctx context.Context) ([]sageclaim.Record, error) {
 	metas, err := s.Store.List(ctx, unknownPrefix)
 	if err != nil {
@@ -40,11 +40,11 @@
 				continue
 			}
 			seen[r.ClaimID] = true
-			open, err := s.open(ctx, &r)
+			unresolved, err := s.isUnresolved(ctx, &r)
 			if err != nil {
 				return nil, err
 			}
-			if open {
+			if unresolved {
 				out = append(out, r)
 			}
 		}
@@ -52,9 +52,9 @@
 	return out, nil
 }
 
-// open reports whether a listed request is still unsettled. One whose claim object is gone stays on
-// the list: only a person can take it off, by deleting the list object.
-func (s *Service) open(ctx context.Context, r *sageclaim.Record) (bool, error) {
+// isUnresolved reports whether a listed request is still unresolved. A request whose claim object has been deleted
+// stays on the list until an operator deletes the list object.
+func (s *Service) isUnresolved(ctx context.Context, r *sageclaim.Record) (bool, error) {
 	key, err := sageclaim.ParseKey(r.Key)
 	if err != nil {
 		return true, nil
@@ -66,15 +66,15 @@
 	if err != nil {
 		return false, fmt.Errorf("read claims: %w", err)
 	}
-	book, err := sageclaim.DecodeClaimLog(o.Value)
+	claimLog, err := sageclaim.DecodeClaimLog(o.Value)
 	if err != nil {
 		return false, fmt.Errorf("read claims: %w", err)
 	}
-	now, ok := book.Record(r.Account, r.Key)
-	return !ok || (now.ClaimID == r.ClaimID && now.Unresolved(time.Now())), nil
+	current, ok := claimLog.Record(r.Account, r.Key)
+	return !ok || (current.ClaimID == r.ClaimID && current.Unresolved(time.Now())), nil
 }
 
-// Resolution is an operator's word on a request whose outcome was unknown.
+// Resolution is an operator's decision on a request whose outcome is unknown.
 type Resolution struct {
 	Account string `json:"account"`
 	Key     string `json:"key"`
@@ -83,44 +83,44 @@
 	Outcome sagewire.Outcome `json:"outcome"`
 }
 
-// Settle records a settlement and returns the key's record after it.
-func (s *Service) Resolve(ctx context.Context, set *Resolution) (sageclaim.Record, error) {
+// Resolve records a resolution and returns the updated record of the key.
+func (s *Service) Resolve(ctx context.Context, resolution *Resolution) (sageclaim.Record, error) {
 	s.init()
-	key, err := sageclaim.ParseKey(set.Key)
+	key, err := sageclaim.ParseKey(resolution.Key)
 	if err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
-	e := sageclaim.Entry{Op: sageclaim.OpResolve, Account: set.Account, Key: key.Text, ClaimID: set.ClaimID, Outcome: set.Outcome}
+	e := sageclaim.Entry{Op: sageclaim.OpResolve, Account: resolution.Account, Key: key.Text, ClaimID: resolution.ClaimID, Outcome: resolution.Outcome}
 	if err := e.Check(); err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
-	rec, _, err := s.commit(ctx, s.Rules.ObjectKey(set.Account, key), e, nil, true)
+	rec, _, err := s.commit(ctx, s.Rules.ObjectKey(resolution.Account, key), e, nil, true)
 	if err != nil {
 		return sageclaim.Record{}, fmt.Errorf("settle: %w", err)
 	}
 	return rec, nil
 }
 
-// ServeHTTP answers GET with the unsettled requests and POST of a [Resolution] with the record.
+// ServeHTTP responds to GET with the unresolved requests and to POST of a [Resolution] with the key's record.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
-		var set Resolution
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSettleBytes)).Decode(&set); err != nil {
+		var resolution Resolution
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxResolutionBytes)).Decode(&resolution); err != nil {
 			sageoperator.WriteJSON(w, http.StatusBadRequest, sageoperator.Problem{Problem: "decode settlement: " + err.Error()})
 			return
 		}
-		rec, err := s.Resolve(r.Context(), &set)
-		if err == nil && rec.ClaimID != set.ClaimID {
+		rec, err := s.Resolve(r.Context(), &resolution)
+		if err == nil && rec.ClaimID != resolution.ClaimID {
 			err = fmt.Errorf("the key now belongs to claim %s: %w", rec.ClaimID, sageclaim.ErrNoClaim)
 		}
-		reply(w, &rec, err)
+		writeReply(w, &rec, err)
 		return
 	}
 	list, err := s.UnknownOutcomes(r.Context())
-	reply(w, list, err)
+	writeReply(w, list, err)
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeReply(w http.ResponseWriter, v any, err error) {
 	switch {
 	case errors.Is(err, sageclaim.ErrInvalidKey), errors.Is(err, sageclaim.ErrInvalidEntry), errors.Is(err, sageclaim.ErrNoClaim):
 		sageoperator.WriteJSON(w, http.StatusBadRequest, sageoperator.Problem{Problem: err.Error()})
