--- a/internal/sageconfigd/doc.go
+++ b/internal/sageconfigd/doc.go
@@ -1,10 +1,10 @@
-// Package sageconfigd is the service "config" of a node: it keeps the node's copy of the
-// configuration, says whether it may be served from, and accepts tickets.
+// Package sageconfigd is the service "config" of a node: it maintains the node's copy of the configuration,
+// decides whether the node may serve requests with it, and accepts tickets.
 //
-// A few nodes of each data centre watch the store; every node takes part in the anti-entropy
-// exchange with the section that [Service.Section] returns. A node that is not among the watchers
-// asks the store itself only while it has no configuration, or no fresh evidence that its own is the
-// newest, so that neither the loss of all watchers nor that of all peers starves it.
+// A few nodes of each data centre watch the store. All nodes exchange the configuration by anti-entropy gossip,
+// with the section that [Service.Section] returns. A node that is not a watcher reads the store only while it has
+// no configuration, or no recent evidence that its configuration is the newest. It thus stays up to date even if
+// all watchers or all its peers fail.
 //
 // # Usage
 //
--- a/internal/sageconfigd/fake_test.go
+++ b/internal/sageconfigd/fake_test.go
@@ -15,16 +15,16 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// platform is a store that can be out, whose watches can hang, and that can go back in time.
-type platform struct {
+// fakeStore is a store that can be unavailable, whose watches can stall, and that can return an older version.
+type fakeStore struct {
 	sageobject.Memory
-	out, hang, back atomic.Bool
+	unavailable, watchStalls, rolledBack atomic.Bool
 }
 
-func newPlatform() *platform {
-	p := new(platform)
+func newFakeStore() *fakeStore {
+	p := new(fakeStore)
 	p.Before = func(sageobject.Op, string) error {
-		if p.out.Load() {
+		if p.unavailable.Load() {
 			return fmt.Errorf("injected: %w", sageobject.ErrUnavailable)
 		}
 		return nil
@@ -32,17 +32,17 @@
 	return p
 }
 
-func (p *platform) Watch(ctx context.Context, key string, after int64) (sageobject.Object, error) {
-	if p.hang.Load() {
+func (p *fakeStore) Watch(ctx context.Context, key string, after int64) (sageobject.Object, error) {
+	if p.watchStalls.Load() {
 		<-ctx.Done()
 		return sageobject.Object{}, ctx.Err()
 	}
 	return p.Memory.Watch(ctx, key, after)
 }
 
-func (p *platform) List(ctx context.Context, prefix string) ([]sageobject.Meta, error) {
+func (p *fakeStore) List(ctx context.Context, prefix string) ([]sageobject.Meta, error) {
 	metas, err := p.Memory.List(ctx, prefix)
-	if p.back.Load() {
+	if p.rolledBack.Load() {
 		for i := range metas {
 			metas[i].Version--
 		}
@@ -50,42 +50,42 @@
 	return metas, err
 }
 
-// total returns the number of calls to the store.
-func (p *platform) total() (n int64) {
+// numCalls returns the number of calls to the store.
+func (p *fakeStore) numCalls() (n int64) {
 	for _, c := range p.Calls() {
 		n += c
 	}
 	return n
 }
 
-// members is a membership whose nodes a test sets.
-type members struct {
+// fakeMembers is a membership that a test controls.
+type fakeMembers struct {
 	live   []string
 	quorum func(now time.Time) time.Time
 	nodes  atomic.Pointer[[]NodeRevision]
 }
 
-func (m *members) set(nodes ...NodeRevision) { m.nodes.Store(&nodes) }
+func (m *fakeMembers) setNodes(nodes ...NodeRevision) { m.nodes.Store(&nodes) }
 
-func (m *members) Live() []string                   { return m.live }
-func (m *members) QuorumAt(now time.Time) time.Time { return m.quorum(now) }
+func (m *fakeMembers) Live() []string                   { return m.live }
+func (m *fakeMembers) QuorumAt(now time.Time) time.Time { return m.quorum(now) }
 
-func (m *members) Nodes() []NodeRevision {
+func (m *fakeMembers) Nodes() []NodeRevision {
 	if ns := m.nodes.Load(); ns != nil {
 		return *ns
 	}
 	return nil
 }
 
-func dcTicket(number uint64, in bool) *sageconfig.Ticket {
+func dcTicket(number uint64, inService bool) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: number, Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: "derby"},
-		DataCentre: &sageconfig.DataCentre{InService: in},
+		DataCentre: &sageconfig.DataCentre{InService: inService},
 	}}}
 }
 
-// accept accepts tickets through some other node.
-func accept(t *testing.T, p *platform, from, to uint64) {
+// acceptTickets accepts the tickets from..to as another node does, and compacts the tail.
+func acceptTickets(t *testing.T, p *fakeStore, from, to uint64) {
 	t.Helper()
 	a := &sageticket.Acceptor{Store: &p.Memory, KeepRecords: 1}
 	for n := from; n <= to; n++ {
@@ -95,10 +95,10 @@
 	require.NoError(t, a.Compact(t.Context()))
 }
 
-// start runs a service until the test's end.
-func start(t *testing.T, p *platform, m Members, way sagesync.IsolationPolicy) *Service {
+// startService runs a service until the end of the test.
+func startService(t *testing.T, p *fakeStore, m Members, policy sagesync.IsolationPolicy) *Service {
 	s := &Service{Node: "vm-0", Store: p, Members: m, Rule: sagesync.Rule{
-		Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout,
+		Isolated: policy, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout,
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
--- a/internal/sageconfigd/follow.go
+++ b/internal/sageconfigd/follow.go
@@ -12,26 +12,26 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// watches reports whether this node is one of its data centre's watchers.
-func (s *Service) watches() bool {
-	return s.Members == nil || sagesync.IsWatcher(s.Node, s.Members.Live(), watchers)
+// isWatcher reports whether this node is one of its data centre's watchers.
+func (s *Service) isWatcher() bool {
+	return s.Members == nil || sagesync.IsWatcher(s.Node, s.Members.Live(), numWatchers)
 }
 
-// starved reports whether this node must ask the store although it doesn't watch it: it has no
-// configuration, or its evidence has reached three quarters of the age at which it counts as isolated.
-func (s *Service) starved(now time.Time) bool {
+// needsStore reports whether this node must read the store even if it is not a watcher: it has no configuration,
+// or its evidence has exceeded three quarters of the age at which the node counts as isolated.
+func (s *Service) needsStore(now time.Time) bool {
 	st := s.replica.Status()
 	return st.Revision == 0 || now.After(st.ConfirmedAt.Add(s.Rule.MaxEvidenceAge*3/4))
 }
 
-// pause waits after the n-th failure in a row, for a random part of a doubled period, so that nodes
-// that lost the store together don't come back to it together.
-func pause(ctx context.Context, n int) {
-	d := min(firstPause<<min(n, 10), lastPause)
-	wait(ctx, d/2+rand.N(d/2))
+// backOff waits after n+1 consecutive failures. The delay doubles with n and is random, so that nodes that lost
+// the store at the same time don't return to it at the same time.
+func backOff(ctx context.Context, n int) {
+	d := min(initialBackoff<<min(n, 10), maxBackoff)
+	sleep(ctx, d/2+rand.N(d/2))
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -40,19 +40,19 @@
 	}
 }
 
-// follow watches the head while this node is a watcher.
-func (s *Service) follow(ctx context.Context) {
+// watchHead watches the head until ctx ends, while this node is a watcher.
+func (s *Service) watchHead(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if !s.watches() {
-			wait(ctx, tick)
+		if !s.isWatcher() {
+			sleep(ctx, pollInterval)
 			continue
 		}
 		if err := s.watchOnce(ctx); err != nil {
 			if failures == 0 {
 				s.Log.Warn("Watch of the store failed.", "err", err)
 			}
-			pause(ctx, failures)
+			backOff(ctx, failures)
 			failures++
 			continue
 		}
@@ -60,11 +60,11 @@
 	}
 }
 
-// watchOnce waits for the next head and takes it in. A watch that ends without one is no failure.
+// watchOnce waits for the next head and applies it. It returns nil if the watch times out without a new head.
 func (s *Service) watchOnce(ctx context.Context) error {
-	version, _ := s.taken()
-	asked := time.Now()
-	wctx, cancel := context.WithTimeout(ctx, watchFor)
+	version, _ := s.appliedHead()
+	readStart := time.Now()
+	wctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	o, err := s.Store.Watch(wctx, sageticket.HeadKey, version)
 	if wctx.Err() != nil && !errors.Is(err, sageobject.ErrUnavailable) {
@@ -77,77 +77,77 @@
 	if err != nil {
 		return fmt.Errorf("watch head: %w", err)
 	}
-	return s.take(ctx, h, o.Version, asked)
+	return s.applyHead(ctx, h, o.Version, readStart)
 }
 
-// catchUp reads the head, takes it in, and reports whether its tail should be folded.
-func (s *Service) catchUp(ctx context.Context) (foldDue bool, err error) {
-	asked := time.Now()
+// readHead reads the head, applies it, and reports whether its tail should be compacted.
+func (s *Service) readHead(ctx context.Context) (compactionDue bool, err error) {
+	readStart := time.Now()
 	h, version, err := sageticket.ReadHead(ctx, s.Store)
 	if err != nil {
 		return false, err
 	}
-	return h.CompactionDue(), s.take(ctx, h, version, asked)
+	return h.CompactionDue(), s.applyHead(ctx, h, version, readStart)
 }
 
-// take brings a head in. If its tail no longer reaches back to the own revision, as after a gap in
-// the watch, the whole configuration is read.
-func (s *Service) take(ctx context.Context, h *sageticket.Head, version int64, asked time.Time) error {
-	if !s.replica.ApplyHead(h, asked) {
-		asked = time.Now()
+// applyHead applies a head; readStart is when its read was started. If its tail doesn't reach back to this node's
+// revision, as after a gap in the watch, the complete configuration is loaded.
+func (s *Service) applyHead(ctx context.Context, h *sageticket.Head, version int64, readStart time.Time) error {
+	if !s.replica.ApplyHead(h, readStart) {
+		readStart = time.Now()
 		l, err := sageticket.Load(ctx, s.Store)
 		if err != nil {
 			return fmt.Errorf("load configuration: %w", err)
 		}
-		s.replica.ApplyLoaded(l, asked)
+		s.replica.ApplyLoaded(l, readStart)
 		h, version = l.Head, l.Version
 	}
 	s.mu.Lock()
-	if version > s.version {
-		s.version, s.at = version, h.Revision
+	if version > s.headVersion {
+		s.headVersion, s.headRevision = version, h.Revision
 	}
 	s.mu.Unlock()
 	return nil
 }
 
-func (s *Service) taken() (version int64, revision uint64) {
+func (s *Service) appliedHead() (version int64, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.at
+	return s.headVersion, s.headRevision
 }
 
-// confirm compares the own copy with the store every few seconds, as long as this node is a watcher
-// or starved.
-func (s *Service) confirm(ctx context.Context) {
+// runConfirm compares this node's copy with the store at each confirmInterval, while the node is a watcher or
+// needsStore is true.
+func (s *Service) runConfirm(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		if !s.watches() && !s.starved(time.Now()) {
+		if !s.isWatcher() && !s.needsStore(time.Now()) {
 			failures = 0
-			wait(ctx, tick)
+			sleep(ctx, pollInterval)
 			continue
 		}
 		if err := s.confirmOnce(ctx); err != nil {
-			pause(ctx, failures)
+			backOff(ctx, failures)
 			failures++
 			continue
 		}
 		failures = 0
-		wait(ctx, confirmEvery)
+		sleep(ctx, confirmInterval)
 	}
 }
 
-// confirmOnce asks the store for the version of the head only, which is a few bytes. If it is the
-// one that was taken in, the own copy was the newest at the instant of asking. If it is newer, the
-// head is read here, because the watch may hang on a broken connection.
+// confirmOnce reads only the version of the head from the store, which is a few bytes. If it is the version that
+// was applied, this node's copy was the newest when the read started. If it is newer, confirmOnce reads the head,
+// because the watch may be stalled on a broken connection.
 func (s *Service) confirmOnce(ctx context.Context) error {
-	version, revision := s.taken()
+	version, revision := s.appliedHead()
 	if version == 0 {
-		_, err := s.catchUp(ctx)
+		_, err := s.readHead(ctx)
 		return err
 	}
-	cctx, cancel := context.WithTimeout(ctx, confirmEvery)
+	cctx, cancel := context.WithTimeout(ctx, confirmInterval)
 	defer cancel()
-	asked := time.Now()
+	readStart := time.Now()
 	metas, err := s.Store.List(cctx, sageticket.HeadKey)
 	if err != nil {
 		return fmt.Errorf("confirm: %w", err)
@@ -156,14 +156,14 @@
 		switch {
 		case m.Key != sageticket.HeadKey:
 		case m.Version == version:
-			s.replica.Confirm(revision, asked)
+			s.replica.Confirm(revision, readStart)
 			return nil
 		case m.Version < version:
-			// Nodes keep what they have: taking an older state in would revert accepted tickets.
+			// Nodes keep their configuration: applying an older one would revert accepted tickets.
 			s.Log.Error("The store has gone back to an older head; restore it.", "have", version, "store", m.Version)
 			return fmt.Errorf("confirm: head version %d below %d: %w", m.Version, version, sageobject.ErrUnavailable)
 		default:
-			_, err := s.catchUp(ctx)
+			_, err := s.readHead(ctx)
 			return err
 		}
 	}
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -18,75 +18,75 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// watchers is the number of nodes of a data centre that watch the store: one may fail unnoticed.
-const watchers = 2
+// numWatchers is the number of nodes of a data centre that watch the store; there are two so that one may fail.
+const numWatchers = 2
 
-// Periods of the service.
 const (
-	// confirmEvery is how often a watcher compares its copy with the store.
-	confirmEvery = 2 * time.Second
-	// tick is how often the service looks at its role.
-	tick = 500 * time.Millisecond
-	// meetWithin is how long a submission waits on a node that hasn't met the others yet.
-	meetWithin = 10 * time.Second
-	// watchFor bounds a watch, after which the role is looked at again.
-	watchFor = 15 * time.Second
-	// firstPause and lastPause bound the pause after failed calls, which doubles.
-	firstPause = 200 * time.Millisecond
-	lastPause  = 8 * time.Second
+	// confirmInterval is how often a watcher compares its copy with the store.
+	confirmInterval = 2 * time.Second
+	// pollInterval is how often the service checks whether this node is a watcher, and other conditions that
+	// have no notification.
+	pollInterval = 500 * time.Millisecond
+	// firstContactTimeout is how long a submission waits on a node that has had no contact with most others yet.
+	firstContactTimeout = 10 * time.Second
+	// watchTimeout bounds one watch call, after which the node checks whether it is still a watcher.
+	watchTimeout = 15 * time.Second
+	// initialBackoff and maxBackoff bound the delay after failed calls, which doubles.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 8 * time.Second
 )
 
-// Members is what the service needs of the membership.
+// Members provides the membership of the fleet.
 type Members interface {
 	// Live returns the names of the live nodes of this node's data centre, itself included.
 	Live() []string
-	// QuorumAt returns the latest instant at which this node had contact to most of the roster, see
+	// QuorumAt returns the latest time at which this node had contact with most of the roster, see
 	// [sagesync.QuorumAt].
 	QuorumAt(now time.Time) time.Time
-	// Nodes tells of each known node what its newest heartbeat said.
+	// Nodes returns, for each known node, the revision in its newest heartbeat.
 	Nodes() []NodeRevision
 }
 
-// NodeRevision is the configuration revision of a node as its newest heartbeat told it.
+// NodeRevision is the configuration revision of a node according to its newest heartbeat.
 type NodeRevision struct {
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
 	Revision   uint64 `json:"revision"`
-	// Since is when this node first heard of that revision there.
+	// Since is when this node first observed that revision on Node; in [TicketStatus], the ticket's revision.
 	Since time.Time `json:"since,omitzero"`
-	// HeardAt is when that node was last heard of.
+	// LastContact is when Node was last heard from.
 	LastContact time.Time `json:"heard_at,omitzero"`
 }
 
-// Service is the service "config". Its fields are set before Run.
+// Service is the service "config". Its exported fields are set before first use.
 type Service struct {
 	// Node is this node's name in the membership.
 	Node       string
 	DataCentre string
-	// Roster holds the addresses of the settings' seeds, the same on every node, and Address this
-	// node's own; see [sagesync.Replica].
+	// Roster lists the addresses of the seeds in the settings, which are the same on every node. Address is this
+	// node's own address. See [sagesync.Replica].
 	Roster  []string
 	Address string
 	Store   sageobject.Store
-	// Members is nil on a node that knows of no others: it then watches the store itself.
+	// Members may be nil if there are no other nodes; this node then watches the store.
 	Members Members
 	Rule    sagesync.Rule
 	// Metrics may be nil.
 	Metrics *metrics.Set
 	Log     sagelog.Logger
 
-	once     sync.Once
-	replica  sagesync.Replica
-	acceptor sageticket.Acceptor
-	foldDue  chan struct{}
-	tracker  tracker
+	once          sync.Once
+	replica       sagesync.Replica
+	acceptor      sageticket.Acceptor
+	compactionDue chan struct{}
+	tracker       tracker
 
-	mu      sync.Mutex
-	version int64 // of the head object that was last taken in
-	at      uint64
+	mu           sync.Mutex
+	headVersion  int64 // store version of the newest head that was applied
+	headRevision uint64
 }
 
-// init sets up what Run and the callers share; callers may come before Run.
+// init initialises the service; methods may be called before Run.
 func (s *Service) init() {
 	s.once.Do(func() {
 		s.replica.Now, s.replica.Roster, s.replica.Self = time.Now, s.Roster, s.Address
@@ -94,7 +94,7 @@
 			c := s.replica.Current()
 			return c.Revision, c.State
 		}}
-		s.foldDue = make(chan struct{}, 1)
+		s.compactionDue = make(chan struct{}, 1)
 	})
 }
 
@@ -104,7 +104,7 @@
 	return &s.replica
 }
 
-// State returns the configuration in force on this node, or nil before there is one.
+// State returns the configuration in force on this node, or nil if it has none yet.
 func (s *Service) State() *sageconfig.State {
 	s.init()
 	if c := s.replica.Current(); c.Revision > 0 {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Revision returns the revision in force on this node, 0 before there is one.
+// Revision returns the revision in force on this node, or 0 if it has none yet.
 func (s *Service) Revision() uint64 {
 	s.init()
 	return s.replica.Current().Revision
@@ -125,20 +125,20 @@
 	return s.replica.Changed()
 }
 
-// Standing returns what this node knows about its configuration.
+// ReplicaStatus returns the status of this node's copy of the configuration.
 func (s *Service) ReplicaStatus() sagesync.Status {
 	s.init()
 	return s.replica.Status()
 }
 
-// noteQuorum takes over what the membership knows about contact to the roster.
-func (s *Service) noteQuorum(now time.Time) {
+// recordQuorum passes the time of the last contact with most of the roster to the replica.
+func (s *Service) recordQuorum(now time.Time) {
 	if s.Members != nil {
 		s.replica.RecordQuorum(s.Members.QuorumAt(now))
 	}
 }
 
-// Serving says why this node may not serve such a request now, or nil.
+// Serving returns nil if this node may serve a request now, and the refusal otherwise.
 func (s *Service) Serving(now time.Time, idempotent bool) *sagewire.Refusal {
 	v := s.Rule.Evaluate(now, s.ReplicaStatus())
 	if v.Level == sagesync.ServeAll || v.Level == sagesync.ServeIdempotent && idempotent {
@@ -147,11 +147,11 @@
 	return v.Refusal
 }
 
-// Submit accepts a ticket, see [sageticket.Acceptor.Submit]; the ticket is in force on this node
-// when it returns.
+// Submit accepts a ticket, see [sageticket.Acceptor.Submit]. When it returns without an error, the ticket is in
+// force on this node, unless the configuration could not be read back; it then comes into force later.
 func (s *Service) Submit(ctx context.Context, t *sageconfig.Ticket) (sageticket.Accepted, error) {
 	s.init()
-	if !s.mayAccept(ctx) {
+	if !s.canAccept(ctx) {
 		return sageticket.Accepted{}, fmt.Errorf("submit ticket %d: this node has no contact to most of the roster: %w", t.Number, sageticket.ErrNotAccepted)
 	}
 	acc, err := s.acceptor.Submit(ctx, t)
@@ -159,24 +159,24 @@
 		s.Log.Warn("Ticket not accepted.", "number", t.Number, "err", err)
 		return acc, err
 	}
-	// Accepted is accepted: if this read fails, the follower brings the ticket in.
-	foldDue, err := s.catchUp(ctx)
+	// The ticket is accepted even if this read fails; watchHead or runConfirm applies it later.
+	compactionDue, err := s.readHead(ctx)
 	if err != nil {
 		s.Log.Warn("Ticket accepted, but not read back yet.", "number", t.Number, "err", err)
 	}
-	if foldDue {
-		s.askFold()
+	if compactionDue {
+		s.triggerCompaction()
 	}
 	return acc, nil
 }
 
-// mayAccept reports whether the rule lets this node accept tickets now. A node that has just started
-// is given a moment to meet the others; one that has lost them answers at once.
-func (s *Service) mayAccept(ctx context.Context) bool {
-	until := time.Now().Add(meetWithin)
+// canAccept reports whether the rule allows this node to accept tickets now. If the node has just started, it
+// waits for the first contact with most of the roster; if it has lost that contact, it returns false immediately.
+func (s *Service) canAccept(ctx context.Context) bool {
+	until := time.Now().Add(firstContactTimeout)
 	for {
 		now := time.Now()
-		s.noteQuorum(now)
+		s.recordQuorum(now)
 		st := s.ReplicaStatus()
 		if s.Rule.MayAccept(now, st) {
 			return true
@@ -184,38 +184,38 @@
 		if !st.QuorumAt.IsZero() || now.After(until) || ctx.Err() != nil {
 			return false
 		}
-		wait(ctx, tick)
+		sleep(ctx, pollInterval)
 	}
 }
 
-// Run keeps the copy up to date until ctx ends.
+// Run keeps the node's copy of the configuration up to date until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
 	s.init()
-	s.register()
+	s.registerMetrics()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { s.follow(ctx); return nil })
-	g.Go(func() error { s.confirm(ctx); return nil })
-	g.Go(func() error { s.fold(ctx); return nil })
-	g.Go(func() error { s.report(ctx); return nil })
+	g.Go(func() error { s.watchHead(ctx); return nil })
+	g.Go(func() error { s.runConfirm(ctx); return nil })
+	g.Go(func() error { s.runCompaction(ctx); return nil })
+	g.Go(func() error { s.logChanges(ctx); return nil })
 	return g.Wait()
 }
 
-// askFold lets the folder run once. Nodes that see the same long head may fold at once, which is
-// harmless; only the acceptor of the ticket asks, so that they rarely do.
-func (s *Service) askFold() {
+// triggerCompaction makes runCompaction compact the tail once. Only the node that accepted the ticket triggers it,
+// so that several nodes rarely compact at the same time, which would be harmless.
+func (s *Service) triggerCompaction() {
 	select {
-	case s.foldDue <- struct{}{}:
+	case s.compactionDue <- struct{}{}:
 	default:
 	}
 }
 
-// fold folds the tail when a submission through this node made it due.
-func (s *Service) fold(ctx context.Context) {
+// runCompaction compacts the tail of the head whenever a submission through this node makes it due.
+func (s *Service) runCompaction(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.foldDue:
+		case <-s.compactionDue:
 		}
 		if err := s.acceptor.Compact(ctx); err != nil {
 			s.Log.Warn("Fold failed; the next ticket tries again.", "err", err)
@@ -223,22 +223,23 @@
 	}
 }
 
-// report logs each change and each turn between serving and not.
-func (s *Service) report(ctx context.Context) {
-	t := time.NewTicker(tick)
+// logChanges logs each change of the configuration and of the service level. It also records the contact with the
+// roster and the revisions of all nodes.
+func (s *Service) logChanges(ctx context.Context) {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
-	may := sagesync.ServeNothing
+	level := sagesync.ServeNothing
 	for {
 		changed := s.replica.Changed()
 		now := time.Now()
-		s.noteQuorum(now)
-		s.track(now)
-		if v := s.Rule.Evaluate(now, s.ReplicaStatus()); v.Level != may {
-			may = v.Level
-			if may == sagesync.ServeAll {
+		s.recordQuorum(now)
+		s.recordRevisions(now)
+		if v := s.Rule.Evaluate(now, s.ReplicaStatus()); v.Level != level {
+			level = v.Level
+			if level == sagesync.ServeAll {
 				s.Log.Info("Serving.", "revision", s.Revision())
 			} else {
-				s.Log.Warn("Service restricted.", "idempotent", may == sagesync.ServeIdempotent, "why", v.Refusal)
+				s.Log.Warn("Service restricted.", "idempotent", level == sagesync.ServeIdempotent, "why", v.Refusal)
 			}
 		}
 		select {
@@ -251,7 +252,7 @@
 	}
 }
 
-func (s *Service) register() {
+func (s *Service) registerMetrics() {
 	if s.Metrics == nil {
 		return
 	}
--- a/internal/sageconfigd/status.go
+++ b/internal/sageconfigd/status.go
@@ -11,13 +11,14 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// TicketStatus tells where an accepted ticket is in force, as far as this node has heard.
+// TicketStatus lists the nodes on which an accepted ticket is in force, as far as this node knows.
 type TicketStatus struct {
 	sageticket.Summary
-	// InForce lists the nodes that hold it; Since is when this node first heard so.
+	// InForce lists the nodes on which it is in force; Since is when this node first observed that, or zero if
+	// that is no longer recorded.
 	InForce []NodeRevision `json:"in_force"`
-	// Lacking lists the nodes that, by their newest heartbeat, do not hold it; Since is zero for one
-	// that was never heard of at its revision.
+	// NotInForce lists the nodes on which, according to their newest heartbeat, it is not in force. Since is zero
+	// for a node that was never observed at its revision.
 	NotInForce []NodeRevision `json:"lacking"`
 }
 
@@ -26,7 +27,7 @@
 	return sageticket.History(ctx, s.Store, n)
 }
 
-// Status tells where a ticket is in force. The newest tickets are known also while the store is out.
+// Status returns where a ticket is in force. For the newest tickets it also works while the store is unavailable.
 func (s *Service) Status(ctx context.Context, number uint64) (TicketStatus, error) {
 	s.init()
 	var st TicketStatus
@@ -39,8 +40,8 @@
 		}
 		st.Summary = p
 	}
-	s.track(time.Now())
-	for _, n := range s.nodes(time.Now()) {
+	s.recordRevisions(time.Now())
+	for _, n := range s.nodeRevisions(time.Now()) {
 		if n.Revision < st.Revision {
 			st.NotInForce = append(st.NotInForce, n)
 			continue
@@ -51,8 +52,8 @@
 	return st, nil
 }
 
-// nodes lists all known nodes, this one by its own word.
-func (s *Service) nodes(now time.Time) []NodeRevision {
+// nodeRevisions returns the revisions of all known nodes, including this one, ordered by name.
+func (s *Service) nodeRevisions(now time.Time) []NodeRevision {
 	c := s.replica.Current()
 	ns := []NodeRevision{{Node: s.Node, DataCentre: s.DataCentre, Revision: c.Revision, Since: c.AppliedAt, LastContact: now}}
 	if s.Members != nil {
@@ -66,57 +67,57 @@
 	return ns
 }
 
-// track notes the revisions that the newest heartbeats tell.
-func (s *Service) track(now time.Time) { s.tracker.note(now, s.nodes(now)) }
+// recordRevisions records the current revisions of all known nodes.
+func (s *Service) recordRevisions(now time.Time) { s.tracker.record(now, s.nodeRevisions(now)) }
 
-// maxSteps bounds the remembered revisions of a node.
-const maxSteps = 32
+// maxObservations is the maximum number of revisions recorded per node.
+const maxObservations = 32
 
-// step is a revision and when a node was first heard to hold it.
-type step struct {
+// observation is a revision of a node and the time at which it was first observed.
+type observation struct {
 	revision uint64
 	at       time.Time
 }
 
-// tracker remembers since when each node has held its newest revisions.
+// tracker records when each node was first observed at each of its newest revisions.
 type tracker struct {
-	mu    sync.Mutex
-	steps map[string][]step
+	mu           sync.Mutex
+	observations map[string][]observation
 }
 
-// note takes in what is known of all nodes now, and forgets nodes that are no longer known.
-func (t *tracker) note(now time.Time, nodes []NodeRevision) {
+// record adds the current revisions of all known nodes, and removes the nodes that are no longer known.
+func (t *tracker) record(now time.Time, nodes []NodeRevision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := make(map[string][]step, len(nodes))
+	next := make(map[string][]observation, len(nodes))
 	for _, n := range nodes {
-		ss := t.steps[n.Node]
+		observed := t.observations[n.Node]
 		last := uint64(0)
-		if len(ss) > 0 {
-			last = ss[len(ss)-1].revision
+		if len(observed) > 0 {
+			last = observed[len(observed)-1].revision
 		}
 		switch {
-		case n.Revision < last: // a new process of the same name
-			ss = []step{{n.Revision, now}}
+		case n.Revision < last: // a new process of the same name, which holds an older revision
+			observed = []observation{{n.Revision, now}}
 		case n.Revision > last:
-			ss = append(ss, step{n.Revision, now})
+			observed = append(observed, observation{n.Revision, now})
 		}
-		next[n.Node] = ss[max(0, len(ss)-maxSteps):]
+		next[n.Node] = observed[max(0, len(observed)-maxObservations):]
 	}
-	t.steps = next
+	t.observations = next
 }
 
-// since returns when the node was first heard to hold a revision, or a later one; zero if that is
-// no longer remembered.
+// since returns when the node was first observed at a revision or a later one, or zero if that is not recorded or
+// no longer recorded.
 func (t *tracker) since(node string, revision uint64) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ss := t.steps[node]
-	for i, s := range ss {
+	observed := t.observations[node]
+	for i, s := range observed {
 		if s.revision < revision {
 			continue
 		}
-		if i == 0 && len(ss) == maxSteps {
+		if i == 0 && len(observed) == maxObservations {
 			return time.Time{}
 		}
 		return s.at
--- a/internal/sageloadd/coordinator.go
+++ b/internal/sageloadd/coordinator.go
@@ -19,7 +19,7 @@
 // maxReportBytes is the maximum size of a load report.
 const maxReportBytes = 4 << 10
 
-// maxWants is the maximum number of upstreams in one grant request; a larger request indicates a fault of the sender.
+// maxWants is the maximum number of upstreams in one grant request; more would be a fault of its sender.
 const maxWants = 4096
 
 // warmAfterRequests is the number of requests that an engine must have completed since its boot before the
