--- a/internal/sageclaims/decode_test.go
+++ b/internal/sageclaims/decode_test.go
@@ -56,7 +56,7 @@
 
 // BenchmarkAnswerCache measures the memory per cached answer of 300 bytes.
 func BenchmarkAnswerCache(b *testing.B) {
-	a := completed(strings.Repeat("x", 300)).Answer
+	a := completed(strings.Repeat("x", 300)).Response
 	h := answerCache{maxBytes: 8 << 20}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -74,7 +74,7 @@
 }
 
 func FuzzDecodeAnswer(f *testing.F) {
-	f.Add(encodeAnswer(completed("x").Answer))
+	f.Add(encodeAnswer(completed("x").Response))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, err := decodeAnswer(b)
 		if err == nil && (a.Status < 200 || a.Status > 599) {
--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -70,7 +70,7 @@
 }
 
 // Claim implements [sageentry.Claims].
-func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	s.init()
 	now := time.Now()
 	key, err := sageclaim.ParseKey(r.IdempotencyKey)
@@ -99,7 +99,7 @@
 }
 
 // commitClaim commits the claim; while another claim of the same key is in flight, it waits and tries again.
-func (s *Service) commitClaim(ctx context.Context, h *claimHandle) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) commitClaim(ctx context.Context, h *claimHandle) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	for interval, bypassCache := initialPollInterval, false; ; interval = min(2*interval, maxPollInterval) {
 		rec, ans, err := s.commit(ctx, h.object, h.entry, nil, bypassCache)
 		if err == nil && rec.ClaimID != h.entry.ClaimID && !bypassCache {
@@ -128,7 +128,7 @@
 //
 // If this router was paused after the commit, its caller may have left or have got another response, so the
 // request must not be sent any more.
-func (s *Service) confirmGrant(h *claimHandle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.Answer, *sagewire.Refusal) {
+func (s *Service) confirmGrant(h *claimHandle, rec *sageclaim.Record, now time.Time) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if rec.State != sageclaim.StateClaimed || now.After(h.entry.Deadline) {
 		s.releaseClaim(h)
 		return nil, nil, s.countRefusal(sagewire.Refuse(sagewire.ReasonDeadline, "the deadline passed before the claim", time.Time{}))
@@ -195,7 +195,7 @@
 		}
 	case sagewire.Complete:
 		j.entry.Op, j.entry.Outcome, j.entry.Status = sageclaim.OpFinish, sagewire.Complete, res.Status
-		j.answer = encodeAnswer(res.Answer)
+		j.answer = encodeAnswer(res.Response)
 	default:
 		j.entry.Op, j.entry.Outcome = sageclaim.OpFinish, sagewire.Unknown
 	}
