--- a/internal/sageclaims/service.go
+++ b/internal/sageclaims/service.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// confirmGrant returns the claim unless its deadline has passed.
+// confirmGrant returns the claim unless its deadline has passed or it is no longer in the state claimed.
 //
 // If this router was paused after the commit, its caller may have left or have got another response, so the
 // request must not be sent any more.
--- a/internal/sageconfigd/follow.go
+++ b/internal/sageconfigd/follow.go
@@ -81,7 +81,7 @@
 }
 
 // readHead reads the head, applies it, and reports whether its tail should be compacted.
-func (s *Service) readHead(ctx context.Context) (compactionDue bool, err error) {
+func (s *Service) readHead(ctx context.Context) (due bool, err error) {
 	readStart := time.Now()
 	h, version, err := sageticket.ReadHead(ctx, s.Store)
 	if err != nil {
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -160,11 +160,11 @@
 		return acc, err
 	}
 	// The ticket is accepted even if this read fails; watchHead or runConfirm applies it later.
-	compactionDue, err := s.readHead(ctx)
+	due, err := s.readHead(ctx)
 	if err != nil {
 		s.Log.Warn("Ticket accepted, but not read back yet.", "number", t.Number, "err", err)
 	}
-	if compactionDue {
+	if due {
 		s.triggerCompaction()
 	}
 	return acc, nil
