--- a/internal/sagedispatch/dispatcher.go
+++ b/internal/sagedispatch/dispatcher.go
@@ -150,7 +150,7 @@
 	x.result.Status = res.StatusCode
 	if got := res.Header.Get(sagewire.HeaderRequestID); got != x.a.RequestID {
 		tracker.Close()
-		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the response has request id %q", got)
+		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the answer bears the id %q", got)
 		return
 	}
 	x.readHeader(res.Header)
@@ -179,7 +179,7 @@
 	if reason == sagewire.ReasonUpstreamFailed {
 		reason = sagewire.ReasonAnswerLost
 	}
-	x.result.fail(sagewire.Unknown, reason, "no response: %v", err)
+	x.result.fail(sagewire.Unknown, reason, "no answer: %v", err)
 }
 
 func (x *exchange) send(ctx context.Context, tracker *sageconn.Tracker) (*http.Response, error) {
--- a/internal/sagedispatch/plain.go
+++ b/internal/sagedispatch/plain.go
@@ -44,7 +44,7 @@
 	}
 	if !isDelimited(res) {
 		tracker.Close()
-		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the response has neither Content-Length nor chunked encoding")
+		x.result.fail(sagewire.Unknown, sagewire.ReasonAnswerLost, "the answer has no checkable end")
 		return
 	}
 	limit := intOrDefault(x.d.MaxBufferedBytes, DefaultMaxBufferedBytes)
@@ -69,7 +69,7 @@
 	if ctx.Err() != nil {
 		reason = sagewire.ReasonDeadline
 	}
-	x.result.fail(sagewire.Unknown, reason, "the response was truncated: %v", err)
+	x.result.fail(sagewire.Unknown, reason, "the answer broke off: %v", err)
 }
 
 // forwardBuffered forwards a response that is completely buffered.
--- a/internal/sagedispatch/stream.go
+++ b/internal/sagedispatch/stream.go
@@ -20,12 +20,12 @@
 // Errors that interrupt a stream. isFinal lists those after which it isn't resumed.
 var (
 	errSequenceGap   = errors.New("gap in the stream")
-	errNoEventID     = errors.New("event without an id")
+	errNoEventID     = errors.New("event without a position")
 	errCallerGone    = errors.New("the caller stopped reading")
 	errUpstreamError = errors.New("the upstream ended the stream with an error")
-	errRestarted     = errors.New("the upstream restarted")
+	errRestarted     = errors.New("the upstream was started anew")
 	errNotResumed    = errors.New("the upstream can't resume the stream")
-	errIDMismatch    = errors.New("the response belongs to another request")
+	errIDMismatch    = errors.New("the answer belongs to another request")
 )
 
 // doneData is the data of the event that ends a stream.
@@ -139,7 +139,7 @@
 		x.result.Duplicates++
 		return false, nil
 	case e.ID > last+1:
-		return false, fmt.Errorf("event id %d after %d: %w", e.ID, last, errSequenceGap)
+		return false, fmt.Errorf("position %d after %d: %w", e.ID, last, errSequenceGap)
 	}
 	return true, nil
 }
@@ -209,7 +209,7 @@
 	if ctx.Err() != nil {
 		reason = sagewire.ReasonDeadline
 	}
-	x.result.fail(sagewire.Unknown, reason, "the stream was interrupted: %v", cause)
+	x.result.fail(sagewire.Unknown, reason, "the stream broke off: %v", cause)
 	if errors.Is(cause, errCallerGone) {
 		x.result.CallerGone, x.result.Abort = true, true
 		return
--- a/internal/sageoperator/server.go
+++ b/internal/sageoperator/server.go
@@ -97,7 +97,7 @@
 	}
 	st := s.State()
 	if st == nil {
-		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: "this node has no configuration yet"})
+		WriteJSON(w, http.StatusServiceUnavailable, Problem{Problem: "this node holds no configuration yet"})
 		return
 	}
 	e, ok := st.Get(key)
