--- a/internal/sagestandin/answer.go
+++ b/internal/sagestandin/answer.go
@@ -20,7 +20,7 @@
 	MaxTokens int       `json:"max_tokens,omitempty"`
 }
 
-// ChatResponse is a whole, unstreamed answer.
+// ChatResponse is a chat completion: the complete response, or one chunk of a streamed response.
 type ChatResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -29,7 +29,7 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Choice is one answer of a chat, whole in Message or in part in Delta.
+// Choice is one completion of a chat. Message holds the complete text, Delta one chunk of a streamed response.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -37,22 +37,22 @@
 	FinishReason string   `json:"finish_reason,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage counts the tokens of one chat completion.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 }
 
-// defaultTokens is the length of an answer whose request sets no limit.
-const defaultTokens = 16
+// defaultMaxTokens is the number of tokens in a response to a request that sets no limit.
+const defaultMaxTokens = 16
 
-// ResponseTokens returns the answer that any engine stand-in gives to a chat: a function of the request
-// alone, so that a caller can tell a missing or a foreign token.
+// ResponseTokens returns the tokens with which any engine stand-in responds to a chat. They depend only on the
+// request, so that a caller can detect missing tokens and tokens of another response.
 func ResponseTokens(c *ChatRequest) []string {
 	n := c.MaxTokens
 	if n <= 0 {
-		n = defaultTokens
+		n = defaultMaxTokens
 	}
 	last := ""
 	if len(c.Messages) > 0 {
--- a/internal/sagestandin/application.go
+++ b/internal/sagestandin/application.go
@@ -10,17 +10,17 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// maxBody bounds what a stand-in reads of a request.
-const maxBody = 4 << 20
+// maxBodyBytes is the number of bytes of a request body that a stand-in reads.
+const maxBodyBytes = 4 << 20
 
-// Execution counts how often the application ran the request of a key.
+// Execution counts how often the application executed a request with a given idempotency key.
 type Execution struct {
 	Key        string   `json:"key"`
 	Count      int      `json:"count"`
 	RequestIDs []string `json:"request_ids"`
 }
 
-// ServiceResponse is the application's answer to any call.
+// ServiceResponse is the application's response to any call.
 type ServiceResponse struct {
 	Application string `json:"application"`
 	Key         string `json:"key,omitempty"`
@@ -28,20 +28,20 @@
 	Path        string `json:"path"`
 }
 
-// Application is a stand-in for an application service: it counts executions per idempotency key
-// and echoes each request, so that a crossed answer shows.
+// Application is a stand-in for an application service. It counts executions per idempotency key, and echoes
+// the body of each request so that callers can detect a response that belongs to another request.
 type Application struct {
 	Name string
 
 	faults Faults
 
-	mu   sync.Mutex
-	runs map[string]*Execution
+	mu    sync.Mutex
+	byKey map[string]*Execution
 }
 
-// Handler returns the application's HTTP interface.
+// Handler returns the application's HTTP handler.
 func (a *Application) Handler() http.Handler {
-	a.runs = make(map[string]*Execution)
+	a.byKey = make(map[string]*Execution)
 	mux := http.NewServeMux()
 	mux.Handle("POST /standin/faults", &a.faults)
 	mux.HandleFunc("GET /standin/executions", a.executions)
@@ -50,12 +50,12 @@
 	return mux
 }
 
-// Executions returns a copy of the counts by key.
+// Executions returns a copy of the executions, by idempotency key.
 func (a *Application) Executions() map[string]Execution {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	m := make(map[string]Execution, len(a.runs))
-	for k, e := range a.runs {
+	m := make(map[string]Execution, len(a.byKey))
+	for k, e := range a.byKey {
 		m[k] = *e
 	}
 	return m
@@ -69,17 +69,17 @@
 	writeJSON(w, http.StatusOK, Load{BootID: a.Name, Slots: 64, Capacity: 64})
 }
 
-// run counts one execution.
-func (a *Application) run(key, id string) {
+// recordExecution counts one execution. Requests without an idempotency key aren't counted.
+func (a *Application) recordExecution(key, id string) {
 	if key == "" {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e := a.runs[key]
+	e := a.byKey[key]
 	if e == nil {
 		e = &Execution{Key: key}
-		a.runs[key] = e
+		a.byKey[key] = e
 	}
 	e.Count++
 	e.RequestIDs = append(e.RequestIDs, id)
@@ -88,28 +88,28 @@
 func (a *Application) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(sagewire.HeaderRequestID)
 	key := r.Header.Get(sagewire.HeaderIdempotencyKey)
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	hit := a.faults.Select("serve")
-	if !before(w, r, hit) {
+	faults := a.faults.Select("serve")
+	if !faultsBefore(w, r, faults) {
 		return
 	}
-	if _, ok := find(hit, FaultNotRun); ok {
+	if _, ok := findFault(faults, FaultNotRun); ok {
 		refuseNotRun(w, id)
 		return
 	}
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		a.run(key, id)
+		a.recordExecution(key, id)
 	}
-	after(hit)
-	if _, ok := find(hit, FaultWrongRequestID); ok {
+	faultsAfter(faults)
+	if _, ok := findFault(faults, FaultWrongRequestID); ok {
 		id = "someone-else"
 	}
 	w.Header().Set(sagewire.HeaderRequestID, id)
 	w.Header().Set(sagewire.HeaderBootID, a.Name)
-	if _, ok := find(hit, FaultTruncatedBody); ok {
+	if _, ok := findFault(faults, FaultTruncatedBody); ok {
 		w.Header().Set("Content-Length", strconv.Itoa(1000))
 		_, _ = io.WriteString(w, "{")
 		panic(http.ErrAbortHandler)
@@ -117,7 +117,7 @@
 	writeJSON(w, http.StatusOK, ServiceResponse{Application: a.Name, Key: key, Echo: string(body), Path: r.URL.Path})
 }
 
-// refuseNotRun answers in the only form that a router takes for "not run".
+// refuseNotRun sends the only form of refusal that a router accepts as "not run".
 func refuseNotRun(w http.ResponseWriter, id string) {
 	w.Header().Set(sagewire.HeaderRequestID, id)
 	w.Header().Set(sagewire.HeaderNotRun, "true")
--- a/internal/sagestandin/cache.go
+++ b/internal/sagestandin/cache.go
@@ -8,13 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// block is one cached message: the hash of the conversation up to and with it, and its tokens.
+// block is one cached message: the hash of the conversation up to and including it, and its number of tokens.
 type block struct {
 	hash   uint64
 	tokens int
 }
 
-// blocks cuts a conversation into blocks whose hashes chain, so that equal prefixes share blocks.
+// blocks splits a conversation into blocks. Each hash covers all messages before it, so conversations with a
+// common prefix share the blocks of that prefix.
 func blocks(messages []Message) []block {
 	out := make([]block, 0, len(messages))
 	d := xxhash.New()
@@ -25,42 +26,43 @@
 	return out
 }
 
-// CacheEvent tells that a block entered or left the prefix cache.
+// CacheEvent reports that a block was added to the prefix cache or evicted from it.
 type CacheEvent struct {
 	Seq   int64  `json:"seq"`
 	Added bool   `json:"added"`
 	Block uint64 `json:"block"`
 }
 
-// maxEvents bounds the kept cache events; older ones are gone, which readers see as a gap.
+// maxEvents is how many cache events are retained. Readers see dropped events as a gap in the sequence numbers.
 const maxEvents = 4096
 
-// prefixCache is an LRU of blocks in a limited number of tokens.
+// prefixCache is an LRU cache of blocks, limited to maxTokens tokens.
 type prefixCache struct {
-	limit int
+	maxTokens int
 
-	mu     sync.Mutex
-	used   int
-	order  *list.List
-	byHash map[uint64]*list.Element
-	events []CacheEvent
-	seq    int64
+	mu         sync.Mutex
+	usedTokens int
+	lru        *list.List
+	byHash     map[uint64]*list.Element
+	events     []CacheEvent
+	seq        int64
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), byHash: make(map[uint64]*list.Element)}
+	return &prefixCache{maxTokens: limit, lru: list.New(), byHash: make(map[uint64]*list.Element)}
 }
 
-// admit returns how many tokens of the longest cached prefix of bs were held, and caches all of bs.
-func (c *prefixCache) admit(bs []block) (cached, total int) {
+// admit adds all blocks of a conversation. It returns the number of tokens in the longest prefix that was
+// already cached, and the total number of tokens.
+func (c *prefixCache) admit(conversation []block) (cached, total int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prefix := true
-	for _, b := range bs {
+	for _, b := range conversation {
 		total += b.tokens
 		e, ok := c.byHash[b.hash]
 		if ok {
-			c.order.MoveToFront(e)
+			c.lru.MoveToFront(e)
 		}
 		prefix = prefix && ok
 		if prefix {
@@ -73,21 +75,22 @@
 	return cached, total
 }
 
-// add caches one block and evicts the least recently used beyond the limit; mu is held.
+// add adds one block and evicts the least recently used blocks until the cache is within its limit. The caller
+// must hold mu.
 func (c *prefixCache) add(b block) {
-	c.byHash[b.hash] = c.order.PushFront(b)
-	c.used += b.tokens
-	c.note(b.hash, true)
-	for c.used > c.limit && c.order.Len() > 0 {
-		last := c.order.Back()
-		old, _ := c.order.Remove(last).(block)
+	c.byHash[b.hash] = c.lru.PushFront(b)
+	c.usedTokens += b.tokens
+	c.recordEvent(b.hash, true)
+	for c.usedTokens > c.maxTokens && c.lru.Len() > 0 {
+		last := c.lru.Back()
+		old, _ := c.lru.Remove(last).(block)
 		delete(c.byHash, old.hash)
-		c.used -= old.tokens
-		c.note(old.hash, false)
+		c.usedTokens -= old.tokens
+		c.recordEvent(old.hash, false)
 	}
 }
 
-func (c *prefixCache) note(hash uint64, added bool) {
+func (c *prefixCache) recordEvent(hash uint64, added bool) {
 	c.seq++
 	c.events = append(c.events, CacheEvent{Seq: c.seq, Added: added, Block: hash})
 	if len(c.events) > maxEvents {
@@ -95,13 +98,13 @@
 	}
 }
 
-// since returns the events after seq that are at least late events old.
-func (c *prefixCache) since(seq int64, late int) []CacheEvent {
+// since returns the retained events with sequence numbers greater than seq, without the newest lag events.
+func (c *prefixCache) since(seq int64, lag int) []CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []CacheEvent{}
 	for i, e := range c.events {
-		if e.Seq > seq && i < len(c.events)-late {
+		if e.Seq > seq && i < len(c.events)-lag {
 			out = append(out, e)
 		}
 	}
--- a/internal/sagestandin/doc.go
+++ b/internal/sagestandin/doc.go
@@ -1,9 +1,9 @@
-// Package sagestandin holds small stand-ins for what stands outside the system: the platform
-// (Object API, VM list, weight store), a model engine and an application service.
+// Package sagestandin provides small stand-ins for external systems: the platform (Object API, VM list and
+// weight store), a model engine and an application service.
 //
-// They speak the protocols of docs/design/overview.md over HTTP, behave as the real ones are known
-// to behave (late reports, cold starts, limited caches), and break on request: POST
-// /standin/faults replaces the list of faults in force, see [Fault].
+// They serve the protocols of docs/design/overview.md over HTTP and imitate the behaviour of the real systems,
+// such as late reports, cold starts and limited caches. They can inject faults: POST /standin/faults replaces
+// the active faults, see [Fault].
 //
 // # Usage
 //
--- a/internal/sagestandin/engine.go
+++ b/internal/sagestandin/engine.go
@@ -14,7 +14,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Load is an engine's report of its load, as it was at AsOf.
+// Load is an engine's load report. AsOf is the time at which it was taken.
 type Load struct {
 	BootID          string    `json:"boot_id"`
 	InFlight        int       `json:"in_flight"`
@@ -25,25 +25,25 @@
 	AsOf            time.Time `json:"as_of"`
 }
 
-// Engine is a stand-in for a model engine. Its exported fields are set before Handler is called.
+// Engine is a stand-in for a model engine. Its exported fields must be set before Handler is called.
 type Engine struct {
 	Name string
-	// Slots is how many requests it batches at once when warm.
+	// Slots is the number of requests that a warm engine runs concurrently.
 	Slots int
-	// CacheTokens is the memory of its prefix cache, in tokens.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int
 	// TokenMicros is the time between two tokens, in microseconds.
 	TokenMicros int
-	// PromptMicros is the time that one uncached prompt token costs, in microseconds.
+	// PromptMicros is the time to process one uncached prompt token, in microseconds.
 	PromptMicros int
-	// ColdCompletions is how many completed requests it takes to bear one more request in flight
-	// after a start; 0 means that it starts warm.
+	// ColdCompletions is the number of completed requests after which a cold engine can take one more request
+	// in flight. 0 means that the engine starts warm.
 	ColdCompletions int
-	// ReportLagMillis is how old its load reports are.
+	// ReportLagMillis is the age of the engine's load reports.
 	ReportLagMillis int
-	// EventLag is how many of the newest cache events it holds back.
+	// EventLag is the number of newest cache events that aren't reported yet.
 	EventLag int
-	// ChecksFencing says that it refuses orders with an old fencing number.
+	// ChecksFencing makes the engine refuse orders with an outdated fencing number.
 	ChecksFencing bool
 
 	faults  Faults
@@ -63,7 +63,7 @@
 	overloads int64
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the engine's HTTP handler.
 func (e *Engine) Handler() http.Handler {
 	e.restart()
 	mux := http.NewServeMux()
@@ -75,12 +75,12 @@
 	mux.HandleFunc("GET /v1/kv/{chat}", e.exportKV)
 	mux.HandleFunc("PUT /v1/kv/{chat}", e.importKV)
 	mux.HandleFunc("POST /v1/orders", e.order)
-	mux.HandleFunc("GET /standin/engine", e.show)
+	mux.HandleFunc("GET /standin/engine", e.serveState)
 	mux.Handle("POST /standin/faults", &e.faults)
 	return mux
 }
 
-// restart loses all memory, as a crash does.
+// restart discards all state in memory, as a crash does.
 func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,66 +88,66 @@
 	e.cache = newPrefixCache(e.CacheTokens)
 	e.cacheGen++
 	e.inFlight, e.completed, e.reports = 0, 0, nil
-	e.waiting.refuseAll()
-	e.streams.dropAll()
+	e.waiting.rejectAll()
+	e.streams.cancelAll()
 }
 
-// bears returns how many requests in flight it can bear now; mu is held.
-func (e *Engine) bears() int {
+// capacity returns how many requests in flight the engine can take now. The caller must hold mu.
+func (e *Engine) capacity() int {
 	if e.ColdCompletions <= 0 {
 		return e.Slots
 	}
 	return min(e.Slots, 1+int(e.completed)/e.ColdCompletions)
 }
 
-// start takes a slot for a request that has one. An engine pushed above what it bears while it is
-// cold falls over.
-func (e *Engine) start() (ok bool) {
+// acquireSlot counts a request as in flight. A cold engine that is loaded beyond its capacity crashes;
+// acquireSlot then restarts it and returns false.
+func (e *Engine) acquireSlot() (ok bool) {
 	e.mu.Lock()
 	e.inFlight++
 	e.peak = max(e.peak, e.inFlight)
-	cold := e.bears() < e.Slots
-	fall := cold && e.inFlight > e.bears()
-	if fall {
+	cold := e.capacity() < e.Slots
+	overloaded := cold && e.inFlight > e.capacity()
+	if overloaded {
 		e.overloads++
 	}
 	e.mu.Unlock()
-	if fall {
+	if overloaded {
 		e.restart()
 	}
-	return !fall
+	return !overloaded
 }
 
-// finish gives a slot back unless the engine restarted since.
-func (e *Engine) finish(boot string, done bool) {
+// releaseSlot releases the slot of a request, unless the engine has restarted since the request began.
+func (e *Engine) releaseSlot(boot string, completed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if boot != e.bootID {
 		return
 	}
 	e.inFlight--
-	if done {
+	if completed {
 		e.completed++
 	}
-	e.waiting.next()
+	e.waiting.wakeNext()
 }
 
-// enter waits for a slot by priority; false means refused without running.
-func (e *Engine) enter(r *http.Request, p sagewire.Priority) (boot string, ok bool) {
+// waitForSlot waits for a slot, in order of priority. It returns false if the request can't run.
+func (e *Engine) waitForSlot(r *http.Request, p sagewire.Priority) (boot string, ok bool) {
 	e.mu.Lock()
 	boot = e.bootID
 	if e.inFlight < e.Slots {
 		e.mu.Unlock()
-		return boot, e.start()
+		return boot, e.acquireSlot()
 	}
-	turn := e.waiting.add(p)
+	granted := e.waiting.add(p)
 	e.mu.Unlock()
-	if turn == nil {
+	if granted == nil {
 		return boot, false
 	}
 	select {
-	case ok := <-turn:
-		return boot, ok && e.start()
+	case ok := <-granted:
+		return boot, ok && e.acquireSlot()
 	case <-r.Context().Done():
 		return boot, false
 	}
@@ -155,12 +155,12 @@
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(sagewire.HeaderRequestID)
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
-	c := new(ChatRequest)
-	if err := json.Unmarshal(body, c); err != nil {
+	req := new(ChatRequest)
+	if err := json.Unmarshal(body, req); err != nil {
 		http.Error(w, "decode chat: "+err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -169,19 +169,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	hit := e.faults.Select("chat")
-	if _, ok := find(hit, FaultRestart); ok {
+	faults := e.faults.Select("chat")
+	if _, ok := findFault(faults, FaultRestart); ok {
 		e.restart()
 		panic(http.ErrAbortHandler)
 	}
-	if !before(w, r, hit) {
+	if !faultsBefore(w, r, faults) {
 		return
 	}
-	if _, ok := find(hit, FaultNotRun); ok {
+	if _, ok := findFault(faults, FaultNotRun); ok {
 		refuseNotRun(w, id)
 		return
 	}
-	boot, ok := e.enter(r, p)
+	boot, ok := e.waitForSlot(r, p)
 	if !ok {
 		refuseNotRun(w, id)
 		return
@@ -189,49 +189,49 @@
 	e.mu.Lock()
 	cache := e.cache
 	e.mu.Unlock()
-	bs := blocks(c.Messages)
-	cached, prompt := cache.admit(bs)
+	conversation := blocks(req.Messages)
+	cached, prompt := cache.admit(conversation)
 	if chat := r.Header.Get(sagewire.HeaderChat); chat != "" {
-		e.chats.set(chat, bs)
+		e.chats.set(chat, conversation)
 	}
-	s := &stream{id: id, boot: boot, model: c.Model, tokens: ResponseTokens(c), usage: Usage{PromptTokens: prompt, CachedTokens: cached}}
+	s := &stream{id: id, boot: boot, model: req.Model, tokens: ResponseTokens(req), usage: Usage{PromptTokens: prompt, CachedTokens: cached}}
 	e.streams.add(s)
 	go e.generate(s)
-	after(hit)
+	faultsAfter(faults)
 	h := w.Header()
-	if _, ok := find(hit, FaultWrongRequestID); ok {
+	if _, ok := findFault(faults, FaultWrongRequestID); ok {
 		id = "someone-else"
 	}
 	h.Set(sagewire.HeaderRequestID, id)
 	h.Set(sagewire.HeaderBootID, boot)
 	h.Set(sagewire.HeaderPromptTokens, strconv.Itoa(prompt))
 	h.Set(sagewire.HeaderCachedTokens, strconv.Itoa(cached))
-	if c.Stream {
-		cut, isCut := find(hit, FaultTruncatedStream)
-		if !isCut {
-			cut.AfterEvents = -1
+	if req.Stream {
+		truncation, truncated := findFault(faults, FaultTruncatedStream)
+		if !truncated {
+			truncation.AfterEvents = -1
 		}
-		e.serveStream(w, r, s, 0, cut.AfterEvents)
+		e.serveStream(w, r, s, 0, truncation.AfterEvents)
 		return
 	}
-	e.serveWhole(w, r, s, hit)
+	e.serveComplete(w, r, s, faults)
 }
 
-// generate produces the tokens of a stream at the engine's pace, whether or not anybody reads.
+// generate produces the tokens of a stream at the engine's speed, whether or not a client reads them.
 func (e *Engine) generate(s *stream) {
-	wait := time.Duration((s.usage.PromptTokens-s.usage.CachedTokens)*e.PromptMicros) * time.Microsecond
-	time.Sleep(wait)
+	prefill := time.Duration((s.usage.PromptTokens-s.usage.CachedTokens)*e.PromptMicros) * time.Microsecond
+	time.Sleep(prefill)
 	for range s.tokens {
 		time.Sleep(time.Duration(e.TokenMicros) * time.Microsecond)
 		if !s.advance() {
 			break
 		}
 	}
-	e.finish(s.boot, s.done())
-	time.AfterFunc(streamHold, func() { e.streams.remove(s) })
+	e.releaseSlot(s.boot, s.done())
+	time.AfterFunc(streamRetention, func() { e.streams.remove(s) })
 }
 
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, s *stream, hit []Fault) {
+func (e *Engine) serveComplete(w http.ResponseWriter, r *http.Request, s *stream, faults []Fault) {
 	if !s.wait(r.Context(), len(s.tokens)) {
 		panic(http.ErrAbortHandler)
 	}
@@ -251,22 +251,22 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	if _, ok := find(hit, FaultTruncatedBody); ok {
+	if _, ok := findFault(faults, FaultTruncatedBody); ok {
 		_, _ = w.Write(b[:len(b)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write(b)
 }
 
-// load answers with the newest report that is old enough.
+// load responds with the newest report that is at least ReportLagMillis old, or with the oldest one retained.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
-	if !before(w, r, e.faults.Select("load")) {
+	if !faultsBefore(w, r, e.faults.Select("load")) {
 		return
 	}
 	now := time.Now()
 	e.mu.Lock()
-	rep := Load{BootID: e.bootID, InFlight: e.inFlight, Slots: e.Slots, Capacity: e.bears(), CacheGeneration: e.cacheGen, Completed: e.completed, AsOf: now}
-	e.reports = append(e.reports, rep)
+	report := Load{BootID: e.bootID, InFlight: e.inFlight, Slots: e.Slots, Capacity: e.capacity(), CacheGeneration: e.cacheGen, Completed: e.completed, AsOf: now}
+	e.reports = append(e.reports, report)
 	oldest := now.Add(-time.Duration(e.ReportLagMillis) * time.Millisecond)
 	for len(e.reports) > 1 && !e.reports[1].AsOf.After(oldest) {
 		e.reports = e.reports[1:]
@@ -277,17 +277,17 @@
 }
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	n, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
+	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		n = 0
+		after = 0
 	}
 	e.mu.Lock()
 	c := e.cache
 	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, c.since(n, e.EventLag))
+	writeJSON(w, http.StatusOK, c.since(after, e.EventLag))
 }
 
-// EngineState is what GET /standin/engine shows, without lag.
+// EngineState is the response to GET /standin/engine. Unlike load reports, it is always current.
 type EngineState struct {
 	Name      string `json:"name"`
 	BootID    string `json:"boot_id"`
@@ -298,14 +298,14 @@
 	Overloads int64  `json:"overloads"`
 }
 
-// State returns the engine's true state.
+// State returns the engine's current state.
 func (e *Engine) State() EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EngineState{Name: e.Name, BootID: e.bootID, InFlight: e.inFlight, Peak: e.peak, Capacity: e.bears(), Completed: e.completed, Overloads: e.overloads}
+	return EngineState{Name: e.Name, BootID: e.bootID, InFlight: e.inFlight, Peak: e.peak, Capacity: e.capacity(), Completed: e.completed, Overloads: e.overloads}
 }
 
-func (e *Engine) show(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, e.State())
 }
 
--- a/internal/sagestandin/faults.go
+++ b/internal/sagestandin/faults.go
@@ -11,42 +11,42 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidFault reports a fault that no stand-in can act out.
+// ErrInvalidFault reports a fault that stand-ins can't inject.
 var ErrInvalidFault = errors.New("malformed fault")
 
-// FaultKind says how an operation breaks.
+// FaultKind is the way in which an operation fails.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// FaultOutage refuses with status 503 before any effect.
+	// FaultOutage responds with status 503 before any effect.
 	FaultOutage FaultKind = "outage"
-	// FaultNotRun refuses in the form that says "not run".
+	// FaultNotRun refuses the request in the form that means "not run".
 	FaultNotRun FaultKind = "not_run"
-	// FaultDrop cuts the connection before any effect.
+	// FaultDrop closes the connection before any effect.
 	FaultDrop FaultKind = "drop"
-	// FaultLostAnswer cuts the connection after the effect.
+	// FaultLostAnswer closes the connection after the effect.
 	FaultLostAnswer FaultKind = "lost_answer"
 	// FaultDelay waits DelayMillis before the operation.
 	FaultDelay FaultKind = "delay"
-	// FaultWrongRequestID answers with another request's id.
+	// FaultWrongRequestID responds with the ID of another request.
 	FaultWrongRequestID FaultKind = "crossed"
-	// FaultTruncatedStream cuts a stream after After events.
+	// FaultTruncatedStream closes the connection after AfterEvents events of a stream.
 	FaultTruncatedStream FaultKind = "cut"
-	// FaultTruncatedBody ends a plain answer before its announced length.
+	// FaultTruncatedBody closes the connection before Content-Length bytes of an unstreamed response were sent.
 	FaultTruncatedBody FaultKind = "short"
-	// FaultRestart loses all memory and starts anew, as after a crash.
+	// FaultRestart discards all state in memory, as a crash does.
 	FaultRestart FaultKind = "restart"
 )
 
-// Fault is one way in which a stand-in breaks.
+// Fault is a fault that a stand-in injects into its operations.
 type Fault struct {
-	// Op names the operation that breaks, "" all of them.
+	// Op is the operation that fails. The empty string means all operations.
 	Op   string    `json:"op,omitempty"`
 	Kind FaultKind `json:"kind"`
-	// Rate is the probability for each operation, 0 meaning 1.
+	// Rate is the probability that an operation fails. 0 means 1.
 	Rate float64 `json:"rate,omitempty"`
-	// Count bounds how often the fault strikes, 0 meaning always.
+	// Count is the maximum number of operations that fail. 0 means no limit.
 	Count       int `json:"count,omitempty"`
 	AfterEvents int `json:"after,omitempty"`
 	DelayMillis int `json:"delay_millis,omitempty"`
@@ -65,21 +65,21 @@
 	return nil
 }
 
-// FaultPlan is the body of POST /standin/faults: it replaces the faults in force.
+// FaultPlan is the body of POST /standin/faults. It replaces the active faults.
 type FaultPlan struct {
 	Seed   int64   `json:"seed"`
 	Faults []Fault `json:"faults"`
 }
 
-// Faults is the set of faults in force. The zero value has none.
+// Faults is the set of active faults. The zero value is an empty set.
 type Faults struct {
-	mu   sync.Mutex
-	rng  *rand.Rand
-	plan []Fault
-	left []int
+	mu        sync.Mutex
+	rng       *rand.Rand
+	plan      []Fault
+	remaining []int
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults.
 func (f *Faults) Set(p FaultPlan) error {
 	for i := range p.Faults {
 		if err := p.Faults[i].Check(); err != nil {
@@ -90,39 +90,39 @@
 	defer f.mu.Unlock()
 	f.rng = rand.New(rand.NewSource(p.Seed))
 	f.plan = p.Faults
-	f.left = make([]int, len(p.Faults))
+	f.remaining = make([]int, len(p.Faults))
 	for i := range p.Faults {
-		f.left[i] = p.Faults[i].Count
+		f.remaining[i] = p.Faults[i].Count
 	}
 	return nil
 }
 
-// Strike returns the faults that hit this one operation.
+// Select draws the faults to inject into one call of an operation.
 func (f *Faults) Select(op string) []Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var hit []Fault
+	var selected []Fault
 	for i, p := range f.plan {
 		if p.Op != "" && p.Op != op {
 			continue
 		}
-		if p.Count > 0 && f.left[i] == 0 {
+		if p.Count > 0 && f.remaining[i] == 0 {
 			continue
 		}
 		if p.Rate > 0 && f.rng.Float64() >= p.Rate {
 			continue
 		}
 		if p.Count > 0 {
-			f.left[i]--
+			f.remaining[i]--
 		}
-		hit = append(hit, p)
+		selected = append(selected, p)
 	}
-	return hit
+	return selected
 }
 
-// find returns the fault of that kind among hit.
-func find(hit []Fault, kind FaultKind) (Fault, bool) {
-	for _, f := range hit {
+// findFault returns the first fault of the given kind.
+func findFault(faults []Fault, kind FaultKind) (Fault, bool) {
+	for _, f := range faults {
 		if f.Kind == kind {
 			return f, true
 		}
@@ -130,34 +130,35 @@
 	return Fault{}, false
 }
 
-// before acts out the faults that strike ahead of the effect. It reports whether the operation
-// goes on; if not, the answer is written or the connection is to be cut by its panic.
-func before(w http.ResponseWriter, r *http.Request, hit []Fault) bool {
-	if d, ok := find(hit, FaultDelay); ok {
+// faultsBefore injects the faults that precede the effect of an operation. It returns false if the operation
+// must not continue, after a response was sent or the client left. For a dropped connection it panics with
+// [http.ErrAbortHandler].
+func faultsBefore(w http.ResponseWriter, r *http.Request, faults []Fault) bool {
+	if delay, ok := findFault(faults, FaultDelay); ok {
 		select {
-		case <-time.After(time.Duration(d.DelayMillis) * time.Millisecond):
+		case <-time.After(time.Duration(delay.DelayMillis) * time.Millisecond):
 		case <-r.Context().Done():
 			return false
 		}
 	}
-	if _, ok := find(hit, FaultDrop); ok {
+	if _, ok := findFault(faults, FaultDrop); ok {
 		panic(http.ErrAbortHandler)
 	}
-	if _, ok := find(hit, FaultOutage); ok {
+	if _, ok := findFault(faults, FaultOutage); ok {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
 }
 
-// after acts out a lost answer.
-func after(hit []Fault) {
-	if _, ok := find(hit, FaultLostAnswer); ok {
+// faultsAfter closes the connection after the effect of an operation, if a fault says so.
+func faultsAfter(faults []Fault) {
+	if _, ok := findFault(faults, FaultLostAnswer); ok {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// ServeHTTP replaces the faults in force by the posted plan.
+// ServeHTTP replaces the active faults with the plan in the request body.
 func (f *Faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var p FaultPlan
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<16))
@@ -173,7 +174,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// writeJSON answers with v; a failing connection is the caller's to notice.
+// writeJSON sends v. It ignores write errors because the client sees the failed connection itself.
 func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
--- a/internal/sagestandin/kv.go
+++ b/internal/sagestandin/kv.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// KVBlock is one exported block of KV cache.
+// KVBlock is one exported block of the KV cache.
 type KVBlock struct {
 	Hash   uint64 `json:"hash"`
 	Tokens int    `json:"tokens"`
 }
 
-// chatBlocks remembers which blocks belong to a chat, so that they can be exported.
+// chatBlocks stores the blocks of each chat for export.
 type chatBlocks struct {
 	mu     sync.Mutex
 	byChat map[string][]block
@@ -48,7 +48,7 @@
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
 	var in []KVBlock
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&in); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&in); err != nil {
 		http.Error(w, "decode blocks: "+err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/internal/sagestandin/orders.go
+++ b/internal/sagestandin/orders.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Order is the wanted state of an engine with the fencing number of who asks for it.
+// Order is the target state of an engine, with the fencing number of the controller that issued it.
 type Order struct {
 	Fencing int64    `json:"fencing"`
 	Models  []string `json:"models,omitempty"`
@@ -14,15 +14,15 @@
 	Drain   bool     `json:"drain,omitempty"`
 }
 
-// orders keeps the newest order and every fencing number seen, for tests to look at.
+// orders holds the current order and, for tests, the fencing numbers of all accepted orders.
 type orders struct {
-	mu      sync.Mutex
-	current Order
-	log     []int64
+	mu         sync.Mutex
+	current    Order
+	fencingLog []int64
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	if !before(w, r, e.faults.Select("order")) {
+	if !faultsBefore(w, r, e.faults.Select("order")) {
 		return
 	}
 	var o Order
@@ -37,13 +37,13 @@
 		return
 	}
 	e.orders.current = o
-	e.orders.log = append(e.orders.log, o.Fencing)
+	e.orders.fencingLog = append(e.orders.fencingLog, o.Fencing)
 	writeJSON(w, http.StatusOK, o)
 }
 
-// CurrentOrder returns the order in force and the fencing numbers in the order of their arrival.
+// CurrentOrder returns the current order and the fencing numbers of all accepted orders, in order of arrival.
 func (e *Engine) CurrentOrder() (Order, []int64) {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	return e.orders.current, append([]int64(nil), e.orders.log...)
+	return e.orders.current, append([]int64(nil), e.orders.fencingLog...)
 }
--- a/internal/sagestandin/platform.go
+++ b/internal/sagestandin/platform.go
@@ -21,81 +21,81 @@
 	Leaving    bool   `json:"leaving,omitempty"`
 }
 
-// Platform is a stand-in for the platform's Object API, VM list and weight store. Its exported
-// fields are set before Handler is called; zero rates mean no limit.
+// Platform is a stand-in for the platform's Object API, VM list and weight store. Its exported fields must be
+// set before Handler is called. A rate of zero means no limit.
 type Platform struct {
-	// ReadsPerSecond and WritesPerSecond bound the Object API; beyond them it answers 429.
+	// ReadsPerSecond and WritesPerSecond limit the Object API, which responds with status 429 beyond them.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// WeightsPerSecond bounds the weight store.
+	// WeightsPerSecond limits the weight store.
 	WeightsPerSecond float64
-	// ListLagMillis is how late a change of the VM list shows.
+	// ListLagMillis is the delay until a change of the VM list becomes visible.
 	ListLagMillis int
 
 	store  sageobject.Memory
 	faults Faults
 
-	mu     sync.Mutex
-	vms    []VM
-	oldVMs []VM
-	seenAt time.Time
-	calls  map[string]int64
+	mu        sync.Mutex
+	vms       []VM
+	oldVMs    []VM
+	changedAt time.Time
+	calls     map[string]int64
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the platform's HTTP handler.
 func (p *Platform) Handler() http.Handler {
 	p.calls = make(map[string]int64)
 	mux := http.NewServeMux()
-	reads, writes := limiter(p.ReadsPerSecond), limiter(p.WritesPerSecond)
+	reads, writes := newLimiter(p.ReadsPerSecond), newLimiter(p.WritesPerSecond)
 	mux.HandleFunc("GET /v1/objects/{key...}", p.limited("get", reads, p.get))
 	mux.HandleFunc("PUT /v1/objects/{key...}", p.limited("put", writes, p.put))
 	mux.HandleFunc("DELETE /v1/objects/{key...}", p.limited("delete", writes, p.remove))
 	mux.HandleFunc("GET /v1/list", p.limited("list", reads, p.list))
 	mux.HandleFunc("GET /v1/vms", p.limited("vms", reads, p.listVMs))
-	mux.HandleFunc("GET /v1/weights/{name}", p.limited("weights", limiter(p.WeightsPerSecond), p.weights))
+	mux.HandleFunc("GET /v1/weights/{name}", p.limited("weights", newLimiter(p.WeightsPerSecond), p.weights))
 	mux.Handle("POST /standin/faults", &p.faults)
 	mux.HandleFunc("PUT /standin/vms", p.setVMs)
-	mux.HandleFunc("GET /standin/calls", p.showCalls)
+	mux.HandleFunc("GET /standin/calls", p.serveCalls)
 	return mux
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
-// limited wraps an operation with its rate limit, its faults and its count of calls.
-func (p *Platform) limited(op string, lim *rate.Limiter, f http.HandlerFunc) http.HandlerFunc {
+// limited wraps the handler of an operation: it counts calls, applies the rate limit and injects faults.
+func (p *Platform) limited(op string, limiter *rate.Limiter, f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		p.calls[op]++
 		p.mu.Unlock()
-		if !lim.Allow() {
+		if !limiter.Allow() {
 			http.Error(w, "rate limit", http.StatusTooManyRequests)
 			return
 		}
-		hit := p.faults.Select(op)
-		if !before(w, r, hit) {
+		faults := p.faults.Select(op)
+		if !faultsBefore(w, r, faults) {
 			return
 		}
-		if _, ok := find(hit, FaultLostAnswer); ok {
-			f(discard{header: make(http.Header)}, r)
-			after(hit)
+		if _, ok := findFault(faults, FaultLostAnswer); ok {
+			f(discardWriter{header: make(http.Header)}, r)
+			faultsAfter(faults)
 		}
 		f(w, r)
 	}
 }
 
-// discard takes an answer that nobody will see.
-type discard struct{ header http.Header }
+// discardWriter is an [http.ResponseWriter] that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
-func storeStatus(err error) int {
+func statusOf(err error) int {
 	switch {
 	case errors.Is(err, sageobject.ErrNotFound):
 		return http.StatusNotFound
@@ -120,14 +120,14 @@
 	}
 	o, err := p.store.Get(r.Context(), key)
 	if err != nil {
-		http.Error(w, err.Error(), storeStatus(err))
+		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
 	writeObject(w, o)
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request, key string) {
-	n, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
+	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		http.Error(w, "after: not a number", http.StatusBadRequest)
 		return
@@ -139,19 +139,19 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), until)
 	defer cancel()
-	o, err := p.store.Watch(ctx, key, n)
+	o, err := p.store.Watch(ctx, key, after)
 	if err != nil {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	if _, out := find(p.faults.Select("watch"), FaultOutage); out {
+	if _, outage := findFault(p.faults.Select("watch"), FaultOutage); outage {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
 	}
 	writeObject(w, o)
 }
 
-// wantVersion reads the expected version of a conditional write.
+// wantVersion returns the expected version of a conditional write.
 func wantVersion(r *http.Request) (int64, error) {
 	s := r.Header.Get(sageobject.HeaderIfVersion)
 	if s == "" {
@@ -161,7 +161,7 @@
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	want, err := wantVersion(r)
+	expected, err := wantVersion(r)
 	if err != nil {
 		http.Error(w, "expected version: not a number", http.StatusBadRequest)
 		return
@@ -171,29 +171,29 @@
 		http.Error(w, "read body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	v, err := p.store.Put(r.Context(), r.PathValue("key"), b, want)
+	v, err := p.store.Put(r.Context(), r.PathValue("key"), b, expected)
 	if err != nil {
-		http.Error(w, err.Error(), storeStatus(err))
+		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
 	w.Header().Set(sageobject.HeaderVersion, strconv.FormatInt(v, 10))
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
-	want, err := wantVersion(r)
+	expected, err := wantVersion(r)
 	if err != nil {
 		http.Error(w, "expected version: not a number", http.StatusBadRequest)
 		return
 	}
-	if err := p.store.Delete(r.Context(), r.PathValue("key"), want); err != nil {
-		http.Error(w, err.Error(), storeStatus(err))
+	if err := p.store.Delete(r.Context(), r.PathValue("key"), expected); err != nil {
+		http.Error(w, err.Error(), statusOf(err))
 	}
 }
 
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	metas, err := p.store.List(r.Context(), r.URL.Query().Get("prefix"))
 	if err != nil {
-		http.Error(w, err.Error(), storeStatus(err))
+		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
 	if metas == nil {
@@ -206,7 +206,7 @@
 	writeJSON(w, http.StatusOK, map[string]string{"weights": r.PathValue("name")})
 }
 
-func (p *Platform) showCalls(w http.ResponseWriter, _ *http.Request) {
+func (p *Platform) serveCalls(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	c := make(map[string]int64, len(p.calls))
 	for op, n := range p.calls {
--- a/internal/sagestandin/stream.go
+++ b/internal/sagestandin/stream.go
@@ -12,10 +12,10 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// streamHold is how long a finished stream can still be resumed.
-const streamHold = 30 * time.Second
+// streamRetention is how long a finished stream can still be resumed.
+const streamRetention = 30 * time.Second
 
-// stream is the generation of one answer.
+// stream is the generation of one response.
 type stream struct {
 	id     string
 	boot   string
@@ -29,7 +29,7 @@
 	changed  chan struct{}
 }
 
-// advance makes one more token readable; it reports false for a canceled stream.
+// advance makes one more token available to readers. It returns false if the stream is canceled.
 func (s *stream) advance() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,12 +37,12 @@
 		return false
 	}
 	s.ready++
-	s.wake()
+	s.notifyReaders()
 	return true
 }
 
-// wake releases the readers; mu is held.
-func (s *stream) wake() {
+// notifyReaders wakes all readers that wait for tokens. The caller must hold mu.
+func (s *stream) notifyReaders() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.canceled = true
-	s.wake()
+	s.notifyReaders()
 }
 
 func (s *stream) done() bool {
@@ -62,7 +62,7 @@
 	return s.ready == len(s.tokens)
 }
 
-// wait blocks until n tokens are readable; false means that they never will be.
+// wait blocks until n tokens are available. It returns false if the stream is canceled or ctx ends first.
 func (s *stream) wait(ctx context.Context, n int) bool {
 	for {
 		s.mu.Lock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// streams finds streams by request id.
+// streams holds streams by request ID.
 type streams struct {
 	mu   sync.Mutex
 	byID map[string]*stream
@@ -116,7 +116,7 @@
 	}
 }
 
-func (l *streams) dropAll() {
+func (l *streams) cancelAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.byID {
@@ -125,15 +125,16 @@
 	l.byID = nil
 }
 
-// serveStream writes the events after position from; it cuts the connection after cut events.
-func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, from, cut int) {
+// serveStream sends the events of a stream from index from on. It closes the connection after cutAfter events;
+// a negative cutAfter means never.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, from, cutAfter int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for i := from; i < len(s.tokens); i++ {
 		if !s.wait(r.Context(), i+1) {
 			panic(http.ErrAbortHandler)
 		}
-		if cut >= 0 && i-from >= cut {
+		if cutAfter >= 0 && i-from >= cutAfter {
 			panic(http.ErrAbortHandler)
 		}
 		b, err := json.Marshal(ChatResponse{ID: s.id, Object: "chat.completion.chunk", Model: s.model, Choices: []Choice{{Delta: &Message{Role: "assistant", Content: s.tokens[i]}}}, Usage: s.usage})
@@ -149,8 +150,8 @@
 }
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
-	hit := e.faults.Select("resume")
-	if !before(w, r, hit) {
+	faults := e.faults.Select("resume")
+	if !faultsBefore(w, r, faults) {
 		return
 	}
 	s := e.streams.find(r.PathValue("id"))
@@ -158,18 +159,18 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	n, err := strconv.Atoi(r.URL.Query().Get("after"))
-	if err != nil || n < 0 || n > len(s.tokens) {
+	after, err := strconv.Atoi(r.URL.Query().Get("after"))
+	if err != nil || after < 0 || after > len(s.tokens) {
 		http.Error(w, "after: not a position", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set(sagewire.HeaderRequestID, s.id)
 	w.Header().Set(sagewire.HeaderBootID, s.boot)
-	cut, isCut := find(hit, FaultTruncatedStream)
-	if !isCut {
-		cut.AfterEvents = -1
+	truncation, truncated := findFault(faults, FaultTruncatedStream)
+	if !truncated {
+		truncation.AfterEvents = -1
 	}
-	e.serveStream(w, r, s, n, cut.AfterEvents)
+	e.serveStream(w, r, s, after, truncation.AfterEvents)
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
--- a/internal/sagestandin/vmlist.go
+++ b/internal/sagestandin/vmlist.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// SetVMs replaces the VM list; readers see the change after the list's lag.
+// SetVMs replaces the VM list. Readers see the change after ListLagMillis.
 func (p *Platform) SetVMs(vms []VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if !now.Before(p.shownAt()) {
+	if !now.Before(p.visibleAt()) {
 		p.oldVMs = p.vms
 	}
-	p.vms, p.seenAt = vms, now
+	p.vms, p.changedAt = vms, now
 }
 
-// shownAt returns when the latest change becomes visible; mu is held.
-func (p *Platform) shownAt() time.Time {
-	return p.seenAt.Add(time.Duration(p.ListLagMillis) * time.Millisecond)
+// visibleAt returns the time at which the latest change becomes visible. The caller must hold mu.
+func (p *Platform) visibleAt() time.Time {
+	return p.changedAt.Add(time.Duration(p.ListLagMillis) * time.Millisecond)
 }
 
 func (p *Platform) setVMs(w http.ResponseWriter, r *http.Request) {
@@ -35,7 +35,7 @@
 func (p *Platform) listVMs(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	vms := p.vms
-	if time.Now().Before(p.shownAt()) {
+	if time.Now().Before(p.visibleAt()) {
 		vms = p.oldVMs
 	}
 	p.mu.Unlock()
--- a/internal/sagestandin/waitlist.go
+++ b/internal/sagestandin/waitlist.go
@@ -2,7 +2,7 @@
 
 import "sagestand.example/sagestand/pkg/sagewire"
 
-// maxWaiting bounds the requests that wait for a slot of an engine.
+// maxWaiting is the maximum number of requests that wait for a slot of an engine.
 const maxWaiting = 64
 
 // waitList holds the requests that wait for a slot, by priority and then by arrival.
@@ -11,19 +11,20 @@
 	n      int
 }
 
-// add returns the channel on which the turn arrives, or nil when too many wait.
+// add returns the channel that receives true when the request gets a slot and false when it is rejected. It
+// returns nil if too many requests wait.
 func (l *waitList) add(p sagewire.Priority) chan bool {
 	if l.n >= maxWaiting {
 		return nil
 	}
-	turn := make(chan bool, 1)
-	l.queues[p] = append(l.queues[p], turn)
+	granted := make(chan bool, 1)
+	l.queues[p] = append(l.queues[p], granted)
 	l.n++
-	return turn
+	return granted
 }
 
-// next gives the turn to the first waiting request of the best priority.
-func (l *waitList) next() {
+// wakeNext gives a slot to the longest waiting request of the highest priority.
+func (l *waitList) wakeNext() {
 	for p := range l.queues {
 		if len(l.queues[p]) > 0 {
 			l.queues[p][0] <- true
@@ -34,10 +35,10 @@
 	}
 }
 
-func (l *waitList) refuseAll() {
+func (l *waitList) rejectAll() {
 	for p := range l.queues {
-		for _, turn := range l.queues[p] {
-			turn <- false
+		for _, granted := range l.queues[p] {
+			granted <- false
 		}
 		l.queues[p] = nil
 	}
