--- a/internal/sagematrix/mutant_test.go
+++ b/internal/sagematrix/mutant_test.go
@@ -17,52 +17,52 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// unclaimed grants every claim.
-type unclaimed struct{ sageentry.Claims }
+// grantAllClaims grants every claim.
+type grantAllClaims struct{ sageentry.Claims }
 
-func (unclaimed) Claim(context.Context, *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
+func (grantAllClaims) Claim(context.Context, *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	return &sageentry.Claim{}, nil, nil
 }
 
-// impatient runs a request whose claim was refused because the store is down.
-type impatient struct{ sageentry.Claims }
+// runWithoutStore runs requests whose claim was refused because the store is unavailable.
+type runWithoutStore struct{ sageentry.Claims }
 
-func (c impatient) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
-	cl, ans, ref := c.Claims.Claim(ctx, r)
-	if ref != nil && ref.Reason == sagewire.ReasonStoreUnavailable {
+func (c runWithoutStore) Claim(ctx context.Context, r *sageentry.Request) (*sageentry.Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
+	claim, resp, refusal := c.Claims.Claim(ctx, r)
+	if refusal != nil && refusal.Reason == sagewire.ReasonStoreUnavailable {
 		return &sageentry.Claim{}, nil, nil
 	}
-	return cl, ans, ref
+	return claim, resp, refusal
 }
 
-// forgetful takes an unknown outcome for "not run" when it records it.
-type forgetful struct{ sageentry.Claims }
+// recordUnknownAsNotRun records an unknown outcome as "not run".
+type recordUnknownAsNotRun struct{ sageentry.Claims }
 
-func (c forgetful) Finish(ctx context.Context, cl *sageentry.Claim, res *sagedispatch.Result) {
+func (c recordUnknownAsNotRun) Finish(ctx context.Context, claim *sageentry.Claim, res *sagedispatch.Result) {
 	out := *res
 	if out.Outcome == sagewire.Unknown {
 		out.Outcome = sagewire.NotRun
 	}
-	c.Claims.Finish(ctx, cl, &out)
+	c.Claims.Finish(ctx, claim, &out)
 }
 
-// silent records no end, as if a finished request's answer weren't kept and a refused claim's key
-// weren't released.
-type silent struct{ sageentry.Claims }
+// discardResults records no results: responses of finished requests aren't stored, and the keys of requests
+// that didn't run aren't released.
+type discardResults struct{ sageentry.Claims }
 
-func (silent) Finish(context.Context, *sageentry.Claim, *sagedispatch.Result) {}
+func (discardResults) Finish(context.Context, *sageentry.Claim, *sagedispatch.Result) {}
 
-// anyVersion makes conditional updates unconditional.
-type anyVersion struct{ sageobject.Store }
+// unconditionalPuts writes without checking the expected version.
+type unconditionalPuts struct{ sageobject.Store }
 
-func (s anyVersion) Put(ctx context.Context, key string, value []byte, _ int64) (int64, error) {
+func (s unconditionalPuts) Put(ctx context.Context, key string, value []byte, _ int64) (int64, error) {
 	return s.Store.Put(ctx, key, value, sageobject.AnyVersion)
 }
 
-// lostIsFailed takes a lost answer for a write that had no effect.
-type lostIsFailed struct{ sageobject.Store }
+// lostAnswerAsFailure reports a write whose response was lost as a write without effect.
+type lostAnswerAsFailure struct{ sageobject.Store }
 
-func (s lostIsFailed) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
+func (s lostAnswerAsFailure) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
 	v, err := s.Store.Put(ctx, key, value, want)
 	if errors.Is(err, sageobject.ErrUnknown) {
 		return 0, sageobject.ErrUnavailable
@@ -70,10 +70,10 @@
 	return v, err
 }
 
-// again sends a request once more when its outcome is unknown.
-type again struct{ sageentry.Dispatch }
+// resendUnknown sends a request a second time if its outcome is unknown.
+type resendUnknown struct{ sageentry.Dispatch }
 
-func (d again) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
+func (d resendUnknown) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
 	res := d.Dispatch.Do(ctx, w, a)
 	if res.Outcome == sagewire.Unknown && !res.ResponseStarted {
 		return d.Dispatch.Do(ctx, w, a)
@@ -81,10 +81,10 @@
 	return res
 }
 
-// falseNotRun tells an unknown outcome as "not run".
-type falseNotRun struct{ sageentry.Dispatch }
+// reportUnknownAsNotRun reports an unknown outcome as "not run".
+type reportUnknownAsNotRun struct{ sageentry.Dispatch }
 
-func (d falseNotRun) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
+func (d reportUnknownAsNotRun) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
 	res := d.Dispatch.Do(ctx, w, a)
 	if res.Outcome == sagewire.Unknown {
 		res.Outcome = sagewire.NotRun
@@ -92,14 +92,14 @@
 	return res
 }
 
-// naive passes on whatever comes: it looks at neither ids nor lengths.
-type naive struct{ d *sagedispatch.Dispatcher }
+// uncheckedDispatch forwards any response without checking its request ID or length.
+type uncheckedDispatch struct{ dispatcher *sagedispatch.Dispatcher }
 
-func (n naive) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
+func (n uncheckedDispatch) Do(ctx context.Context, w http.ResponseWriter, a *sagedispatch.Attempt) sagedispatch.Result {
 	ctx, cancel := context.WithDeadline(ctx, a.Deadline)
 	defer cancel()
 	tr := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return n.d.Dial(ctx, network, addr)
+		return n.dispatcher.Dial(ctx, network, addr)
 	}}
 	req, err := http.NewRequestWithContext(ctx, a.Method, "http://"+a.Address+a.Path, strings.NewReader(string(a.Body)))
 	if err != nil {
@@ -118,57 +118,58 @@
 	return sagedispatch.Result{Outcome: sagewire.Complete, ResponseStarted: true, Status: res.StatusCode}
 }
 
-// TestGuardsAreNeeded switches off one guard after another and names a cell that fails without it.
+// Each guard is needed: for each there is a cell that passes with the guard and fails without it.
 func TestGuardsAreNeeded(t *testing.T) {
 	claims := func(f func(sageentry.Claims) sageentry.Claims) mutant { return mutant{claims: f} }
 	store := func(f func(sageobject.Store) sageobject.Store) mutant { return mutant{store: f} }
 	dispatch := func(f func(sageentry.Dispatch) sageentry.Dispatch) mutant { return mutant{dispatch: f} }
-	blind := dispatch(func(d sageentry.Dispatch) sageentry.Dispatch {
-		real, _ := d.(*sagedispatch.Dispatcher)
-		return naive{real}
+	unchecked := dispatch(func(d sageentry.Dispatch) sageentry.Dispatch {
+		dispatcher, _ := d.(*sagedispatch.Dispatcher)
+		return uncheckedDispatch{dispatcher}
 	})
 	for _, tt := range []struct {
 		guard  string
-		m      mutant
+		mutant mutant
 		at     step
 		faults []string
 		want   string
 	}{
-		{"a claim before each run", claims(func(c sageentry.Claims) sageentry.Claims { return unclaimed{c} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
-		{"a claim before each run, duplicate", claims(func(c sageentry.Claims) sageentry.Claims { return unclaimed{c} }), stepHeaders, []string{"duplicate"}, "executed 2 times"},
-		{"no run without the store", claims(func(c sageentry.Claims) sageentry.Claims { return impatient{c} }), stepFirstByte, []string{"store_outage_before_effect", "upstream_crash_after_effect"}, "executed 2 times"},
-		{"unknown is not released", claims(func(c sageentry.Claims) sageentry.Claims { return forgetful{c} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
-		{"conditional updates", store(func(s sageobject.Store) sageobject.Store { return anyVersion{s} }), stepClaimCommit, []string{"cut_peer", "duplicate"}, "executed 2 times"},
-		{"no second attempt after unknown", dispatch(func(d sageentry.Dispatch) sageentry.Dispatch { return again{d} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
-		{"unknown is not told as not run", dispatch(func(d sageentry.Dispatch) sageentry.Dispatch { return falseNotRun{d} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
-		{"the answer's id is checked", blind, stepFirstByte, []string{"crossed_answer"}, "of another answer"},
-		{"the answer's length is checked", blind, stepMidStream, []string{"upstream_crash_after_effect"}, "of another answer"},
+		{"a claim before each run", claims(func(c sageentry.Claims) sageentry.Claims { return grantAllClaims{c} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
+		{"a claim before each run, duplicate", claims(func(c sageentry.Claims) sageentry.Claims { return grantAllClaims{c} }), stepHeaders, []string{"duplicate"}, "executed 2 times"},
+		{"no run without the store", claims(func(c sageentry.Claims) sageentry.Claims { return runWithoutStore{c} }), stepFirstByte, []string{"store_outage_before_effect", "upstream_crash_after_effect"}, "executed 2 times"},
+		{"unknown is not released", claims(func(c sageentry.Claims) sageentry.Claims { return recordUnknownAsNotRun{c} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
+		{"conditional updates", store(func(s sageobject.Store) sageobject.Store { return unconditionalPuts{s} }), stepClaimCommit, []string{"cut_peer", "duplicate"}, "executed 2 times"},
+		{"no second attempt after unknown", dispatch(func(d sageentry.Dispatch) sageentry.Dispatch { return resendUnknown{d} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
+		{"unknown is not reported as not run", dispatch(func(d sageentry.Dispatch) sageentry.Dispatch { return reportUnknownAsNotRun{d} }), stepFirstByte, []string{"upstream_crash_after_effect"}, "executed 2 times"},
+		{"the response's request id is checked", unchecked, stepFirstByte, []string{"crossed_answer"}, "bytes that differ from the expected body"},
+		{"the response's length is checked", unchecked, stepMidStream, []string{"upstream_crash_after_effect"}, "bytes that differ from the expected body"},
 	} {
 		t.Run(tt.guard, func(t *testing.T) {
-			with := run(t, tt.at, tt.faults, mutant{})
-			assert.Empty(t, with.bad, "%s with the guard", with.name())
-			without := run(t, tt.at, tt.faults, tt.m)
-			assert.Contains(t, strings.Join(without.bad, "; "), tt.want, "%s without the guard: executions %d, told %s", without.name(), without.executions, without.words())
+			guarded := run(t, tt.at, tt.faults, mutant{})
+			assert.Empty(t, guarded.violations, "%s with the guard", guarded.name())
+			unguarded := run(t, tt.at, tt.faults, tt.mutant)
+			assert.Contains(t, strings.Join(unguarded.violations, "; "), tt.want, "%s without the guard: executions %d, responses %s", unguarded.name(), unguarded.executions, unguarded.summary())
 		})
 	}
 }
 
-// Two guards keep a booking from being refused for nothing rather than from running twice.
+// Some guards prevent the needless refusal of a booking rather than a second execution: without them the
+// booking never runs.
 func TestGuardsAgainstLostBookings(t *testing.T) {
 	for _, tt := range []struct {
 		guard  string
-		m      mutant
+		mutant mutant
 		at     step
 		faults []string
 	}{
-		{"a lost answer is read back", mutant{store: func(s sageobject.Store) sageobject.Store { return lostIsFailed{s} }}, stepClaimCommit, []string{"cut_peer", "lost_answer"}},
-		{"what didn't run is released", mutant{claims: func(c sageentry.Claims) sageentry.Claims { return silent{c} }}, stepDispatch, []string{"cut_upstream"}},
+		{"a write with a lost response is read back", mutant{store: func(s sageobject.Store) sageobject.Store { return lostAnswerAsFailure{s} }}, stepClaimCommit, []string{"cut_peer", "lost_answer"}},
+		{"the key of a request that didn't run is released", mutant{claims: func(c sageentry.Claims) sageentry.Claims { return discardResults{c} }}, stepDispatch, []string{"cut_upstream"}},
 	} {
 		t.Run(tt.guard, func(t *testing.T) {
-			with := run(t, tt.at, tt.faults, mutant{})
-			assert.Equal(t, 1, with.executions, "%s with the guard, told %s", with.name(), with.words())
-			without := run(t, tt.at, tt.faults, tt.m)
-			assert.Zero(t, without.executions, "%s without the guard, told %s", without.name(), without.words())
+			guarded := run(t, tt.at, tt.faults, mutant{})
+			assert.Equal(t, 1, guarded.executions, "%s with the guard, responses %s", guarded.name(), guarded.summary())
+			unguarded := run(t, tt.at, tt.faults, tt.mutant)
+			assert.Zero(t, unguarded.executions, "%s without the guard, responses %s", unguarded.name(), unguarded.summary())
 		})
 	}
 }
--- a/internal/sagematrix/net_test.go
+++ b/internal/sagematrix/net_test.go
@@ -9,25 +9,27 @@
 )
 
 var (
-	errDead = errors.New("the router is dead")
-	errCut  = errors.New("the network is cut")
+	errRouterKilled = errors.New("router is killed")
+	errNetworkDown  = errors.New("network is down")
 )
 
-// gate is what every effect of a router passes. A frozen router's effects wait, a dead one's fail.
+// gate controls all input and output of a router: it blocks while the router is frozen and fails after the
+// router is killed.
 type gate struct {
 	mu     sync.Mutex
 	frozen chan struct{}
-	dead   bool
+	killed bool
 	conns  map[string][]net.Conn
 }
 
-func (g *gate) pass() error {
+// await blocks while the router is frozen. It returns errRouterKilled after the router is killed.
+func (g *gate) await() error {
 	for {
 		g.mu.Lock()
-		frozen, dead := g.frozen, g.dead
+		frozen, killed := g.frozen, g.killed
 		g.mu.Unlock()
-		if dead {
-			return errDead
+		if killed {
+			return errRouterKilled
 		}
 		if frozen == nil {
 			return nil
@@ -55,15 +57,15 @@
 
 func (g *gate) kill() {
 	g.mu.Lock()
-	g.dead = true
+	g.killed = true
 	g.mu.Unlock()
 	g.thaw()
-	g.cut("caller")
-	g.cut("upstream")
+	g.closeConns("caller")
+	g.closeConns("upstream")
 }
 
-// cut closes the connections of one kind.
-func (g *gate) cut(kind string) {
+// closeConns closes all connections of a kind, "caller" or "upstream".
+func (g *gate) closeConns(kind string) {
 	g.mu.Lock()
 	conns := g.conns[kind]
 	delete(g.conns, kind)
@@ -73,12 +75,13 @@
 	}
 }
 
-// gated is a router's end of a connection.
-type gated struct {
+// gatedConn is the router's end of a connection.
+type gatedConn struct {
 	net.Conn
-	g *gate
+	gate *gate
 }
 
+// wrap registers a connection of the given kind and returns it with reads and writes controlled by the gate.
 func (g *gate) wrap(kind string, c net.Conn) net.Conn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,36 +89,38 @@
 		g.conns = make(map[string][]net.Conn)
 	}
 	g.conns[kind] = append(g.conns[kind], c)
-	return &gated{Conn: c, g: g}
+	return &gatedConn{Conn: c, gate: g}
 }
 
-func (c *gated) Read(b []byte) (int, error) {
+func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if perr := c.g.pass(); perr != nil {
-		return 0, perr
+	if gateErr := c.gate.await(); gateErr != nil {
+		return 0, gateErr
 	}
 	return n, err
 }
 
-func (c *gated) Write(b []byte) (int, error) {
-	if err := c.g.pass(); err != nil {
+func (c *gatedConn) Write(b []byte) (int, error) {
+	if err := c.gate.await(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-// pipes is a listener whose connections are pipes.
-type pipes struct {
+// pipeListener is a listener whose connections are in-memory pipes.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
-	// wrap, when set, wraps the accepting end.
+	// wrap, if set, wraps the accepted end of each connection.
 	wrap func(net.Conn) net.Conn
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), done: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -124,14 +129,14 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	p.once.Do(func() { close(p.done) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-func (p *pipes) dial(ctx context.Context) (net.Conn, error) {
+func (p *pipeListener) dial(ctx context.Context) (net.Conn, error) {
 	a, b := net.Pipe()
 	if p.wrap != nil {
 		b = p.wrap(b)
@@ -140,7 +145,7 @@
 	case p.conns <- b:
 		return a, nil
 	case <-p.done:
-		return nil, errCut
+		return nil, errNetworkDown
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
--- a/internal/sagematrix/table_test.go
+++ b/internal/sagematrix/table_test.go
@@ -16,122 +16,126 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// step is a point on the way of a request.
+// step is a point in the processing of a request at which faults are injected.
 type step string
 
 // The steps, in order.
 const (
-	stepLocate       step = "locate"
-	stepAccept       step = "accept"
-	stepClaimCollect step = "claim_collect"
-	stepClaimCommit  step = "claim_commit"
-	stepCommitAnswer step = "commit_answer"
-	stepDispatch     step = "dispatch"
-	stepHeaders      step = "headers"
-	stepFirstByte    step = "first_byte"
-	stepMidStream    step = "mid_stream"
-	stepEnd          step = "end"
-	stepRecord       step = "record"
+	stepLocate         step = "locate"
+	stepAccept         step = "accept"
+	stepClaimCollect   step = "claim_collect"
+	stepClaimCommit    step = "claim_commit"
+	stepCommitResponse step = "commit_answer"
+	stepDispatch       step = "dispatch"
+	stepHeaders        step = "headers"
+	stepFirstByte      step = "first_byte"
+	stepMidStream      step = "mid_stream"
+	stepEnd            step = "end"
+	stepRecord         step = "record"
 )
 
 var allSteps = []step{
-	stepLocate, stepAccept, stepClaimCollect, stepClaimCommit, stepCommitAnswer, stepDispatch,
+	stepLocate, stepAccept, stepClaimCollect, stepClaimCommit, stepCommitResponse, stepDispatch,
 	stepHeaders, stepFirstByte, stepMidStream, stepEnd, stepRecord,
 }
 
-// fault is something that happens to the first router, or around it.
+// fault is a fault of the first router or of its environment.
 type fault struct {
 	name   string
-	strike func(w *world)
+	inject func(w *world)
 }
 
-// for a while f holds, and then it is undone.
-func (w *world) during(d time.Duration, begin, undo func()) {
-	begin()
+// applyFor calls apply, and revert after d.
+func (w *world) applyFor(d time.Duration, apply, revert func()) {
+	apply()
 	w.wg.Go(func() {
 		time.Sleep(d)
-		undo()
+		revert()
 	})
 }
 
-func (w *world) cutFor(f func(*router) *bool) {
+// setFlagFor sets a flag of the first router for outageDuration.
+func (w *world) setFlagFor(f func(*router) *bool) {
 	r := w.routers[0]
-	w.during(outageFor, func() { r.setFlag(f, true) }, func() { r.setFlag(f, false) })
+	w.applyFor(outageDuration, func() { r.setFlag(f, true) }, func() { r.setFlag(f, false) })
 }
 
 func (w *world) setOutage(v bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.outage = v
+	w.storeOutage = v
 }
 
-func (w *world) loseAnswer() bool {
+// consumeLoseNext reports whether the store's response must be lost, and resets the flag.
+func (w *world) consumeLoseNext() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lose := w.lose
-	w.lose = false
-	return lose
+	lost := w.loseNext
+	w.loseNext = false
+	return lost
 }
 
-func (w *world) loseNext() {
+func (w *world) loseNextResponse() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lose = true
+	w.loseNext = true
 }
 
 var allFaults = []fault{
 	{"kill_router", func(w *world) { w.routers[0].gate.kill() }},
-	{"freeze_past_lease", func(w *world) { w.during(freezeFor, w.routers[0].gate.freeze, w.routers[0].gate.thaw) }},
-	{"cut_store", func(w *world) { w.cutFor(storeFlag) }},
-	{"cut_upstream", func(w *world) { w.cutFor(appFlag); w.routers[0].gate.cut("upstream") }},
-	{"cut_caller", func(w *world) { w.routers[0].gate.cut("caller") }},
-	{"cut_peer", func(w *world) { w.cutFor(peerFlag) }},
-	{"store_outage_before_effect", func(w *world) { w.during(outageFor, func() { w.setOutage(true) }, func() { w.setOutage(false) }) }},
+	{"freeze_past_lease", func(w *world) { w.applyFor(freezeDuration, w.routers[0].gate.freeze, w.routers[0].gate.thaw) }},
+	{"cut_store", func(w *world) { w.setFlagFor(storeFlag) }},
+	{"cut_upstream", func(w *world) { w.setFlagFor(appFlag); w.routers[0].gate.closeConns("upstream") }},
+	{"cut_caller", func(w *world) { w.routers[0].gate.closeConns("caller") }},
+	{"cut_peer", func(w *world) { w.setFlagFor(peerFlag) }},
+	{"store_outage_before_effect", func(w *world) {
+		w.applyFor(outageDuration, func() { w.setOutage(true) }, func() { w.setOutage(false) })
+	}},
 	{"store_outage_after_effect", func(w *world) {
-		w.loseNext()
+		w.loseNextResponse()
 		w.wg.Go(func() {
 			time.Sleep(time.Millisecond)
-			w.during(outageFor, func() { w.setOutage(true) }, func() { w.setOutage(false) })
+			w.applyFor(outageDuration, func() { w.setOutage(true) }, func() { w.setOutage(false) })
 		})
 	}},
-	{"lost_answer", func(w *world) { w.loseNext() }},
-	{"crossed_answer", func(w *world) { w.app.set(func() { w.app.crossed = true }) }},
-	{"late_answer", func(w *world) { w.app.set(func() { w.app.answerLag = patience + 3*time.Second }) }},
+	{"lost_answer", func(w *world) { w.loseNextResponse() }},
+	{"crossed_answer", func(w *world) { w.app.update(func() { w.app.wrongRequestID = true }) }},
+	{"late_answer", func(w *world) { w.app.update(func() { w.app.responseDelay = requestTimeout + 3*time.Second }) }},
 	{"duplicate", func(w *world) {
 		w.wg.Go(func() {
 			out := w.send(1)
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.told = append(w.told, out)
+			w.responses = append(w.responses, out)
 		})
-		time.Sleep(duplicateAhead)
+		time.Sleep(duplicateLead)
 	}},
-	{"upstream_crash_before_effect", func(w *world) { w.app.set(func() { w.app.crash = "before" }) }},
-	{"upstream_crash_after_effect", func(w *world) { w.app.set(func() { w.app.crash = "after" }) }},
+	{"upstream_crash_before_effect", func(w *world) { w.app.update(func() { w.app.crash = "before" }) }},
+	{"upstream_crash_after_effect", func(w *world) { w.app.update(func() { w.app.crash = "after" }) }},
 }
 
-func faultNamed(name string) fault {
+func faultByName(name string) fault {
 	i := slices.IndexFunc(allFaults, func(f fault) bool { return f.name == name })
 	return allFaults[i]
 }
 
-// cell is one place of the matrix and what came of it.
+// cell is one case of the matrix with its results.
 type cell struct {
-	at         step
-	faults     []string
-	executions int
-	told       []told
-	undecided  bool // the last word is that the outcome isn't known
-	blocked    bool // nothing ran, and the key can't be used until a person settles it
-	bad        []string
+	at             step
+	faults         []string
+	executions     int
+	responses      []response
+	outcomeUnknown bool // the last response leaves the outcome unknown
+	keyBlocked     bool // nothing ran, but the key stays claimed until an operator resolves it
+	violations     []string
 }
 
 func (c *cell) name() string { return string(c.at) + "/" + strings.Join(c.faults, "+") }
 
-// words says in short what the caller was told, sending by sending.
-func (c *cell) words() string {
-	out := make([]string, len(c.told))
-	for i, o := range c.told {
+// summary lists the outcomes that the caller received, one per send.
+func (c *cell) summary() string {
+	out := make([]string, len(c.responses))
+	for i, o := range c.responses {
 		out[i] = strings.TrimSuffix(string(o.outcome)+":"+string(o.reason), ":")
 		if o.outcome == "" {
 			out[i] = "nothing"
@@ -148,81 +152,81 @@
 }
 
 // run runs one cell in virtual time.
-func run(t *testing.T, at step, names []string, m mutant) *cell {
+func run(t *testing.T, at step, names []string, mut mutant) *cell {
 	c := &cell{at: at, faults: names}
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, m: m, pending: make(map[step][]fault)}
+		w := &world{t: t, mutant: mut, pending: make(map[step][]fault)}
 		for _, n := range names {
-			w.pending[at] = append(w.pending[at], faultNamed(n))
+			w.pending[at] = append(w.pending[at], faultByName(n))
 		}
 		w.store = &sageobject.Memory{Before: func(sageobject.Op, string) error {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.outage {
+			if w.storeOutage {
 				return sageobject.ErrUnavailable
 			}
 			return nil
 		}}
 		w.key = fmt.Sprintf("%d-box", time.Now().UnixMilli())
-		w.app = &app{w: w, pipes: newPipes()}
+		w.app = &app{world: w, listener: newPipeListener()}
 		server := &http.Server{Handler: w.app}
-		w.wg.Go(func() { _ = server.Serve(w.app.pipes) })
-		w.routers = [2]*router{{w: w, name: "n0"}, {w: w, name: "n1"}}
+		w.wg.Go(func() { _ = server.Serve(w.app.listener) })
+		w.routers = [2]*router{{world: w, name: "n0"}, {world: w, name: "n1"}}
 		for _, r := range w.routers {
 			r.start()
 		}
-		w.book()
-		time.Sleep(mendFor)
+		w.sendUntilKnown()
+		time.Sleep(recoveryTime)
 		for _, r := range w.routers {
 			r.stop()
 		}
 		_ = server.Close()
-		_ = w.app.pipes.Close()
+		_ = w.app.listener.Close()
 		w.wg.Wait()
 		for _, r := range w.routers {
 			r.claims.Committer.Wait()
 		}
-		c.judge(w)
+		c.verify(w)
 	})
 	return c
 }
 
-// judge compares what was executed with what was told.
-func (c *cell) judge(w *world) {
-	c.executions, c.told = len(w.app.executed), w.told
-	say := func(format string, args ...any) { c.bad = append(c.bad, fmt.Sprintf(format, args...)) }
+// verify compares the application's executions with the outcomes that the caller received.
+func (c *cell) verify(w *world) {
+	c.executions, c.responses = len(w.app.executed), w.responses
+	addViolation := func(format string, args ...any) { c.violations = append(c.violations, fmt.Sprintf(format, args...)) }
 	if c.executions > 1 {
-		say("executed %d times", c.executions)
+		addViolation("executed %d times", c.executions)
 	}
 	allNotRun := true
-	for _, o := range c.told {
-		if o.wrong != "" {
-			say("%s", o.wrong)
+	for _, o := range c.responses {
+		if o.mismatch != "" {
+			addViolation("%s", o.mismatch)
 		}
 		allNotRun = allNotRun && o.outcome == sagewire.NotRun
 		switch o.outcome {
 		case sagewire.Complete:
 			if c.executions == 0 {
-				say("told complete, never executed")
+				addViolation("reported complete, but never executed")
 			}
 		case sagewire.NotRun:
-			// A sending that was told "not run" must not have run, whatever became of others.
+			// A send reported as "not run" must not have been executed, even if another send was.
 			for _, id := range w.app.executed {
 				if strings.HasPrefix(id, o.requestID+"-") {
-					say("told not_run of sending %s, which ran", o.requestID)
+					addViolation("send %s reported not_run, but was executed", o.requestID)
 				}
 			}
 		}
 	}
 	if allNotRun && c.executions > 0 {
-		say("every sending was told not_run, executed %d times", c.executions)
+		addViolation("every send reported not_run, but executed %d times", c.executions)
 	}
-	last := c.told[len(c.told)-1]
-	c.undecided = last.outcome != sagewire.Complete && (last.outcome != sagewire.AlreadyRun || last.reason == sagewire.ReasonAnswerLost)
-	c.blocked = c.executions == 0 && last.outcome == sagewire.AlreadyRun
+	last := c.responses[len(c.responses)-1]
+	c.outcomeUnknown = last.outcome != sagewire.Complete && (last.outcome != sagewire.AlreadyRun || last.reason == sagewire.ReasonAnswerLost)
+	c.keyBlocked = c.executions == 0 && last.outcome == sagewire.AlreadyRun
 }
 
-// combinations returns every single fault and every two.
+// combinations returns every single fault and every pair of faults.
 func combinations() [][]string {
 	var out [][]string
 	for i, f := range allFaults {
@@ -234,13 +238,14 @@
 	return out
 }
 
-// TestMatrix runs every cell. It logs how many ended undecided, which is not a failure: such a
-// request is told as unknown and listed for the operators.
+// No combination of up to two faults at any step may lead to a second execution or to a response that
+// contradicts the executions. The test logs how many cells end with an unknown outcome. They aren't failures:
+// such a request is reported as unknown and listed for the operators.
 func TestMatrix(t *testing.T) {
 	var mu sync.Mutex
 	total, undecided, blocked := 0, 0, 0
 	t.Cleanup(func() {
-		t.Logf("%d cells, %d undecided, %d of them with a key blocked though nothing ran", total, undecided, blocked)
+		t.Logf("%d cells, %d with an unknown outcome, %d with a key blocked although nothing ran", total, undecided, blocked)
 	})
 	for _, s := range allSteps {
 		t.Run(string(s), func(t *testing.T) {
@@ -248,28 +253,28 @@
 			for _, names := range combinations() {
 				c := run(t, s, names, mutant{})
 				if len(names) == 1 {
-					t.Logf("%-45s executions %d, told %s", c.name(), c.executions, c.words())
+					t.Logf("%-45s executions %d, responses %s", c.name(), c.executions, c.summary())
 				}
 				mu.Lock()
 				total++
-				if c.undecided {
+				if c.outcomeUnknown {
 					undecided++
 				}
-				if c.blocked {
+				if c.keyBlocked {
 					blocked++
 				}
 				mu.Unlock()
-				assert.Empty(t, c.bad, "%s: executions %d, told %+v", c.name(), c.executions, c.told)
+				assert.Empty(t, c.violations, "%s: executions %d, responses %+v", c.name(), c.executions, c.responses)
 			}
 		})
 	}
 }
 
-// Without a fault the booking runs and its answer is whole; a matrix in which nothing works proves
-// nothing.
+// Without a fault the booking runs once and its response is complete. This prevents TestMatrix from passing
+// only because no request ever runs.
 func TestNoFault(t *testing.T) {
 	c := run(t, stepLocate, nil, mutant{})
 	assert.Equal(t, 1, c.executions)
-	assert.Equal(t, sagewire.Complete, c.told[0].outcome)
-	assert.Empty(t, c.bad)
+	assert.Equal(t, sagewire.Complete, c.responses[0].outcome)
+	assert.Empty(t, c.violations)
 }
