--- a/internal/sagesoak/proxy.go
+++ b/internal/sagesoak/proxy.go
@@ -20,7 +20,7 @@
 	numLinkModes
 )
 
-// slowDelay is the delay of each read while the link is slow.
+// slowDelay is the delay of each read while the link is slow, and of the close after the end of the data.
 const slowDelay = 150 * time.Millisecond
 
 // proxy is a TCP proxy in front of one upstream.
