--- a/cmd/sagebench/loss.go
+++ b/cmd/sagebench/loss.go
@@ -14,8 +14,8 @@
 	var site, log string
 	c := &cobra.Command{
 		Use:     "loss REPORT...",
-		Short:   "Account for what played days were not worth, by cause",
-		Long:    "loss reads reports of played days and prints, for each, a table of losses that adds up to one less the day's worth,\nthe worst windows with the troubles under way, and the worth if nothing avoidable had been lost.",
+		Short:   "Account for the losses of bench days by cause",
+		Long:    "loss reads reports of bench days and prints for each a table of losses that adds up to one minus the day's worth,\nthe worst windows with the events active in them, and the worth without the avoidable losses.",
 		Example: "  sagebench loss --site further/site.toml day.json\n  sagebench loss --site site.toml --log day.log day.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -24,19 +24,19 @@
 				return err
 			}
 			for _, name := range args {
-				if err := accountFor(c, s, name); err != nil {
+				if err := printAccount(c, s, name); err != nil {
 					return err
 				}
 			}
 			if log == "" {
 				return nil
 			}
-			return printGivenUp(c, log)
+			return printAbandoned(c, log)
 		},
 	}
-	c.Flags().StringVar(&site, "site", "", "file of the deployment, for what each kind of request is worth")
-	c.Flags().StringVar(&log, "log", "", "nodes' logs of a day, for the causes of requests that were given up")
-	_ = c.MarkFlagRequired("site") // fails only for a flag that isn't there
+	c.Flags().StringVar(&site, "site", "", "deployment file, which states the worth of each class of request")
+	c.Flags().StringVar(&log, "log", "", "nodes' logs of a day, for the causes of abandoned requests")
+	_ = c.MarkFlagRequired("site") // fails only if the flag is not defined
 	return c
 }
 
@@ -53,7 +53,7 @@
 	return s, nil
 }
 
-func accountFor(c *cobra.Command, s *sageloss.Site, name string) error {
+func printAccount(c *cobra.Command, s *sageloss.Site, name string) error {
 	d, err := readDay(name)
 	if err != nil {
 		return err
@@ -65,15 +65,15 @@
 	return a.Write(c.OutOrStdout())
 }
 
-func printGivenUp(c *cobra.Command, name string) error {
+func printAbandoned(c *cobra.Command, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
 		return fmt.Errorf("%w: open log: %v", sagecli.ErrUsage, err)
 	}
 	defer func() { _ = f.Close() }()
-	gs, err := sageloss.ReadAbandoned(f)
+	abandoned, err := sageloss.ReadAbandoned(f)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	return sageloss.WriteAbandoned(c.OutOrStdout(), gs)
+	return sageloss.WriteAbandoned(c.OutOrStdout(), abandoned)
 }
--- a/cmd/sagebench/main.go
+++ b/cmd/sagebench/main.go
@@ -1,5 +1,5 @@
-// Command sagebench holds the stand-ins for what is outside the system, and the checks and
-// measurements that run against them.
+// Command sagebench provides the stand-ins for the external systems, and the checks and measurements
+// that use them.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	c := &cobra.Command{
 		Use:   "sagebench",
 		Short: "Stand-ins, checks and measurements for sagestand",
-		Long:  "sagebench holds the stand-ins for platform, engines and applications, and measures the system.\n\n" + sagecli.ExitHelp,
+		Long:  "sagebench runs stand-ins for platform, engines and applications, and checks and measures the system.\n\n" + sagecli.ExitHelp,
 	}
 	out.AddFlag(c)
 	c.AddCommand(standinCommand(), pathCommand(out), chaosCommand(out), confirmCommand(out), costCommand(out), scaleCommand(out), measureCommand(out), recordCommand(out), replayCommand(out), soakCommand(out), lossCommand(), pairsCommand())
--- a/cmd/sagebench/measure.go
+++ b/cmd/sagebench/measure.go
@@ -18,13 +18,13 @@
 	c := &cobra.Command{
 		Use:     "measure NAME",
 		Short:   "Run a measurement of the decision code in virtual time",
-		Long:    "measure runs the real decision code over small fakes in virtual time, from seeds, and prints a table with\nmedian and range. The same seed gives the same figures, but for claims, which runs in real time.\nMeasures: " + names + ".",
+		Long:    "measure runs the decision code against small fakes in virtual time, once per seed, and prints a table of\nmedian and range. The same seed gives the same results, except for claims, which runs in real time.\nMeasurements: " + names + ".",
 		Example: "  sagebench measure churn --seed 1 --seeds 5\n  sagebench measure skew --seed 1 --output json",
 		Args:    sagecli.ExactArgs("NAME"),
 		RunE: func(c *cobra.Command, args []string) error {
 			f, ok := sagemeasure.Lookup(args[0])
 			if !ok {
-				return fmt.Errorf("%w: no measure %q; there are %s", sagecli.ErrUsage, args[0], names)
+				return fmt.Errorf("%w: unknown measurement %q: want one of %s", sagecli.ErrUsage, args[0], names)
 			}
 			rep, err := sagemeasure.Run(args[0], f, seed, seeds)
 			if err != nil {
--- a/cmd/sagebench/pairs.go
+++ b/cmd/sagebench/pairs.go
@@ -15,7 +15,7 @@
 	return &cobra.Command{
 		Use:     "pairs BEFORE AFTER",
 		Short:   "Compare two versions by the reports of the same days",
-		Long:    "pairs reads the reports (*.json) that two directories hold under the same names and prints the mean differences of\nworth, parts and prices, with their spread and standard error.",
+		Long:    "pairs reads the reports (*.json) that exist under the same names in two directories and prints the mean differences of\nworth, parts and prices, with their standard deviation and standard error.",
 		Example: "  sagebench pairs reports/before reports/after",
 		Args:    sagecli.ExactArgs("BEFORE", "AFTER"),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -28,7 +28,7 @@
 	}
 }
 
-// readPairs reads the reports that both directories hold.
+// readPairs reads the reports that exist under the same name in both directories.
 func readPairs(before, after string) ([]sageloss.Pair, error) {
 	names, err := filepath.Glob(filepath.Join(before, "*.json"))
 	if err != nil {
@@ -50,7 +50,7 @@
 		pairs = append(pairs, p)
 	}
 	if len(pairs) == 0 {
-		return nil, fmt.Errorf("%w: %s and %s hold no reports of the same names", sagecli.ErrUsage, before, after)
+		return nil, fmt.Errorf("%w: no report exists under the same name in %s and %s", sagecli.ErrUsage, before, after)
 	}
 	sageloss.SortPairs(pairs)
 	return pairs, nil
--- a/cmd/sagebench/path.go
+++ b/cmd/sagebench/path.go
@@ -16,8 +16,8 @@
 	p := new(sagepath.Check)
 	c := &cobra.Command{
 		Use:   "path",
-		Short: "Check the whole path with real processes, a line per step",
-		Long:  "path starts the stand-ins and three routers as processes of their own on loopback, sends chats and bookings\nthrough them, and checks every answer. It needs the program sagestand, by default beside itself.",
+		Short: "Check the path of a request with real processes, one line per step",
+		Long:  "path starts the stand-ins and three routers as separate processes on loopback, sends chats and bookings\nthrough them, and checks every answer. It needs the program sagestand, by default in its own directory.",
 		Args:  sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			steps, err := p.Run(c.Context(), func(s sagepath.Step) {
@@ -31,16 +31,17 @@
 			return err
 		},
 	}
-	addPrograms(c, &p.Sagestand, &p.Sagebench)
+	addProgramFlag(c, &p.Sagestand, &p.Sagebench)
 	return c
 }
 
-// addPrograms adds the flag that names the program sagestand, by default beside this one.
-func addPrograms(c *cobra.Command, sagestand, sagebench *string) {
+// addProgramFlag adds the flag --sagestand for the path of the program sagestand, by default in the
+// directory of the running program, and sets sagebench to the path of the running program.
+func addProgramFlag(c *cobra.Command, sagestand, sagebench *string) {
 	self, err := os.Executable()
 	if err != nil {
 		self = "sagebench"
 	}
 	*sagebench = self
-	c.Flags().StringVar(sagestand, "sagestand", filepath.Join(filepath.Dir(self), "sagestand"), "the program sagestand")
+	c.Flags().StringVar(sagestand, "sagestand", filepath.Join(filepath.Dir(self), "sagestand"), "path of the program sagestand")
 }
--- a/cmd/sagebench/soak.go
+++ b/cmd/sagebench/soak.go
@@ -14,8 +14,8 @@
 	"sagestand.example/sagestand/internal/sagesoak"
 )
 
-// errSoak reports a soak that found a fault.
-var errSoak = errors.New("soak found faults")
+// errFaultsFound reports a soak in which at least one seed found a fault.
+var errFaultsFound = errors.New("soak found faults")
 
 func soakCommand(out *sagecli.Output) *cobra.Command {
 	var (
@@ -28,28 +28,28 @@
 	)
 	c := &cobra.Command{
 		Use:     "soak",
-		Short:   "Break what is around real nodes at random and check what callers and upstreams see",
-		Long:    "soak starts nodes as processes on loopback, between stand-ins of the platform, and injects the faults that a seed\nchooses: signals, upstreams and a store that break, a network that delays, resets, silences or cuts one way.",
+		Short:   "Inject random faults around real nodes and check what callers and upstreams observe",
+		Long:    "soak starts nodes as processes on loopback, between stand-ins for the platform, and injects faults chosen by a\nseed: signals, failures of upstreams and store, and a network that delays, resets, stalls or drops one direction.",
 		Example: "  sagebench soak --seed 7 --seconds 10\n  sagebench soak --seed 1 --seeds 50\n  sagebench soak --calm",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
 			failed := 0
 			for n := seed; n < seed+seeds; n++ {
-				at := filepath.Join(dir, fmt.Sprintf("seed-%d", n))
-				if err := os.MkdirAll(at, 0o700); err != nil {
+				seedDir := filepath.Join(dir, fmt.Sprintf("seed-%d", n))
+				if err := os.MkdirAll(seedDir, 0o700); err != nil {
 					return fmt.Errorf("make directory for logs: %w", err)
 				}
-				s := &sagesoak.Soak{Seed: n, Program: program, Dir: at, Nodes: nodes, Lasts: time.Duration(seconds * float64(time.Second)), Calm: calm}
-				v, err := s.Run(c.Context())
+				s := &sagesoak.Soak{Seed: n, Program: program, Dir: seedDir, Nodes: nodes, Lasts: time.Duration(seconds * float64(time.Second)), Calm: calm}
+				report, err := s.Run(c.Context())
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", n, err)
 				}
-				if len(v.Faults) > 0 {
+				if len(report.Faults) > 0 {
 					failed++
 				}
-				err = out.Print(c.OutOrStdout(), v, func(w io.Writer) {
-					_, _ = fmt.Fprintf(w, "soak: seed %d: %d faults injected, %d found; %v\n", n, len(v.Done), len(v.Faults), v.Counts)
-					for _, f := range v.Faults {
+				err = out.Print(c.OutOrStdout(), report, func(w io.Writer) {
+					_, _ = fmt.Fprintf(w, "soak: seed %d: %d faults injected, %d found; %v\n", n, len(report.Done), len(report.Faults), report.Counts)
+					for _, f := range report.Faults {
 						_, _ = fmt.Fprintf(w, "  %s\n", f)
 					}
 				})
@@ -58,18 +58,18 @@
 				}
 			}
 			if failed > 0 {
-				return fmt.Errorf("%d of %d seeds, logs in %s: %w", failed, seeds, dir, errSoak)
+				return fmt.Errorf("%d of %d seeds, logs in %s: %w", failed, seeds, dir, errFaultsFound)
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.Uint64Var(&seed, "seed", 1, "the first seed")
-	f.Uint64Var(&seeds, "seeds", 1, "how many seeds, one after another")
-	f.Float64Var(&seconds, "seconds", 8, "how long faults are injected")
-	f.IntVar(&nodes, "nodes", 4, "how many nodes")
-	f.BoolVar(&calm, "calm", false, "inject nothing")
-	f.StringVar(&dir, "dir", filepath.Join(os.TempDir(), "sagestand-soak"), "where settings and logs of the nodes go")
-	addPrograms(c, &program, &self)
+	f.Uint64Var(&seed, "seed", 1, "first seed")
+	f.Uint64Var(&seeds, "seeds", 1, "number of seeds, run one after another")
+	f.Float64Var(&seconds, "seconds", 8, "seconds during which faults are injected")
+	f.IntVar(&nodes, "nodes", 4, "number of nodes")
+	f.BoolVar(&calm, "calm", false, "inject no faults")
+	f.StringVar(&dir, "dir", filepath.Join(os.TempDir(), "sagestand-soak"), "directory for the nodes' settings and logs")
+	addProgramFlag(c, &program, &self)
 	return c
 }
--- a/cmd/sagebench/standin.go
+++ b/cmd/sagebench/standin.go
@@ -14,7 +14,7 @@
 )
 
 func standinCommand() *cobra.Command {
-	c := &cobra.Command{Use: "standin", Short: "Run a stand-in for something outside the system"}
+	c := &cobra.Command{Use: "standin", Short: "Run a stand-in for an external system"}
 	c.AddCommand(platformCommand(), engineCommand(), applicationCommand())
 	return c
 }
@@ -34,7 +34,7 @@
 	f.Float64Var(&p.ReadsPerSecond, "reads", 2000, "reads a second, 0 for no limit")
 	f.Float64Var(&p.WritesPerSecond, "writes", 400, "writes a second, 0 for no limit")
 	f.Float64Var(&p.WeightsPerSecond, "weights", 2, "loads from the weight store a second")
-	f.IntVar(&p.ListLagMillis, "list-lag-millis", 2000, "how late a change of the VM list shows")
+	f.IntVar(&p.ListLagMillis, "list-lag-millis", 2000, "delay until a change shows in the VM list, in milliseconds")
 	return c
 }
 
@@ -51,14 +51,14 @@
 	f := c.Flags()
 	f.StringVar(&listen, "listen", "127.0.0.1:9001", "address to listen on")
 	f.StringVar(&e.Name, "name", "engine", "name in reports")
-	f.IntVar(&e.Slots, "slots", 16, "requests batched at once when warm")
-	f.IntVar(&e.CacheTokens, "cache-tokens", 100000, "memory of the prefix cache, in tokens")
-	f.IntVar(&e.TokenMicros, "token-micros", 500, "time between two tokens")
-	f.IntVar(&e.PromptMicros, "prompt-micros", 20, "time of an uncached prompt token")
-	f.IntVar(&e.ColdCompletions, "cold-completions", 0, "completed requests for each further request it bears after a start; 0 starts warm")
-	f.IntVar(&e.ReportLagMillis, "report-lag-millis", 500, "age of its load reports")
-	f.IntVar(&e.EventLag, "event-lag", 16, "newest cache events held back")
-	f.BoolVar(&e.ChecksFencing, "checks-fencing", true, "refuse orders with an old fencing number")
+	f.IntVar(&e.Slots, "slots", 16, "requests in a batch when warm")
+	f.IntVar(&e.CacheTokens, "cache-tokens", 100000, "capacity of the prefix cache, in tokens")
+	f.IntVar(&e.TokenMicros, "token-micros", 500, "time between two tokens, in microseconds")
+	f.IntVar(&e.PromptMicros, "prompt-micros", 20, "time for an uncached prompt token, in microseconds")
+	f.IntVar(&e.ColdCompletions, "cold-completions", 0, "completed requests per additional concurrent request after a start; 0 starts warm")
+	f.IntVar(&e.ReportLagMillis, "report-lag-millis", 500, "age of its load reports, in milliseconds")
+	f.IntVar(&e.EventLag, "event-lag", 16, "number of newest cache events that are withheld")
+	f.BoolVar(&e.ChecksFencing, "checks-fencing", true, "refuse orders with an outdated fencing number")
 	return c
 }
 
@@ -77,7 +77,7 @@
 	return c
 }
 
-// serveStandin serves h until ctx ends.
+// serveStandin serves h until ctx is done.
 func serveStandin(ctx context.Context, listen string, h http.Handler) error {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
--- a/cmd/sagebench/trace.go
+++ b/cmd/sagebench/trace.go
@@ -14,8 +14,8 @@
 	"sagestand.example/sagestand/internal/sagetrace"
 )
 
-// errMismatch reports a replay that differs from the stated outcomes.
-var errMismatch = errors.New("outcomes differ from those stated")
+// errMismatch reports a replay whose outcomes differ from those recorded in the trace.
+var errMismatch = errors.New("outcomes differ from those of the trace")
 
 func replayCommand(out *sagecli.Output) *cobra.Command {
 	return &cobra.Command{
@@ -84,11 +84,11 @@
 			return printReplay(c.OutOrStdout(), out, &res)
 		},
 	}
-	addPrograms(c, &f.Sagestand, &f.Sagebench)
+	addProgramFlag(c, &f.Sagestand, &f.Sagebench)
 	c.Flags().StringVar(&user, "user", "trentvale", "trentvale or haller")
 	c.Flags().StringVar(&file, "file", "trace.json", "file to write")
 	c.Flags().IntVar(&requests, "requests", 200, "number of requests")
-	c.Flags().IntVar(&millis, "millis", 3000, "length of the trace")
+	c.Flags().IntVar(&millis, "millis", 3000, "length of the trace, in milliseconds")
 	c.Flags().Int64Var(&seed, "seed", 1, "seed of the workload")
 	return c
 }
--- a/cmd/sagestand/demo.go
+++ b/cmd/sagestand/demo.go
@@ -16,8 +16,8 @@
 	var logs bool
 	c := &cobra.Command{
 		Use:     "demo",
-		Short:   "Run the whole system in this process, under load, and judge it",
-		Long:    "demo starts platform, engines and applications (stand-ins) and three routers on loopback, sends chats and\nbookings, takes a data centre out and back by ticket, and prints what came of every request. It exits 0 only if\nnothing was lost, nothing ran twice and no answer was crossed.",
+		Short:   "Run the complete system in this process under load and check the results",
+		Long:    "demo starts platform, engines and applications (stand-ins) and three routers on loopback, sends chats and\nbookings, takes a data centre out of service and back by ticket, and prints how the requests ended. It exits 0 only if\nno request was lost, none ran twice and every answer belonged to its request.",
 		Example: "  sagestand demo --seconds 10\n  sagestand demo --seconds 10 --output json",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -39,8 +39,8 @@
 			return perr
 		},
 	}
-	c.Flags().IntVar(&seconds, "seconds", 10, "how long the load runs")
-	c.Flags().BoolVar(&logs, "logs", false, "show the nodes' logs on stderr")
+	c.Flags().IntVar(&seconds, "seconds", 10, "duration of the load, in seconds")
+	c.Flags().BoolVar(&logs, "logs", false, "write the nodes' logs to stderr")
 	return c
 }
 
@@ -52,7 +52,7 @@
 		{"requests", s.Requests}, {"complete", s.Complete}, {"not_run", s.NotRun}, {"unknown", s.Unknown}, {"already_run", s.AlreadyRun},
 		{"lost", s.Lost}, {"wrong", s.Wrong}, {"bookings", s.Bookings}, {"executed_twice", s.ExecutedTwice}, {"false_not_run", s.FalseNotRun},
 		{"cache_reuse", fmt.Sprintf("%.3f", s.CacheReuse)}, {"load_skew", fmt.Sprintf("%.2f", s.LoadSkew)},
-		{"control_bytes_per_second", fmt.Sprintf("%.0f a router", s.ControlBytesPerSecond)},
+		{"control_bytes_per_second", fmt.Sprintf("%.0f per router", s.ControlBytesPerSecond)},
 		{"claim_bytes_per_booking", fmt.Sprintf("%.0f", s.ClaimBytesPerBooking)},
 	} {
 		_, _ = fmt.Fprintf(w, "%-26s %v\n", l.name, l.v)
--- a/cmd/sagestand/explain.go
+++ b/cmd/sagestand/explain.go
@@ -14,7 +14,7 @@
 func explainCommand(out *sagecli.Output) *cobra.Command {
 	return &cobra.Command{
 		Use:     "explain REQUEST_ID [LOGFILE ...]",
-		Short:   "Tell the story of one request from the logs of several nodes",
+		Short:   "Show the log lines of one request from several nodes in order of time",
 		Example: "  sagestand explain 9c41d07be2a35f68 vm1.log vm2.log\n  cat *.log | sagestand explain 9c41d07be2a35f68",
 		RunE: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
@@ -32,12 +32,12 @@
 				defer func() { _ = f.Close() }()
 				logs = append(logs, sageexplain.Log{Name: name, Reader: f})
 			}
-			s, err := sageexplain.Read(args[0], logs...)
+			timeline, err := sageexplain.Read(args[0], logs...)
 			if err != nil {
 				return err
 			}
 			var werr error
-			if err := out.Print(c.OutOrStdout(), s, func(w io.Writer) { werr = s.Write(w) }); err != nil {
+			if err := out.Print(c.OutOrStdout(), timeline, func(w io.Writer) { werr = timeline.Write(w) }); err != nil {
 				return err
 			}
 			return werr
--- a/cmd/sagestand/main.go
+++ b/cmd/sagestand/main.go
@@ -1,6 +1,6 @@
 // Command sagestand is the router daemon and its operators' tool.
 //
-// See sagestand --help; each command has examples of its own.
+// See sagestand --help; each command has its own examples.
 package main
 
 import (
--- a/cmd/sagestand/operator.go
+++ b/cmd/sagestand/operator.go
@@ -18,26 +18,26 @@
 	"sagestand.example/sagestand/internal/sagesettings"
 )
 
-// callTimeout bounds one call of the operators' tool.
+// callTimeout limits one call of the operators' tool to a node.
 const callTimeout = 30 * time.Second
 
-// nodeFlags name the node that a command talks to.
+// nodeFlags are the flags that select a node and the credentials for it.
 type nodeFlags struct {
 	url     string
 	keyFile string
 	tls     sagesettings.TLS
 }
 
-// add adds the flags to a command and those below it.
+// add registers the flags on c and its subcommands.
 func (f *nodeFlags) add(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&f.url, "node", "http://127.0.0.1:7301", "base of a node's operator address")
-	c.PersistentFlags().StringVar(&f.keyFile, "key-file", "operator.key", "file with the operators' key")
-	c.PersistentFlags().StringVar(&f.tls.CertFile, "cert-file", "", "own certificate, where the nodes use TLS")
-	c.PersistentFlags().StringVar(&f.tls.KeyFile, "cert-key-file", "", "private key of the certificate")
-	c.PersistentFlags().StringVar(&f.tls.CAFile, "ca-file", "", "the project's own authority")
+	c.PersistentFlags().StringVar(&f.url, "node", "http://127.0.0.1:7301", "base URL of a node's operator interface")
+	c.PersistentFlags().StringVar(&f.keyFile, "key-file", "operator.key", "file with the operator key")
+	c.PersistentFlags().StringVar(&f.tls.CertFile, "cert-file", "", "client certificate, if the nodes use TLS")
+	c.PersistentFlags().StringVar(&f.tls.KeyFile, "cert-key-file", "", "private key of the client certificate")
+	c.PersistentFlags().StringVar(&f.tls.CAFile, "ca-file", "", "certificate authority of the nodes")
 }
 
-// call sends one call to the node and decodes the answer into out.
+// call sends a request to the node and decodes the response into out.
 func (f *nodeFlags) call(ctx context.Context, method, path string, in []byte, out any) error {
 	key, err := os.ReadFile(f.keyFile)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return err
 }
 
-// get reads a JSON value that is printed as it is.
+// get fetches a JSON value for output without decoding it.
 func (f *nodeFlags) get(ctx context.Context, path string) (json.RawMessage, error) {
 	var raw json.RawMessage
 	err := f.call(ctx, http.MethodGet, path, nil, &raw)
--- a/cmd/sagestand/report.go
+++ b/cmd/sagestand/report.go
@@ -45,11 +45,12 @@
 			return out.Print(c.OutOrStdout(), rep, func(w io.Writer) { printBurn(w, &rep) })
 		},
 	}
-	c.Flags().StringVar(&plot, "plot", "", "also draw the last hour into this file (.svg or .png)")
+	c.Flags().StringVar(&plot, "plot", "", "also plot the last hour to this file (.svg or .png)")
 	return c
 }
 
-// printBurn writes the report as a table: for each window the burn rate and the bad of all requests.
+// printBurn writes the report as a table. Each window shows the burn rate and the numbers of bad
+// requests and of all requests.
 func printBurn(w io.Writer, rep *sageburnd.Report) {
 	_, _ = fmt.Fprintf(w, "%-16s %-8s %-7s %-6s", "ACCOUNT", "PRIORITY", "TARGET", "P95MS")
 	for _, win := range sageburn.Windows {
@@ -65,7 +66,7 @@
 	}
 	_, _ = fmt.Fprintf(w, "%d nodes", rep.Nodes)
 	if len(rep.Missing) > 0 {
-		_, _ = fmt.Fprintf(w, "; not answered, and missing above: %s", strings.Join(rep.Missing, ", "))
+		_, _ = fmt.Fprintf(w, "; no response from, and therefore not included: %s", strings.Join(rep.Missing, ", "))
 	}
 	_, _ = fmt.Fprintln(w)
 }
--- a/cmd/sagestand/serve.go
+++ b/cmd/sagestand/serve.go
@@ -21,7 +21,7 @@
 		Example: "  sagestand serve --settings node.json",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			cfg, err := load(path)
+			cfg, err := loadSettings(path)
 			if err != nil {
 				return err
 			}
@@ -36,8 +36,8 @@
 	return c
 }
 
-// load reads settings; every fault stands in the one line of the error.
-func load(path string) (sagesettings.Settings, error) {
+// loadSettings reads a settings file. The error lists every invalid field in one line.
+func loadSettings(path string) (sagesettings.Settings, error) {
 	if path == "" {
 		return sagesettings.Settings{}, fmt.Errorf("%w: --settings FILE is missing", sagecli.ErrUsage)
 	}
--- a/cmd/sagestand/settings.go
+++ b/cmd/sagestand/settings.go
@@ -21,7 +21,7 @@
 func settingsCheckCommand(out *sagecli.Output) *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Report every fault of a settings file at once",
+		Short:   "Report all errors in a settings file",
 		Example: "  sagestand settings check node.json",
 		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -49,7 +49,7 @@
 				return perr
 			}
 			if len(faults) > 0 {
-				return fmt.Errorf("%w: %s: %d to mend, see above", sagecli.ErrSettings, args[0], len(faults))
+				return fmt.Errorf("%w: %s: %d invalid fields, see above", sagecli.ErrSettings, args[0], len(faults))
 			}
 			return nil
 		},
@@ -76,7 +76,7 @@
 func settingsPageCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "page",
-		Short:   "Print docs/SETTINGS.md from the type",
+		Short:   "Generate docs/SETTINGS.md from the settings type",
 		Example: "  sagestand settings page > docs/SETTINGS.md",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/sagestand/status.go
+++ b/cmd/sagestand/status.go
@@ -20,7 +20,7 @@
 	f := new(nodeFlags)
 	c := &cobra.Command{
 		Use:     "status",
-		Short:   "Show what a node knows and does",
+		Short:   "Show the status of a node",
 		Example: "  sagestand status --node http://127.0.0.1:7301 --key-file operator.key --output json",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -35,7 +35,7 @@
 	return c
 }
 
-// printFields writes a line for each field of a JSON object.
+// printFields writes one line for each field of a JSON object, sorted by name.
 func printFields(w io.Writer, raw json.RawMessage) {
 	var m map[string]json.RawMessage
 	if json.Unmarshal(raw, &m) != nil {
@@ -76,7 +76,7 @@
 	}
 	c.Flags().StringVar(&entry, "entry", "127.0.0.1:7101", "entry address of any node")
 	c.Flags().StringVar(&keyFile, "key-file", "account.key", "file with the client account's key")
-	c.Flags().StringVar(&chat, "chat", "", "name of the chat")
+	c.Flags().StringVar(&chat, "chat", "", "identifier of the chat")
 	return c
 }
 
--- a/cmd/sagestand/ticket.go
+++ b/cmd/sagestand/ticket.go
@@ -21,7 +21,7 @@
 
 func ticketCommand(out *sagecli.Output) *cobra.Command {
 	f := new(nodeFlags)
-	c := &cobra.Command{Use: "ticket", Short: "Submit change tickets and see where they are in force"}
+	c := &cobra.Command{Use: "ticket", Short: "Submit change tickets and show where they are in force"}
 	f.add(c)
 	c.AddCommand(ticketSubmitCommand(out, f), ticketStatusCommand(out, f), ticketListCommand(out, f), ticketShowCommand(out, f))
 	return c
@@ -45,7 +45,7 @@
 			var raw json.RawMessage
 			if err := f.call(c.Context(), http.MethodPost, "/v1/tickets", b, &raw); err != nil {
 				if errors.Is(err, sagecli.ErrUnreachable) || errors.Is(err, sageoperator.ErrUnknown) {
-					return fmt.Errorf("%w; the ticket may be in force: submit it again, which is safe and tells", err)
+					return fmt.Errorf("%w; the ticket may have been accepted: submit it again to find out, which is safe", err)
 				}
 				return err
 			}
@@ -60,17 +60,17 @@
 		_, _ = fmt.Fprintf(w, "%s\n", raw)
 		return
 	}
-	again := ""
+	suffix := ""
 	if acc.Repeated {
-		again = ", as before"
+		suffix = ", as before"
 	}
-	_, _ = fmt.Fprintf(w, "ticket %d accepted at revision %d%s\n", acc.Number, acc.Revision, again)
+	_, _ = fmt.Fprintf(w, "ticket %d accepted at revision %d%s\n", acc.Number, acc.Revision, suffix)
 }
 
 func ticketStatusCommand(out *sagecli.Output, f *nodeFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "status NUMBER",
-		Short:   "Show on which nodes a ticket is in force, where not, and since when",
+		Short:   "Show on which nodes a ticket is in force, since when, and on which it is not",
 		Example: "  sagestand ticket status 17",
 		Args:    sagecli.ExactArgs("NUMBER"),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -90,14 +90,14 @@
 	_, _ = fmt.Fprintf(w, "ticket %d, revision %d, accepted at %s: in force on %d nodes, not on %d\n",
 		st.Number, st.Revision, st.AcceptedAt.Format(time.RFC3339Nano), len(st.InForce), len(st.NotInForce))
 	for _, n := range st.InForce {
-		since := "for long"
+		since := "since an unknown time"
 		if !n.Since.IsZero() {
 			since = "since " + n.Since.Format(time.RFC3339Nano)
 		}
 		_, _ = fmt.Fprintf(w, "  in force  %-12s %-12s %s\n", n.Node, n.DataCentre, since)
 	}
 	for _, n := range st.NotInForce {
-		_, _ = fmt.Fprintf(w, "  not       %-12s %-12s at revision %d, heard of at %s\n", n.Node, n.DataCentre, n.Revision, n.LastContact.Format(time.RFC3339Nano))
+		_, _ = fmt.Fprintf(w, "  not       %-12s %-12s at revision %d, last contact at %s\n", n.Node, n.DataCentre, n.Revision, n.LastContact.Format(time.RFC3339Nano))
 	}
 }
 
@@ -109,13 +109,13 @@
 		Example: "  sagestand ticket list --count 50",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
-			var ps []sageticket.Summary
-			if err := f.call(c.Context(), http.MethodGet, "/v1/tickets?n="+strconv.Itoa(count), nil, &ps); err != nil {
+			var summaries []sageticket.Summary
+			if err := f.call(c.Context(), http.MethodGet, "/v1/tickets?n="+strconv.Itoa(count), nil, &summaries); err != nil {
 				return err
 			}
-			return out.Print(c.OutOrStdout(), ps, func(w io.Writer) {
-				for _, p := range ps {
-					_, _ = fmt.Fprintf(w, "%8d  revision %-8d %s  %d things  %s  %s\n", p.Number, p.Revision, p.AcceptedAt.Format(time.RFC3339), p.ChangeCount, p.Author, p.Reason)
+			return out.Print(c.OutOrStdout(), summaries, func(w io.Writer) {
+				for _, s := range summaries {
+					_, _ = fmt.Fprintf(w, "%8d  revision %-8d %s  %d changes  %s  %s\n", s.Number, s.Revision, s.AcceptedAt.Format(time.RFC3339), s.ChangeCount, s.Author, s.Reason)
 				}
 			})
 		},
@@ -127,15 +127,15 @@
 func ticketShowCommand(out *sagecli.Output, f *nodeFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "show KIND/NAME",
-		Short:   "Show the state of a thing and the ticket that set it",
+		Short:   "Show a configuration entry and the ticket that set it",
 		Example: "  sagestand ticket show data_centre/derby",
 		Args:    sagecli.ExactArgs("KIND/NAME"),
 		RunE: func(c *cobra.Command, args []string) error {
-			t, err := sageconfig.ParseEntryKey(args[0])
+			key, err := sageconfig.ParseEntryKey(args[0])
 			if err != nil {
 				return fmt.Errorf("%w: %v", sagecli.ErrUsage, err)
 			}
-			raw, err := f.get(c.Context(), "/v1/things/"+t.String())
+			raw, err := f.get(c.Context(), "/v1/things/"+key.String())
 			if err != nil {
 				return err
 			}
--- a/cmd/sagestand/unknown.go
+++ b/cmd/sagestand/unknown.go
@@ -17,7 +17,7 @@
 
 func unknownCommand(out *sagecli.Output) *cobra.Command {
 	f := new(nodeFlags)
-	c := &cobra.Command{Use: "unknown", Short: "Requests with an idempotency key whose outcome nobody knows"}
+	c := &cobra.Command{Use: "unknown", Short: "Requests with an idempotency key and an unknown outcome"}
 	f.add(c)
 	c.AddCommand(unknownListCommand(out, f), unknownSettleCommand(out, f))
 	return c
@@ -26,7 +26,7 @@
 func unknownListCommand(out *sagecli.Output, f *nodeFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
-		Short:   "List the requests that a person has to settle",
+		Short:   "List the requests whose outcome an operator has to resolve",
 		Example: "  sagestand unknown list --key-file operator.key",
 		Args:    sagecli.ExactArgs(),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -44,7 +44,7 @@
 	for _, r := range list {
 		_, _ = fmt.Fprintf(w, "%-16s %-40s %-36s %-20s %s\n", r.Account, r.Key, r.ClaimID, r.Deadline.UTC().Format(time.RFC3339), r.State)
 	}
-	_, _ = fmt.Fprintf(w, "%d requests to settle\n", len(list))
+	_, _ = fmt.Fprintf(w, "%d requests to resolve\n", len(list))
 }
 
 func unknownSettleCommand(out *sagecli.Output, f *nodeFlags) *cobra.Command {
@@ -52,20 +52,20 @@
 	var ran, notRun bool
 	c := &cobra.Command{
 		Use:     "settle KEY CLAIM",
-		Short:   "Say whether a listed request ran; after --not-run its key can be used again",
+		Short:   "Record whether a listed request ran; after --not-run its key can be used again",
 		Example: "  sagestand unknown settle 1764700000123-box-17 5f0c… --account haller --ran",
 		Args:    sagecli.ExactArgs("KEY", "CLAIM"),
 		RunE: func(c *cobra.Command, args []string) error {
 			if account == "" || ran == notRun {
 				return fmt.Errorf("%w: want --account and one of --ran and --not-run", sagecli.ErrUsage)
 			}
-			set := sageclaims.Resolution{Account: account, Key: args[0], ClaimID: args[1], Outcome: sagewire.Complete}
+			resolution := sageclaims.Resolution{Account: account, Key: args[0], ClaimID: args[1], Outcome: sagewire.Complete}
 			if notRun {
-				set.Outcome = sagewire.NotRun
+				resolution.Outcome = sagewire.NotRun
 			}
-			b, err := json.Marshal(&set)
+			b, err := json.Marshal(&resolution)
 			if err != nil {
-				return fmt.Errorf("encode settlement: %w", err)
+				return fmt.Errorf("encode resolution: %w", err)
 			}
 			var rec sageclaim.Record
 			if err := f.call(c.Context(), http.MethodPost, "/v1/unknown", b, &rec); err != nil {
--- a/internal/sagecli/sagecli.go
+++ b/internal/sagecli/sagecli.go
@@ -24,7 +24,7 @@
 	ExitUnreachable = 5
 )
 
-// Errors that choose an exit code; any other error is [ExitFailed].
+// Errors that select the exit code. Any other error exits with [ExitFailed].
 var (
 	ErrUsage       = errors.New("usage")
 	ErrSettings    = errors.New("settings")
@@ -32,8 +32,8 @@
 	ErrUnreachable = errors.New("unreachable")
 )
 
-// ExitHelp describes the exit codes in a command's help.
-const ExitHelp = `Exit codes: 0 success, 1 failure, 2 usage, 3 settings, 4 refused by the node, 5 node not reached.`
+// ExitHelp describes the exit codes in the help of the root commands.
+const ExitHelp = `Exit codes: 0 success, 1 failure, 2 usage, 3 settings, 4 refused by the node, 5 node unreachable.`
 
 // ExitCode returns the exit code for err.
 func ExitCode(err error) int {
@@ -52,8 +52,8 @@
 	return ExitFailed
 }
 
-// Main runs a root command until it returns or the process is asked to stop, prints its error in
-// one line on stderr and returns the exit code.
+// Main runs a root command with a context that SIGTERM and SIGINT cancel, prints its error in one line
+// on stderr and returns the exit code.
 func Main(root *cobra.Command) int {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -71,11 +71,11 @@
 	return ExitCode(err)
 }
 
-// ExactArgs requires n arguments, each named in the message.
+// ExactArgs requires one positional argument for each name. The error message lists the names.
 func ExactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
-			return fmt.Errorf("%w: want %s, have %d arguments (see %s --help)", ErrUsage, strings.Join(names, " "), len(args), c.CommandPath())
+			return fmt.Errorf("%w: want arguments %s, got %d (see %s --help)", ErrUsage, strings.Join(names, " "), len(args), c.CommandPath())
 		}
 		return nil
 	}
@@ -86,12 +86,12 @@
 	Format string
 }
 
-// AddFlag adds the flag --output to a command and those below it.
+// AddFlag adds the flag --output to c and its subcommands.
 func (o *Output) AddFlag(c *cobra.Command) {
 	c.PersistentFlags().StringVar(&o.Format, "output", "text", "text or json")
 }
 
-// Print writes v as JSON, or runs text for a reader.
+// Print writes v as JSON, or calls text to write it for people, as Format selects.
 func (o *Output) Print(w io.Writer, v any, text func(w io.Writer)) error {
 	switch o.Format {
 	case "json":
