--- a/internal/sagecaller/caller.go
+++ b/internal/sagecaller/caller.go
@@ -19,24 +19,25 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrEntryUnavailable reports that no entry address answered.
-var ErrEntryUnavailable = errors.New("no entry address answered")
+// ErrEntryUnavailable reports that no entry address returned a usable response.
+var ErrEntryUnavailable = errors.New("no entry address returned a usable response")
 
 // Caller is one client of the system. Its exported fields are set before first use.
 type Caller struct {
-	// Entries are the addresses to ask first where to connect.
+	// Entries are the addresses that are asked where to connect.
 	Entries []string
 	Key     string
 	HTTP    *http.Client
-	// Fixed, when set, is the only address used: the caller does not ask where to connect.
+	// FixedEntry, if set, is the only address used; the caller doesn't ask where to connect.
 	FixedEntry string
 
-	mu    sync.Mutex
-	kept  map[string]sagelocate.Answer
-	token map[string]string
+	mu sync.Mutex
+	// located caches the addresses by chat, tokens the newest placement token by chat.
+	located map[string]sagelocate.Answer
+	tokens  map[string]string
 }
 
-// Options of one request.
+// Options are the properties of one request that are sent in headers.
 type Options struct {
 	ChatID         string
 	Context        string
@@ -45,14 +46,14 @@
 	IdempotencyKey string
 }
 
-// Result is how a request ended, as its caller saw it.
+// Result is how a request ended from the caller's point of view.
 type Result struct {
-	// Outcome is the outcome told; empty when the connection broke without one.
+	// Outcome is the outcome that the router reported; empty if the connection broke without one.
 	Outcome sagewire.Outcome
 	Refusal *sagewire.Refusal
-	// Wrong says how a complete answer differs from the one that belongs to the request.
+	// Mismatch describes how a complete response differs from the expected one.
 	Mismatch string
-	// Lost says why no outcome was told.
+	// Err is the reason why no outcome was received.
 	Err          error
 	Entry        string
 	Upstream     string
@@ -62,68 +63,68 @@
 	CachedTokens int
 }
 
-// Locate returns the entry addresses for a chat, from the kept answer while it is valid.
+// Locate returns the entry addresses for a chat, from the cache while the cached answer is valid.
 func (c *Caller) Locate(ctx context.Context, chat string) ([]string, error) {
 	if c.FixedEntry != "" {
 		return []string{c.FixedEntry}, nil
 	}
 	now := time.Now()
 	c.mu.Lock()
-	p, ok := c.kept[chat]
+	answer, ok := c.located[chat]
 	c.mu.Unlock()
-	if ok && now.Before(p.ValidUntil) {
-		return p.Addresses, nil
+	if ok && now.Before(answer.ValidUntil) {
+		return answer.Addresses, nil
 	}
 	last := ErrEntryUnavailable
 	for _, addr := range c.Entries {
-		p, err := c.ask(ctx, addr, chat)
+		answer, err := c.locateAt(ctx, addr, chat)
 		if err != nil {
 			last = err
 			continue
 		}
 		c.mu.Lock()
-		if c.kept == nil {
-			c.kept = make(map[string]sagelocate.Answer)
+		if c.located == nil {
+			c.located = make(map[string]sagelocate.Answer)
 		}
-		c.kept[chat] = p
+		c.located[chat] = answer
 		c.mu.Unlock()
-		return p.Addresses, nil
+		return answer.Addresses, nil
 	}
 	return nil, fmt.Errorf("locate: %w", last)
 }
 
-// Forget drops the kept answer for a chat, as a caller does whose addresses all fail.
+// ForgetAddresses drops the cached addresses of a chat, for use when none of them can be reached.
 func (c *Caller) ForgetAddresses(chat string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.kept, chat)
+	delete(c.located, chat)
 }
 
-func (c *Caller) ask(ctx context.Context, addr, chat string) (sagelocate.Answer, error) {
-	var p sagelocate.Answer
+func (c *Caller) locateAt(ctx context.Context, addr, chat string) (sagelocate.Answer, error) {
+	var answer sagelocate.Answer
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/locate?chat="+url.QueryEscape(chat), nil)
 	if err != nil {
-		return p, fmt.Errorf("ask %s: %w", addr, err)
+		return answer, fmt.Errorf("locate at %s: %w", addr, err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	res, err := c.HTTP.Do(req)
 	if err != nil {
-		return p, fmt.Errorf("ask %s: %w", addr, err)
+		return answer, fmt.Errorf("locate at %s: %w", addr, err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return p, fmt.Errorf("ask %s: %s: %w", addr, res.Status, ErrEntryUnavailable)
+		return answer, fmt.Errorf("locate at %s: %s: %w", addr, res.Status, ErrEntryUnavailable)
 	}
-	if err := json.NewDecoder(res.Body).Decode(&p); err != nil {
-		return p, fmt.Errorf("ask %s: %w", addr, err)
+	if err := json.NewDecoder(res.Body).Decode(&answer); err != nil {
+		return answer, fmt.Errorf("locate at %s: %w", addr, err)
 	}
-	if len(p.Addresses) == 0 {
-		return p, fmt.Errorf("ask %s: empty answer: %w", addr, ErrEntryUnavailable)
+	if len(answer.Addresses) == 0 {
+		return answer, fmt.Errorf("locate at %s: empty address list: %w", addr, ErrEntryUnavailable)
 	}
-	return p, nil
+	return answer, nil
 }
 
-// Chat sends one chat request and checks its answer.
+// Chat sends one chat request and checks its response.
 func (c *Caller) Chat(ctx context.Context, chat *sagestandin.ChatRequest, opt Options) Result {
 	body, err := json.Marshal(chat)
 	if err != nil {
@@ -133,88 +134,88 @@
 	for _, t := range sagestandin.Tokens(chat) {
 		want += t
 	}
-	return c.send(ctx, http.MethodPost, "/v1/chat/completions", body, opt, func(res *http.Response, e *Result) {
+	return c.send(ctx, http.MethodPost, "/v1/chat/completions", body, opt, func(res *http.Response, result *Result) {
 		if chat.Stream {
-			readStream(res.Body, want, e)
+			readStream(res.Body, want, result)
 			return
 		}
-		readWhole(res.Body, want, e)
+		readResponse(res.Body, want, result)
 	})
 }
 
-// Service sends one service call and checks that the answer echoes it.
+// Service sends one service call and checks that the response echoes it.
 func (c *Caller) Service(ctx context.Context, method, path string, body []byte, opt Options) Result {
-	return c.send(ctx, method, "/v1/services/"+path, body, opt, func(res *http.Response, e *Result) {
+	return c.send(ctx, method, "/v1/services/"+path, body, opt, func(res *http.Response, result *Result) {
 		b, err := io.ReadAll(res.Body)
-		e.FirstByteAt = time.Now()
+		result.FirstByteAt = time.Now()
 		if err != nil {
-			e.Err = fmt.Errorf("read answer: %w", err)
+			result.Err = fmt.Errorf("read response: %w", err)
 			return
 		}
 		var a sagestandin.ServiceAnswer
 		if err := json.Unmarshal(b, &a); err != nil {
-			e.Mismatch = "not the service's answer: " + err.Error()
+			result.Mismatch = "not a response of the service: " + err.Error()
 			return
 		}
 		if a.Echo != string(body) || a.Key != opt.IdempotencyKey {
-			e.Mismatch = fmt.Sprintf("answer to %q with key %q", a.Echo, a.Key)
+			result.Mismatch = fmt.Sprintf("response to %q with key %q", a.Echo, a.Key)
 		}
 	})
 }
 
-// send tries the located addresses in turn until one can be connected to. An address that took the
-// request and then failed ends the try: only an idempotent caller may go on, and this one leaves
-// that decision to its user.
+// send tries the located addresses in turn until a connection to one succeeds. If an address fails
+// after the connection, the request may have run, and only an idempotent request may be repeated. That
+// decision is left to the caller of send.
 func (c *Caller) send(ctx context.Context, method, path string, body []byte, opt Options, read func(*http.Response, *Result)) Result {
 	addrs, err := c.Locate(ctx, opt.ChatID)
 	if err != nil {
 		return Result{Err: err, EndedAt: time.Now()}
 	}
-	var e Result
+	var result Result
 	for _, addr := range addrs {
-		e = c.sendTo(ctx, addr, method, path, body, opt, read)
-		if !errors.Is(e.Err, errNotConnected) {
+		result = c.sendTo(ctx, addr, method, path, body, opt, read)
+		if !errors.Is(result.Err, errNotConnected) {
 			break
 		}
 	}
-	if e.Err != nil {
+	if result.Err != nil {
 		c.ForgetAddresses(opt.ChatID)
 	}
-	e.EndedAt = time.Now()
-	return e
+	result.EndedAt = time.Now()
+	return result
 }
 
 func (c *Caller) sendTo(ctx context.Context, addr, method, path string, body []byte, opt Options, read func(*http.Response, *Result)) Result {
-	e := Result{Entry: addr}
+	result := Result{Entry: addr}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		e.Err = err
-		return e
+		result.Err = err
+		return result
 	}
 	req.GetBody = nil
 	c.setHeader(req.Header, opt)
 	res, err := c.HTTP.Do(req)
 	if err != nil {
-		e.Err = classify(err)
-		return e
+		result.Err = classifyError(err)
+		return result
 	}
 	defer func() { _ = res.Body.Close() }()
-	e.Upstream = res.Header.Get(sagewire.HeaderUpstream)
-	e.PromptTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderPromptTokens))
-	e.CachedTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderCachedTokens))
+	result.Upstream = res.Header.Get(sagewire.HeaderUpstream)
+	result.PromptTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderPromptTokens))
+	result.CachedTokens, _ = strconv.Atoi(res.Header.Get(sagewire.HeaderCachedTokens))
 	if t := res.Header.Get(sagewire.HeaderPlacement); t != "" {
-		c.keepToken(opt.ChatID, t)
+		c.storeToken(opt.ChatID, t)
 	}
-	e.Outcome = sagewire.Outcome(res.Header.Get(sagewire.HeaderOutcome))
-	if e.Outcome == sagewire.Complete || (e.Outcome == "" && res.StatusCode == http.StatusOK) {
-		read(res, &e)
-		if e.Outcome == "" && e.Err == nil {
-			e.Outcome = sagewire.Outcome(res.Trailer.Get(sagewire.HeaderOutcome))
+	result.Outcome = sagewire.Outcome(res.Header.Get(sagewire.HeaderOutcome))
+	if result.Outcome == sagewire.Complete || (result.Outcome == "" && res.StatusCode == http.StatusOK) {
+		read(res, &result)
+		if result.Outcome == "" && result.Err == nil {
+			result.Outcome = sagewire.Outcome(res.Trailer.Get(sagewire.HeaderOutcome))
 		}
-		return e
+		return result
 	}
-	readRefusal(res, &e)
-	return e
+	readRefusal(res, &result)
+	return result
 }
 
 func (c *Caller) setHeader(h http.Header, opt Options) {
@@ -232,15 +233,15 @@
 		set(sagewire.HeaderDeadline, opt.Deadline.Format(time.RFC3339Nano))
 	}
 	c.mu.Lock()
-	set(sagewire.HeaderPlacement, c.token[opt.ChatID])
+	set(sagewire.HeaderPlacement, c.tokens[opt.ChatID])
 	c.mu.Unlock()
 }
 
-func (c *Caller) keepToken(chat, token string) {
+func (c *Caller) storeToken(chat, token string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.token == nil {
-		c.token = make(map[string]string)
+	if c.tokens == nil {
+		c.tokens = make(map[string]string)
 	}
-	c.token[chat] = token
+	c.tokens[chat] = token
 }
--- a/internal/sagecaller/doc.go
+++ b/internal/sagecaller/doc.go
@@ -1,12 +1,13 @@
-// Package sagecaller is a caller of the system for tests, measurements and the demo. It asks where
-// to connect, keeps that answer until its deadline, sends chats and service calls, and checks each
-// answer against the one that belongs to its request: a missing, a foreign or a doubled piece shows.
+// Package sagecaller is a client of the system for tests, measurements and the demo. It asks a router
+// where to connect, caches the answer until it expires, sends chats and service calls, and compares
+// each response with the expected one. Missing or duplicated parts, and parts of other responses, show
+// as a mismatch.
 //
 // # Usage
 //
 //	c := &sagecaller.Caller{Entries: []string{"127.0.0.1:7101"}, Key: key, HTTP: http.DefaultClient}
-//	end := c.Chat(ctx, &sagestandin.ChatRequest{Model: "assist", Messages: messages, Stream: true}, opt)
-//	if end.Outcome != sagewire.Complete {
-//		fmt.Println(end.Outcome, end.Refusal)
+//	result := c.Chat(ctx, &sagestandin.ChatRequest{Model: "assist", Messages: messages, Stream: true}, opt)
+//	if result.Outcome != sagewire.Complete {
+//		fmt.Println(result.Outcome, result.Refusal)
 //	}
 package sagecaller
--- a/internal/sagecaller/read.go
+++ b/internal/sagecaller/read.go
@@ -17,12 +17,12 @@
 )
 
 var (
-	errNotConnected = errors.New("not connected")
-	errNoEnd        = errors.New("stream ended without its end mark")
+	errNotConnected    = errors.New("not connected")
+	errStreamTruncated = errors.New("stream ended without its end marker")
 )
 
-// classify tells a failed connection, after which nothing was sent, from a later failure.
-func classify(err error) error {
+// classifyError marks a failure to connect, after which nothing was sent, with errNotConnected.
+func classifyError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%v: %w", err, errNotConnected)
@@ -30,53 +30,53 @@
 	return err
 }
 
-func readRefusal(res *http.Response, e *Result) {
+func readRefusal(res *http.Response, result *Result) {
 	b, err := io.ReadAll(io.LimitReader(res.Body, 1<<20))
 	if err != nil {
-		e.Outcome, e.Err = "", fmt.Errorf("read refusal: %w", err)
+		result.Outcome, result.Err = "", fmt.Errorf("read refusal: %w", err)
 		return
 	}
 	ref, err := sagewire.DecodeRefusal(b)
 	if err != nil {
-		if e.Outcome == sagewire.AlreadyRun {
-			return // the stored answer of the first run
+		if result.Outcome == sagewire.AlreadyRun {
+			return // the body is the stored response of the first run
 		}
-		e.Mismatch = fmt.Sprintf("status %d with no refusal: %v", res.StatusCode, err)
+		result.Mismatch = fmt.Sprintf("status %d without a refusal: %v", res.StatusCode, err)
 		return
 	}
-	if ref.Outcome != e.Outcome {
-		e.Mismatch = fmt.Sprintf("header says %q, body %q", e.Outcome, ref.Outcome)
+	if ref.Outcome != result.Outcome {
+		result.Mismatch = fmt.Sprintf("outcome %q in the header, %q in the body", result.Outcome, ref.Outcome)
 	}
-	e.Refusal = ref
+	result.Refusal = ref
 }
 
-func readWhole(body io.Reader, want string, e *Result) {
+func readResponse(body io.Reader, want string, result *Result) {
 	b, err := io.ReadAll(body)
-	e.FirstByteAt = time.Now()
+	result.FirstByteAt = time.Now()
 	if err != nil {
-		e.Err = fmt.Errorf("read answer: %w", err)
+		result.Err = fmt.Errorf("read response: %w", err)
 		return
 	}
 	var a sagestandin.ChatAnswer
 	if err := json.Unmarshal(b, &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Message == nil {
-		e.Mismatch = "not a chat answer"
+		result.Mismatch = "not a chat response"
 		return
 	}
 	if got := a.Choices[0].Message.Content; got != want {
-		e.Mismatch = fmt.Sprintf("answer %.40q, want %.40q", got, want)
+		result.Mismatch = fmt.Sprintf("response %.40q, want %.40q", got, want)
 	}
 }
 
-// readStream reads server-sent events to the end mark or to an explicit error event.
-func readStream(body io.Reader, want string, e *Result) {
+// readStream reads server-sent events up to the end marker or an error event.
+func readStream(body io.Reader, want string, result *Result) {
 	var got strings.Builder
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, 1<<20)
 	event := ""
 	for sc.Scan() {
 		line := sc.Text()
-		if e.FirstByteAt.IsZero() {
-			e.FirstByteAt = time.Now()
+		if result.FirstByteAt.IsZero() {
+			result.FirstByteAt = time.Now()
 		}
 		if name, ok := strings.CutPrefix(line, "event: "); ok {
 			event = name
@@ -86,35 +86,35 @@
 			continue
 		}
 		if event == "error" {
-			readErrorEvent(data, e)
+			readErrorEvent(data, result)
 			return
 		}
 		if data == "[DONE]" {
-			e.Outcome = sagewire.Complete
+			result.Outcome = sagewire.Complete
 			if got.String() != want {
-				e.Mismatch = fmt.Sprintf("stream %.40q, want %.40q", got.String(), want)
+				result.Mismatch = fmt.Sprintf("stream %.40q, want %.40q", got.String(), want)
 			}
 			return
 		}
 		var a sagestandin.ChatAnswer
 		if err := json.Unmarshal([]byte(data), &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Delta == nil {
-			e.Mismatch = "not a chat event"
+			result.Mismatch = "not a chat event"
 			return
 		}
 		got.WriteString(a.Choices[0].Delta.Content)
 	}
-	e.Outcome = ""
-	e.Err = errNoEnd
+	result.Outcome = ""
+	result.Err = errStreamTruncated
 	if err := sc.Err(); err != nil {
-		e.Err = fmt.Errorf("%v: %w", err, errNoEnd)
+		result.Err = fmt.Errorf("%v: %w", err, errStreamTruncated)
 	}
 }
 
-func readErrorEvent(data string, e *Result) {
+func readErrorEvent(data string, result *Result) {
 	ref, err := sagewire.DecodeRefusal([]byte(data))
 	if err != nil {
-		e.Outcome, e.Mismatch = "", "error event without a refusal: "+err.Error()
+		result.Outcome, result.Mismatch = "", "error event without a refusal: "+err.Error()
 		return
 	}
-	e.Outcome, e.Refusal = ref.Outcome, ref
+	result.Outcome, result.Refusal = ref.Outcome, ref
 }
--- a/internal/sagedemo/doc.go
+++ b/internal/sagedemo/doc.go
@@ -1,6 +1,6 @@
-// Package sagedemo runs the whole system in one process on loopback: the platform stand-in, routers,
-// engines and applications, under mixed load, with one data centre taken out and brought back by
-// change tickets.
+// Package sagedemo runs the complete system in one process on loopback under mixed load: the platform
+// stand-in, routers, engines and applications. Change tickets take one data centre out of service and
+// put it back.
 //
 // # Usage
 //
--- a/internal/sagedemo/skew.go
+++ b/internal/sagedemo/skew.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// skew averages the greatest load of an engine as a multiple of the mean load, over samples in which
-// the engines have work.
+// skew averages the ratio of the highest load of an engine to the mean load, over samples with at least
+// one request in flight per engine on average.
 type skew struct {
 	sum float64
 	n   int
@@ -11,15 +11,15 @@
 
 // add takes one sample of the engines' requests in flight.
 func (s *skew) add(loads []int) {
-	total, most := 0, 0
+	total, peak := 0, 0
 	for _, l := range loads {
 		total += l
-		most = max(most, l)
+		peak = max(peak, l)
 	}
 	if total < len(loads) {
 		return
 	}
-	s.sum += float64(most) * float64(len(loads)) / float64(total)
+	s.sum += float64(peak) * float64(len(loads)) / float64(total)
 	s.n++
 }
 
@@ -30,9 +30,9 @@
 	return s.sum / float64(s.n)
 }
 
-// sample reads the engines' true load until done is closed.
+// sample reads the engines' actual load, rather than their delayed reports, until done is closed.
 func (d *Demo) sample(s *skew, done <-chan struct{}) {
-	t := time.NewTicker(sampleGap)
+	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/sageexplain/explain.go
+++ b/internal/sageexplain/explain.go
@@ -1,9 +1,9 @@
-// Package sageexplain tells the story of one request from the logs of several nodes.
+// Package sageexplain collects the log lines of one request from several nodes in order of time.
 //
 // # Usage
 //
-//	story, err := sageexplain.Read("9c41d0", files...)
-//	story.Write(os.Stdout)
+//	timeline, err := sageexplain.Read("9c41d0", files...)
+//	timeline.Write(os.Stdout)
 package sageexplain
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRequestNotFound reports that no log mentions the request.
-var ErrRequestNotFound = errors.New("no line names the request: it was served without a failure, or its lines were left out under load")
+// ErrRequestNotFound reports that no log line names the request.
+var ErrRequestNotFound = errors.New("no log line names the request: it was served without a failure, or its lines were dropped under load")
 
-// Line is one line about the request.
+// Line is one log line about the request.
 type Line struct {
 	At   string
 	Node string
 	Msg  string
-	// Pairs are the other fields in the order of the line.
+	// Pairs are the other fields of the line as key=value, in their order.
 	Pairs []string
 }
 
-// Timeline is what the logs say of one request, in order.
+// Timeline holds the log lines about one request in order of time.
 type Timeline struct {
 	ID    string
 	Lines []Line
-	// Cause is what the last line says.
+	// Cause explains the reason in the last line, or is its message if it has no reason.
 	Cause string
 }
 
@@ -42,7 +42,7 @@
 	io.Reader
 }
 
-// Read collects the lines about a request. Lines that aren't logfmt are passed over.
+// Read collects the lines about a request. It skips lines that aren't logfmt.
 func Read(id string, logs ...Log) (Timeline, error) {
 	s := Timeline{ID: id}
 	for _, l := range logs {
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// parse decodes a line, and reports whether it is about the request.
+// parse decodes a line and reports whether it is about the request.
 func parse(text, id string) (Line, bool) {
 	var out Line
-	about := false
+	matches := false
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	d.ScanRecord()
 	for d.ScanKeyval() {
@@ -91,50 +91,50 @@
 			out.Msg = v
 		case "level":
 		case "id":
-			about = v == id
+			matches = v == id
 		default:
 			out.Pairs = append(out.Pairs, k+"="+v)
 		}
 	}
-	return out, about && d.Err() == nil
+	return out, matches && d.Err() == nil
 }
 
-// causes explain the reasons that a line may state.
+// causes maps the reasons in log lines to explanations.
 var causes = map[string]string{
-	"no_config":       "the node had just started and knew no configuration",
-	"not_fresh":       "the node had no proof that its configuration was fresh, so it trusted no key; look for the store's or the peers' silence before this line",
+	"no_config":       "the node had just started and had no configuration",
+	"not_fresh":       "the node had no proof that its configuration was fresh, so it accepted no API key; look for lost contact with the store or the peers before this line",
 	"bad_request":     "the request had no id",
 	"too_large":       "the body was larger than the configuration allows",
-	"no_memory":       "the bodies of other requests took the memory set aside for them",
-	"no_upstream":     "no upstream of the service might be used, or all had declined",
+	"no_memory":       "the bodies of other requests used all the memory reserved for bodies",
+	"no_upstream":     "no upstream of the service could be used, or all had declined the request",
 	"upstream_full":   "every upstream that was asked declined the request",
-	"upstream_failed": "the upstream answered with a failure of its own, which was passed on",
-	"answer_lost":     "an upstream took the request and gave no whole answer; see the cause of the exchange before",
-	"quarantined":     "upstreams had crashed under requests with the same fingerprint; look for it in the lines of their crashes",
-	"timed_out":       "the upstream was still at work, or silent, at the deadline",
+	"upstream_failed": "the upstream returned an error of its own, which was passed on",
+	"answer_lost":     "an upstream accepted the request and returned no complete response; see the cause of the preceding exchange",
+	"quarantined":     "upstreams had crashed under requests with the same fingerprint; search for it in the log lines of the crashes",
+	"timed_out":       "the upstream was still working or unresponsive at the deadline",
 }
 
 func cause(l *Line) string {
 	for _, p := range l.Pairs {
-		if r, ok := strings.CutPrefix(p, "reason="); ok {
-			if c := causes[r]; c != "" {
-				return r + ": " + c
+		if reason, ok := strings.CutPrefix(p, "reason="); ok {
+			if explanation := causes[reason]; explanation != "" {
+				return reason + ": " + explanation
 			}
-			return r
+			return reason
 		}
 	}
 	return l.Msg
 }
 
-// Write prints the story for a person.
+// Write prints the timeline as text.
 func (s *Timeline) Write(w io.Writer) error {
 	for _, l := range s.Lines {
 		if _, err := fmt.Fprintf(w, "%s  %-12s %s  %s\n", l.At, l.Node, l.Msg, strings.Join(l.Pairs, " ")); err != nil {
-			return fmt.Errorf("write story: %w", err)
+			return fmt.Errorf("write timeline: %w", err)
 		}
 	}
 	if _, err := fmt.Fprintf(w, "cause: %s\n", s.Cause); err != nil {
-		return fmt.Errorf("write story: %w", err)
+		return fmt.Errorf("write timeline: %w", err)
 	}
 	return nil
 }
--- a/internal/sageexplain/explain_test.go
+++ b/internal/sageexplain/explain_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-const one = `at=2026-01-01T00:00:02Z node=vm1 level=info msg="relay: Request given up." id=q7 reason=answer_lost sends=1
+const logVM1 = `at=2026-01-01T00:00:02Z node=vm1 level=info msg="relay: Request given up." id=q7 reason=answer_lost sends=1
 garbage "
 at=2026-01-01T00:00:01Z node=vm1 level=info msg="relay: Exchange failed." id=q7 upstream=e1 verdict=failed cause="connection reset"
 at=2026-01-01T00:00:01Z node=vm1 level=info msg="relay: Exchange failed." id=q77 upstream=e1
 `
 
-const two = `at=2026-01-01T00:00:00Z node=vm2 level=info msg="relay: Request refused." id=q7 reason=not_fresh status=503
+const logVM2 = `at=2026-01-01T00:00:00Z node=vm2 level=info msg="relay: Request refused." id=q7 reason=not_fresh status=503
 `
 
 func TestTimelineMergesNodesInOrder(t *testing.T) {
-	s, err := Read("q7", Log{"one", strings.NewReader(one)}, Log{"two", strings.NewReader(two)})
+	timeline, err := Read("q7", Log{"one", strings.NewReader(logVM1)}, Log{"two", strings.NewReader(logVM2)})
 	require.NoError(t, err)
-	require.Len(t, s.Lines, 3)
-	require.Equal(t, "vm2", s.Lines[0].Node)
-	require.Contains(t, s.Lines[1].Pairs, "cause=connection reset")
-	require.True(t, strings.HasPrefix(s.Cause, "answer_lost: "))
+	require.Len(t, timeline.Lines, 3)
+	require.Equal(t, "vm2", timeline.Lines[0].Node)
+	require.Contains(t, timeline.Lines[1].Pairs, "cause=connection reset")
+	require.True(t, strings.HasPrefix(timeline.Cause, "answer_lost: "))
 	var out strings.Builder
-	require.NoError(t, s.Write(&out))
+	require.NoError(t, timeline.Write(&out))
 	require.Contains(t, out.String(), "\ncause: answer_lost")
 }
 
 func TestUnknownRequest(t *testing.T) {
-	_, err := Read("q8", Log{"one", strings.NewReader(one)})
+	_, err := Read("q8", Log{"one", strings.NewReader(logVM1)})
 	require.ErrorIs(t, err, ErrRequestNotFound)
 }
