--- a/internal/sagefleet/doc.go
+++ b/internal/sagefleet/doc.go
@@ -1,10 +1,11 @@
-// Package sagefleet lays out a small fleet on loopback addresses, for the path check, the demo and
-// tests: the platform stand-in, routers over several data centres, engines and applications, their
-// settings and the first ticket. A [Fleet] runs it as processes of their own; the demo runs the same
-// layout inside one process.
+// Package sagefleet lays out a small fleet on loopback addresses for the path check, the demo and
+// tests: the platform stand-in, routers in several data centres, engines and applications, their
+// settings, and the first ticket. A [Fleet] runs a layout as separate processes, an [Embedded] fleet
+// runs it inside the current process.
 //
-// Every fleet of a machine has its own loopback network, 127.a.b.0/24 with a and b from the process
-// number, so that fleets running side by side never meet.
+// Each fleet on a machine uses its own loopback network 127.a.b.0/24, where a and b derive from the
+// process ID and the number of the fleet in the process, so that concurrent fleets don't contact each
+// other.
 //
 // # Usage
 //
--- a/internal/sagefleet/embedded.go
+++ b/internal/sagefleet/embedded.go
@@ -17,13 +17,13 @@
 	"sagestand.example/sagestand/pkg/sageconfig"
 )
 
-// Embedded runs a layout inside this process, on loopback. Its exported fields are set before Start;
-// Start sets the rest.
+// Embedded runs a layout inside the current process, on loopback. Layout, NewEngine and Log are set
+// before Start, which sets the other exported fields.
 type Embedded struct {
 	Layout *Layout
-	// Engine is what each engine is like; its name is set from the layout.
+	// NewEngine returns the stand-in for the engine of the given name; nil means [DefaultEngine].
 	NewEngine func(name string) *sagestandin.Engine
-	// Log takes the nodes' logs; nil for none.
+	// Log receives the nodes' logs; nil discards them.
 	Log io.Writer
 
 	Platform     *sagestandin.Platform
@@ -35,10 +35,10 @@
 	servers []*http.Server
 	cancel  context.CancelFunc
 	running sync.WaitGroup
-	ends    []error
+	runErrs []error
 }
 
-// DefaultEngine returns an engine with a quick pace and all faults off.
+// DefaultEngine returns a fast engine without faults.
 func DefaultEngine(name string) *sagestandin.Engine {
 	return &sagestandin.Engine{
 		Name: name, Slots: engineSlots, CacheTokens: 20000, TokenMicros: 500, PromptMicros: 20,
@@ -46,7 +46,7 @@
 	}
 }
 
-// Start starts stand-ins and routers, submits the first ticket and waits until every node serves.
+// Start starts stand-ins and routers, submits the first ticket and waits until every node is ready.
 func (e *Embedded) Start(ctx context.Context) error {
 	dir, err := os.MkdirTemp("", "sagestand-embedded")
 	if err != nil {
@@ -111,7 +111,7 @@
 	return err
 }
 
-// serve serves h at addr until the server is closed.
+// serve serves h at addr in the background until the server is closed.
 func serve(addr string, h http.Handler) (*http.Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -123,9 +123,9 @@
 }
 
 func (e *Embedded) startNodes(ctx context.Context) error {
-	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	e.cancel = cancel
-	e.ends = make([]error, len(e.Layout.Nodes))
+	e.runErrs = make([]error, len(e.Layout.Nodes))
 	for i, s := range e.Layout.Nodes {
 		var log sagelog.Logger
 		if e.Log != nil {
@@ -136,7 +136,7 @@
 			return err
 		}
 		e.Nodes = append(e.Nodes, n)
-		e.running.Go(func() { e.ends[i] = n.Run(run) })
+		e.running.Go(func() { e.runErrs[i] = n.Run(runCtx) })
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("%v: %w", n.Ready(), ErrNotReady)
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
@@ -157,14 +157,14 @@
 }
 
 // Operator returns a client of a node's operator interface.
-func (e *Embedded) Operator(node int) *sageoperator.Client { return operator(e.Layout, node) }
+func (e *Embedded) Operator(node int) *sageoperator.Client { return operatorClient(e.Layout, node) }
 
-// Submit submits a ticket through one node.
+// Submit submits a ticket to one node.
 func (e *Embedded) Submit(ctx context.Context, node int, t *sageconfig.Ticket) error {
 	return e.Operator(node).Submit(ctx, t)
 }
 
-// Executions adds up how often the applications ran each idempotency key.
+// Executions returns how often the applications ran each idempotency key in total.
 func (e *Embedded) Executions() map[string]int {
 	m := make(map[string]int)
 	for _, a := range e.Applications {
@@ -175,7 +175,7 @@
 	return m
 }
 
-// ControlBytes adds up the control traffic of all nodes so far.
+// ControlBytes returns the total control traffic of all nodes so far.
 func (e *Embedded) ControlBytes() int64 {
 	var n int64
 	for _, node := range e.Nodes {
@@ -184,7 +184,7 @@
 	return n
 }
 
-// ClaimBytes adds up the traffic of all nodes for claims so far.
+// ClaimBytes returns the total claim traffic of all nodes so far.
 func (e *Embedded) ClaimBytes() int64 {
 	var n int64
 	for _, node := range e.Nodes {
@@ -193,7 +193,8 @@
 	return n
 }
 
-// Stop stops the nodes gracefully, then the stand-ins, and returns the first node's error.
+// Stop stops the nodes gracefully, then the stand-ins, and returns the error of the first node that
+// failed.
 func (e *Embedded) Stop() error {
 	if e.cancel != nil {
 		e.cancel()
@@ -203,7 +204,7 @@
 		_ = s.Close()
 	}
 	_ = os.RemoveAll(e.dir)
-	for _, err := range e.ends {
+	for _, err := range e.runErrs {
 		if err != nil {
 			return fmt.Errorf("stop: %w", err)
 		}
--- a/internal/sagefleet/executions.go
+++ b/internal/sagefleet/executions.go
@@ -11,9 +11,9 @@
 	"sagestand.example/sagestand/pkg/sageconfig"
 )
 
-// Executions asks every application how often it ran each idempotency key, and adds them up.
+// Executions asks every application how often it ran each idempotency key and returns the totals.
 func (f *Fleet) Executions(ctx context.Context) (map[string]int, error) {
-	n := make(map[string]int)
+	counts := make(map[string]int)
 	for _, u := range f.Layout.Upstreams {
 		if u.Kind != sageconfig.Application {
 			continue
@@ -26,20 +26,20 @@
 		if err != nil {
 			return nil, fmt.Errorf("executions of %s: %w", u.Name, err)
 		}
-		var m map[string]sagestandin.Execution
-		err = json.NewDecoder(res.Body).Decode(&m)
+		var executions map[string]sagestandin.Execution
+		err = json.NewDecoder(res.Body).Decode(&executions)
 		_ = res.Body.Close()
 		if err != nil {
 			return nil, fmt.Errorf("executions of %s: %w", u.Name, err)
 		}
-		for k, e := range m {
-			n[k] += e.Count
+		for key, execution := range executions {
+			counts[key] += execution.Count
 		}
 	}
-	return n, nil
+	return counts, nil
 }
 
-// SetFaults replaces the faults of the stand-in at an address.
+// SetFaults replaces the fault plan of the stand-in at addr.
 func SetFaults(ctx context.Context, addr string, p sagestandin.FaultPlan) error {
 	b, err := json.Marshal(p)
 	if err != nil {
--- a/internal/sagefleet/fleet.go
+++ b/internal/sagefleet/fleet.go
@@ -14,28 +14,30 @@
 	"sagestand.example/sagestand/pkg/sageconfig"
 )
 
-// Fleet runs a layout as processes. Its exported fields are set before Start.
+// Fleet runs a layout as processes. Its exported fields up to InProcessUpstreams are set before Start,
+// which sets the others.
 type Fleet struct {
 	Layout *Layout
-	// Sagestand and Sagebench are the programs' paths.
+	// Sagestand and Sagebench are the paths of the programs.
 	Sagestand string
 	Sagebench string
-	// Dir takes settings, keys and logs.
+	// Dir is the directory for settings, keys and logs.
 	Dir string
-	// EngineArgs and PlatformArgs are further arguments of the stand-ins.
+	// EngineArgs and PlatformArgs are additional arguments of the stand-ins.
 	EngineArgs   []string
 	PlatformArgs []string
-	// Inline runs engines and applications inside this process, for fleets with many of them.
+	// InProcessUpstreams runs engines and applications inside the current process, for fleets with many
+	// of them.
 	InProcessUpstreams bool
 
-	inline    []*http.Server
-	Platform  *Process
-	Upstreams []*Process
-	Nodes     []*Process
+	upstreamServers []*http.Server
+	Platform        *Process
+	Upstreams       []*Process
+	Nodes           []*Process
 }
 
-// Start starts the stand-ins and the routers, submits the first ticket and waits until every node
-// serves.
+// Start starts the stand-ins and the routers, submits the first ticket and waits until every node is
+// ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	if err := f.StartStandins(ctx); err != nil {
 		return err
@@ -54,9 +56,10 @@
 	return nil
 }
 
-// StartStandins starts platform, engines and applications.
+// StartStandins starts the stand-ins for platform, engines and applications and waits until they are
+// ready.
 func (f *Fleet) StartStandins(ctx context.Context) error {
-	f.Platform = f.standin("platform", f.Layout.Platform, append([]string{"platform"}, f.PlatformArgs...))
+	f.Platform = f.newStandinProcess("platform", f.Layout.Platform, append([]string{"platform"}, f.PlatformArgs...))
 	all := []*Process{f.Platform}
 	if f.InProcessUpstreams {
 		if err := f.serveUpstreams(); err != nil {
@@ -72,7 +75,7 @@
 			args = append(args, "--slots", strconv.Itoa(engineSlots))
 			args = append(args, f.EngineArgs...)
 		}
-		p := f.standin(u.Name, u.Address, args)
+		p := f.newStandinProcess(u.Name, u.Address, args)
 		f.Upstreams = append(f.Upstreams, p)
 		all = append(all, p)
 	}
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// serveUpstreams serves engines and applications inside this process.
+// serveUpstreams serves engines and applications inside the current process.
 func (f *Fleet) serveUpstreams() error {
 	for _, u := range f.Layout.Upstreams {
 		h := (&sagestandin.Application{Name: u.Name}).Handler()
@@ -100,25 +103,26 @@
 		if err != nil {
 			return err
 		}
-		f.inline = append(f.inline, srv)
+		f.upstreamServers = append(f.upstreamServers, srv)
 	}
 	return nil
 }
 
-func (f *Fleet) standin(name, addr string, args []string) *Process {
+func (f *Fleet) newStandinProcess(name, addr string, args []string) *Process {
 	return &Process{
 		Name: name, Program: f.Sagebench, Args: append(append([]string{"standin"}, args...), "--listen", addr),
 		ReadyURL: "http://" + addr + "/standin/ready", LogFile: filepath.Join(f.Dir, name+".log"),
 	}
 }
 
-// StartNodes writes the settings and starts the routers; they are not ready before a ticket.
+// StartNodes writes the settings, starts the routers and waits until they are alive. They become ready
+// only with the first ticket.
 func (f *Fleet) StartNodes(ctx context.Context) error {
 	if err := f.Layout.WriteKeys(f.Dir); err != nil {
 		return err
 	}
 	for i := range f.Layout.Nodes {
-		p, err := f.node(i)
+		p, err := f.newNodeProcess(i)
 		if err != nil {
 			return err
 		}
@@ -135,7 +139,7 @@
 	return nil
 }
 
-func (f *Fleet) node(i int) (*Process, error) {
+func (f *Fleet) newNodeProcess(i int) (*Process, error) {
 	s := f.Layout.Nodes[i]
 	b, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -152,18 +156,19 @@
 }
 
 // Operator returns a client of a node's operator interface.
-func (f *Fleet) Operator(node int) *sageoperator.Client { return operator(f.Layout, node) }
+func (f *Fleet) Operator(node int) *sageoperator.Client { return operatorClient(f.Layout, node) }
 
-func operator(l *Layout, node int) *sageoperator.Client {
+func operatorClient(l *Layout, node int) *sageoperator.Client {
 	return &sageoperator.Client{URL: "http://" + l.Nodes[node].Listen.Operator, Key: OperatorKey, HTTP: http.DefaultClient}
 }
 
-// Submit submits a ticket through one node.
+// Submit submits a ticket to one node.
 func (f *Fleet) Submit(ctx context.Context, node int, t *sageconfig.Ticket) error {
 	return f.Operator(node).Submit(ctx, t)
 }
 
-// Stop kills whatever still runs.
+// Stop kills all processes that are still running and closes the upstreams that run in the current
+// process.
 func (f *Fleet) Stop() {
 	for _, p := range f.Nodes {
 		_ = p.Kill()
@@ -171,7 +176,7 @@
 	for _, p := range f.Upstreams {
 		_ = p.Kill()
 	}
-	for _, srv := range f.inline {
+	for _, srv := range f.upstreamServers {
 		_ = srv.Close()
 	}
 	if f.Platform != nil {
--- a/internal/sagefleet/layout.go
+++ b/internal/sagefleet/layout.go
@@ -12,7 +12,7 @@
 	"sagestand.example/sagestand/pkg/sageconfig"
 )
 
-// Names that every layout uses.
+// Names, keys, capacities, ports, host numbers and periods that all layouts share.
 const (
 	Model           = "assist"
 	ModelVersion    = "assist@1"
@@ -34,13 +34,14 @@
 	platformHost    = 250
 	engineHost      = 100
 	serviceHost     = 195
-	// hostsPerKind keeps the kinds apart: routers from 1, engines from 100, applications from 195 on.
-	hostsPerKind  = 50
-	stopMillis    = 5000
-	locateMillis  = 1000
-	isolatedAfter = 10000
-	grantMillis   = 1000
-	lagMillis     = 600
+	// hostsPerKind limits the hosts of each kind of process so that the kinds don't overlap: routers
+	// start at host 1, engines at 100, applications at 195.
+	hostsPerKind    = 50
+	stopMillis      = 5000
+	locateMillis    = 1000
+	isolatedMillis  = 10000
+	grantMillis     = 1000
+	reportLagMillis = 600
 )
 
 // Upstream is an engine or application of a layout.
@@ -51,27 +52,30 @@
 	Kind       sageconfig.UpstreamKind
 }
 
-// Layout is the plan of a fleet.
+// Layout is the configuration of a fleet: the platform's address, the nodes' settings and the
+// upstreams.
 type Layout struct {
 	Platform  string
 	Nodes     []sagesettings.Settings
 	Upstreams []Upstream
 }
 
-var networks atomic.Uint32
+// networkCount counts the layouts of this process; each gets its own network.
+var networkCount atomic.Uint32
 
-// NewLayout plans a fleet of so many routers and engines, spread in turn over the data centres, and
-// one application in each data centre.
+// NewLayout lays out a fleet with the given numbers of routers and engines, assigned to the data
+// centres in turn, and one application in each data centre.
 func NewLayout(routers, engines int, dataCentres []string) *Layout {
 	pid := os.Getpid()
-	network := fmt.Sprintf("127.%d.%d", 1+pid%250, (pid/250+int(networks.Add(1))*16)%250)
-	// at spreads the members of a kind over the hosts that it has, and then over ports.
-	at := func(first, port, i int) string {
+	network := fmt.Sprintf("127.%d.%d", 1+pid%250, (pid/250+int(networkCount.Add(1))*16)%250)
+	// address assigns member i of a kind to a host of the kind. When all hosts are used, the next
+	// members get the next port.
+	address := func(first, port, i int) string {
 		return fmt.Sprintf("%s.%d:%d", network, first+i%hostsPerKind, port+i/hostsPerKind)
 	}
-	l := &Layout{Platform: at(platformHost, standinPort, 0)}
+	l := &Layout{Platform: address(platformHost, standinPort, 0)}
 	for i := range routers {
-		l.Nodes = append(l.Nodes, node(i, at, dataCentres[i%len(dataCentres)], l.Platform))
+		l.Nodes = append(l.Nodes, nodeSettings(i, address, dataCentres[i%len(dataCentres)], l.Platform))
 	}
 	var seeds []sagesettings.Seed
 	for _, n := range l.Nodes {
@@ -82,32 +86,32 @@
 	}
 	for i := range engines {
 		l.Upstreams = append(l.Upstreams, Upstream{
-			Name: fmt.Sprintf("engine%d", i+1), Address: at(engineHost, standinPort, i),
+			Name: fmt.Sprintf("engine%d", i+1), Address: address(engineHost, standinPort, i),
 			DataCentre: dataCentres[i%len(dataCentres)], Kind: sageconfig.Engine,
 		})
 	}
 	for i, dc := range dataCentres {
 		l.Upstreams = append(l.Upstreams, Upstream{
-			Name: fmt.Sprintf("application%d", i+1), Address: at(serviceHost, standinPort, i),
+			Name: fmt.Sprintf("application%d", i+1), Address: address(serviceHost, standinPort, i),
 			DataCentre: dc, Kind: sageconfig.Application,
 		})
 	}
 	return l
 }
 
-func node(i int, at func(first, port, i int) string, dataCentre, platform string) sagesettings.Settings {
+func nodeSettings(i int, address func(first, port, i int) string, dataCentre, platform string) sagesettings.Settings {
 	s := sagesettings.Default()
 	s.Node = sagesettings.Node{Name: fmt.Sprintf("vm%d", i+1), DataCentre: dataCentre, Region: "region1"}
-	s.Listen = sagesettings.Listen{Entry: at(1, entryPort, i), Peer: at(1, peerPort, i), Operator: at(1, operatorPort, i)}
+	s.Listen = sagesettings.Listen{Entry: address(1, entryPort, i), Peer: address(1, peerPort, i), Operator: address(1, operatorPort, i)}
 	s.Platform.URL = "http://" + platform
 	s.Locate.ValidMillis = locateMillis
 	s.Stop.WithinMillis = stopMillis
-	s.Isolated.AfterMillis = isolatedAfter
-	s.Load.GrantMillis, s.Load.PromiseMillis, s.Load.ReportLagMillis = grantMillis, grantMillis, lagMillis
+	s.Isolated.AfterMillis = isolatedMillis
+	s.Load.GrantMillis, s.Load.PromiseMillis, s.Load.ReportLagMillis = grantMillis, grantMillis, reportLagMillis
 	return s
 }
 
-// WriteKeys writes the key files into dir and names them in the settings of every node.
+// WriteKeys writes the key files to dir and sets their paths in the settings of every node.
 func (l *Layout) WriteKeys(dir string) error {
 	peer, op := filepath.Join(dir, "peer.key"), filepath.Join(dir, "operator.key")
 	if err := os.WriteFile(peer, []byte(PeerKey+"\n"), 0o600); err != nil {
@@ -122,7 +126,7 @@
 	return nil
 }
 
-// Entries returns the callers' addresses of all routers.
+// Entries returns the entry addresses of all routers.
 func (l *Layout) Entries() []string {
 	out := make([]string, len(l.Nodes))
 	for i, n := range l.Nodes {
@@ -131,7 +135,8 @@
 	return out
 }
 
-// FirstTicket returns the ticket that puts everything of the layout in service.
+// FirstTicket returns the ticket that adds all data centres, upstreams, routes and client accounts of
+// the layout.
 func (l *Layout) FirstTicket(number uint64) *sageconfig.Ticket {
 	t := &sageconfig.Ticket{Number: number, Author: "sagebench", Reason: "first configuration"}
 	add := func(kind sageconfig.Kind, name string, c sageconfig.Change) {
@@ -145,7 +150,7 @@
 			seen[u.DataCentre] = true
 			add(sageconfig.KindDataCentre, u.DataCentre, sageconfig.Change{DataCentre: &sageconfig.DataCentre{InService: true, Region: "region1"}})
 		}
-		add(sageconfig.KindUpstream, u.Name, sageconfig.Change{Upstream: u.state()})
+		add(sageconfig.KindUpstream, u.Name, sageconfig.Change{Upstream: u.toConfig()})
 		sets[u.Kind] = append(sets[u.Kind], u.Name)
 	}
 	add(sageconfig.KindUpstreamSet, EngineSet, sageconfig.Change{UpstreamSet: &sageconfig.UpstreamSet{Upstreams: sets[sageconfig.Engine]}})
@@ -153,13 +158,13 @@
 	add(sageconfig.KindModelSet, Model, sageconfig.Change{ModelSet: &sageconfig.ModelSet{Versions: []string{ModelVersion}}})
 	add(sageconfig.KindRoute, Model, sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteChat, UpstreamSet: EngineSet, ModelSet: Model}})
 	add(sageconfig.KindRoute, ServiceRoute, sageconfig.Change{Route: &sageconfig.Route{Kind: sageconfig.RouteService, UpstreamSet: ServiceSet}})
-	add(sageconfig.KindClientAccount, AccountName, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hash(AccountKey), Weight: 1}})
-	add(sageconfig.KindClientAccount, OtherAccount, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hash(OtherAccountKey), Weight: 1}})
+	add(sageconfig.KindClientAccount, AccountName, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hashKey(AccountKey), Weight: 1}})
+	add(sageconfig.KindClientAccount, OtherAccount, sageconfig.Change{ClientAccount: &sageconfig.ClientAccount{KeySHA256: hashKey(OtherAccountKey), Weight: 1}})
 	return t
 }
 
-// state returns the upstream's thing.
-func (u *Upstream) state() *sageconfig.Upstream {
+// toConfig returns the configuration of the upstream.
+func (u *Upstream) toConfig() *sageconfig.Upstream {
 	s := &sageconfig.Upstream{Kind: u.Kind, Address: u.Address, DataCentre: u.DataCentre, MaxInFlight: serviceSlots}
 	if u.Kind == sageconfig.Engine {
 		s.Models, s.MaxInFlight, s.ChecksFencing = []string{ModelVersion}, engineSlots, true
@@ -167,7 +172,7 @@
 	return s
 }
 
-// DataCentreTicket returns the ticket that takes a data centre out of service or back.
+// DataCentreTicket returns the ticket that takes a data centre out of service or puts it back.
 func DataCentreTicket(number uint64, dataCentre string, inService bool) *sageconfig.Ticket {
 	return &sageconfig.Ticket{Number: number, Author: "sagebench", Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
@@ -175,7 +180,7 @@
 	}}}
 }
 
-func hash(key string) string {
+func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/sagefleet/process.go
+++ b/internal/sagefleet/process.go
@@ -14,23 +14,23 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNotReady reports that a process did not get ready in time.
+// ErrNotReady reports that a process did not become ready in time.
 var ErrNotReady = errors.New("process not ready")
 
-// readyTimeout bounds the wait for a process.
+// readyTimeout limits how long a process may take to become ready.
 const readyTimeout = 20 * time.Second
 
-// readyPoll lies between two looks.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is the interval between two readiness checks.
+const readyPollInterval = 20 * time.Millisecond
 
-// Process is one process of a fleet. It can be killed, frozen and started again.
+// Process is an operating-system process of a fleet. It can be killed, suspended and restarted.
 type Process struct {
 	Name string
-	// Path and Args are what is run; Ready is the URL that answers 200 when it is ready.
+	// Program and Args are the command line. ReadyURL returns status 200 once the process is ready.
 	Program  string
 	Args     []string
 	ReadyURL string
-	// Log is the file that takes its output.
+	// LogFile is the file that its output is appended to.
 	LogFile string
 
 	mu   sync.Mutex
@@ -39,7 +39,7 @@
 	err  error
 }
 
-// Start starts the process; it does not wait until it is ready.
+// Start starts the process without waiting until it is ready.
 func (p *Process) Start() error {
 	f, err := os.OpenFile(p.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -48,7 +48,7 @@
 	defer func() { _ = f.Close() }()
 	cmd := exec.Command(p.Program, p.Args...)
 	cmd.Stdout, cmd.Stderr = f, f
-	// The child dies with this process, so that an aborted test leaves nothing running.
+	// The kernel kills the child when this process dies, so that an aborted test leaves no processes behind.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// WaitReady waits until the process answers on its ready URL.
+// WaitReady waits until ReadyURL returns status 200.
 func (p *Process) WaitReady(ctx context.Context) error { return p.waitFor(ctx, p.ReadyURL) }
 
-// waitFor waits until the process answers 200 on url.
+// waitFor waits until url returns status 200.
 func (p *Process) waitFor(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -91,12 +91,12 @@
 			return fmt.Errorf("%s: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.LogFile))
 		case <-p.exited():
 			return fmt.Errorf("%s exited: %w (see %s)", p.Name, ErrNotReady, filepath.Base(p.LogFile))
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// PID returns the process's number, 0 before its start.
+// PID returns the process ID, or 0 before Start.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Kill ends the process without notice and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// Terminate asks the process to stop gracefully and returns its error once it ended.
+// Terminate sends SIGTERM, waits until the process has exited, and returns the error of the process.
 func (p *Process) Terminate(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -152,6 +152,6 @@
 		defer p.mu.Unlock()
 		return p.err
 	case <-ctx.Done():
-		return fmt.Errorf("%s still runs: %w", p.Name, ctx.Err())
+		return fmt.Errorf("%s is still running: %w", p.Name, ctx.Err())
 	}
 }
--- a/internal/sageproc/fleet_test.go
+++ b/internal/sageproc/fleet_test.go
@@ -20,24 +20,24 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// limit bounds every wait; a healthy run needs a fraction of it.
-const limit = 40 * time.Second
+// waitTimeout limits every wait. A successful run needs a fraction of it.
+const waitTimeout = 40 * time.Second
 
-// bin is where TestMain builds the programs.
-var bin string
+// binDir is the directory where TestMain builds the programs.
+var binDir string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "sageproc")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	if err := readSources("../.."); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -50,8 +50,9 @@
 	return m.Run()
 }
 
-// readSources opens every source file below root. The go command caches a test's verdict by the files
-// that the test opens; without this, it would report the verdict of programs built earlier.
+// readSources reads every source file below root. The go command caches test results by the files that
+// the test opens; without this, it would report the cached result for programs built from older
+// sources.
 func readSources(root string) error {
 	return filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) != ".go" {
@@ -62,11 +63,11 @@
 	})
 }
 
-// eight is the size of the fleets that stand for today's.
-const eight = 8
+// fleetSize is the number of VMs of the deployment that the fleet stands for.
+const fleetSize = 8
 
-// start runs a fleet over four data centres until every node knows all.
-func start(t *testing.T, nodes int, edit func(*sagesettings.Settings)) *sagefleet.Fleet {
+// startFleet starts a fleet in four data centres and waits until every node lists all nodes as serving.
+func startFleet(t *testing.T, nodes int, edit func(*sagesettings.Settings)) *sagefleet.Fleet {
 	t.Helper()
 	l := sagefleet.NewLayout(nodes, 4, []string{"derby", "nottingham", "leicester", "lincoln"})
 	for i := range l.Nodes {
@@ -76,24 +77,24 @@
 		}
 	}
 	f := &sagefleet.Fleet{
-		Layout: l, Sagestand: filepath.Join(bin, "sagestand"), Sagebench: filepath.Join(bin, "sagebench"), Dir: t.TempDir(),
+		Layout: l, Sagestand: filepath.Join(binDir, "sagestand"), Sagebench: filepath.Join(binDir, "sagebench"), Dir: t.TempDir(),
 		EngineArgs: []string{"--token-micros", "40000"},
 	}
 	t.Cleanup(f.Stop)
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	require.NoError(t, f.StartStandins(ctx))
 	require.NoError(t, f.StartNodes(ctx))
-	// Under the quorum rule a node accepts once it has met most of the others.
-	eventually(t, "the first ticket is accepted", func() bool { return f.Submit(ctx, 0, l.FirstTicket(1)) == nil })
+	// Under the quorum rule a node accepts tickets only after contact with most of the others.
+	waitFor(t, "the first ticket is accepted", func() bool { return f.Submit(ctx, 0, l.FirstTicket(1)) == nil })
 	for i := range l.Nodes {
-		until(t, f, i, "knows all nodes", func(v *sagemembers.View) bool { return serving(v) == len(l.Nodes) })
+		waitForView(t, f, i, "lists all nodes as serving", func(v *sagemembers.View) bool { return countServing(v) == len(l.Nodes) })
 	}
 	return f
 }
 
-// view returns a node's view, or an empty one while it doesn't answer.
-func view(t *testing.T, f *sagefleet.Fleet, node int) *sagemembers.View {
+// fetchView returns a node's view of the members, or an empty one if the node doesn't respond.
+func fetchView(t *testing.T, f *sagefleet.Fleet, node int) *sagemembers.View {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
@@ -104,24 +105,24 @@
 	return v
 }
 
-// until polls a node's view.
-func until(t *testing.T, f *sagefleet.Fleet, node int, what string, ok func(*sagemembers.View) bool) {
+// waitForView polls a node's view until ok accepts it.
+func waitForView(t *testing.T, f *sagefleet.Fleet, node int, condition string, ok func(*sagemembers.View) bool) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%s %s", f.Layout.Nodes[node].Node.Name, what), func() bool { return ok(view(t, f, node)) })
+	waitFor(t, fmt.Sprintf("%s %s", f.Layout.Nodes[node].Node.Name, condition), func() bool { return ok(fetchView(t, f, node)) })
 }
 
-// eventually polls; what is printed when the limit passes.
-func eventually(t *testing.T, what any, ok func() bool) {
+// waitFor polls ok and fails the test with condition when waitTimeout has passed.
+func waitFor(t *testing.T, condition any, ok func() bool) {
 	t.Helper()
-	end := time.Now().Add(limit)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
-		require.True(t, time.Now().Before(end), "not within %v: %v", limit, what)
+		require.True(t, time.Now().Before(deadline), "not within %v: %v", waitTimeout, condition)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// serving counts the nodes that callers may be sent to.
-func serving(v *sagemembers.View) int {
+// countServing returns the number of nodes that callers can be sent to.
+func countServing(v *sagemembers.View) int {
 	n := 0
 	for _, x := range v.Nodes {
 		if x.State == sagemember.Alive && x.Phase == sagemember.Serving {
@@ -131,8 +132,8 @@
 	return n
 }
 
-// live returns the incarnation that a view holds for live at a node's address.
-func live(f *sagefleet.Fleet, v *sagemembers.View, node int) (uint64, bool) {
+// liveIncarnation returns the incarnation at a node's address that a view lists as alive or suspect.
+func liveIncarnation(f *sagefleet.Fleet, v *sagemembers.View, node int) (uint64, bool) {
 	for _, x := range v.Nodes {
 		if x.Address == f.Layout.Nodes[node].Listen.Peer && (x.State == sagemember.Alive || x.State == sagemember.Suspect) && x.Phase != sagemember.Gone {
 			return x.Incarnation, true
@@ -141,8 +142,8 @@
 	return 0, false
 }
 
-// faults sets the faults of a stand-in.
-func faults(t *testing.T, addr, plan string) {
+// setFaults replaces the fault plan of the stand-in at addr.
+func setFaults(t *testing.T, addr, plan string) {
 	t.Helper()
 	res, err := http.Post("http://"+addr+"/standin/faults", "application/json", strings.NewReader(plan))
 	require.NoError(t, err)
