--- a/internal/sagechaos/sagechaos.go
+++ b/internal/sagechaos/sagechaos.go
@@ -1,9 +1,10 @@
-// Package sagechaos runs a fleet of real processes under mixed load while routers are killed,
-// frozen and replaced at their address and the platform fails, and judges what callers were told.
+// Package sagechaos runs a fleet of real processes under mixed load while routers are killed, suspended
+// and restarted at the same address and the platform fails, and checks the outcomes that callers
+// received.
 //
-// A request in flight through a killed router breaks off; its caller sees that. What must not happen:
-// an answer that looks whole and is not, a foreign answer, a booking run twice, a "not run" for a
-// booking that ran, a "complete" for one that did not.
+// A request in flight through a killed router breaks off, and its caller notices. These results are
+// violations: a truncated response that looks complete, a response to another request, a booking that
+// ran twice, the outcome not_run for a booking that ran, and complete for one that didn't run.
 //
 // # Usage
 //
@@ -26,18 +27,19 @@
 	"sagestand.example/sagestand/internal/sageworkload"
 )
 
-// ErrGuaranteeViolated reports that a promise was broken.
-var ErrGuaranteeViolated = errors.New("a promise was broken")
+// ErrGuaranteeViolated reports a wrong response, a booking that ran twice, or a wrong outcome of a
+// booking.
+var ErrGuaranteeViolated = errors.New("guarantee violated")
 
-// Shape of the run.
+// Size of the fleet and the load, and the duration of each fault and of the interval between faults.
 const (
-	engines  = 6
-	chats    = 16
-	bookers  = 8
-	gap      = 700 * time.Millisecond
-	downtime = 300 * time.Millisecond
-	frozen   = 1500 * time.Millisecond
-	outage   = time.Second
+	engines        = 6
+	chats          = 16
+	bookers        = 8
+	faultInterval  = 700 * time.Millisecond
+	downtime       = 300 * time.Millisecond
+	freezeDuration = 1500 * time.Millisecond
+	outageDuration = time.Second
 )
 
 var dataCentres = []string{"derby", "leicester", "nottingham"}
@@ -59,20 +61,21 @@
 	Routers int
 	Until   time.Time
 	Seed    int64
-	// Progress takes a line for each fault; nil for none.
+	// Progress receives one line for each fault; nil discards them.
 	Progress io.Writer
 
 	fleet *sagefleet.Fleet
 	sum   Summary
 }
 
-func (r *Run) say(format string, args ...any) {
+func (r *Run) logf(format string, args ...any) {
 	if r.Progress != nil {
 		_, _ = fmt.Fprintf(r.Progress, "chaos: "+format+"\n", args...)
 	}
 }
 
-// Do runs the load and the faults. It returns [ErrGuaranteeViolated], with the summary, if a promise was broken.
+// Do runs the load and the faults. It returns the summary together with [ErrGuaranteeViolated] if a
+// guarantee was violated.
 func (r *Run) Do(ctx context.Context) (Summary, error) {
 	dir, err := os.MkdirTemp("", "sagestand-chaos")
 	if err != nil {
@@ -89,38 +92,38 @@
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
 		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: r.Until,
 	}
-	faults := make(chan error, 1)
-	go func() { faults <- r.faults(ctx) }()
+	faultsDone := make(chan error, 1)
+	go func() { faultsDone <- r.injectFaults(ctx) }()
 	r.sum.Tally = load.Run(ctx)
-	if err := <-faults; err != nil {
+	if err := <-faultsDone; err != nil {
 		return r.sum, fmt.Errorf("chaos: %w", err)
 	}
-	n, err := r.fleet.Executions(ctx)
+	executions, err := r.fleet.Executions(ctx)
 	if err != nil {
 		return r.sum, fmt.Errorf("chaos: %w", err)
 	}
-	r.sum.Audit = load.Audit(n)
+	r.sum.Audit = load.Audit(executions)
 	return r.sum, r.sum.check()
 }
 
-// check returns [ErrGuaranteeViolated] if a promise was broken. Lost requests are those that broke off in
-// sight of their callers.
+// check returns [ErrGuaranteeViolated] if a guarantee was violated or no request was completed. Lost
+// requests are no violation: their callers noticed that they broke off.
 func (s *Summary) check() error {
-	if bad := s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; bad == 0 && s.Complete > 0 {
+	if violations := s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; violations == 0 && s.Complete > 0 {
 		return nil
 	}
 	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
-// faults breaks one thing after another while the load goes on, and mends each.
-func (r *Run) faults(ctx context.Context) error {
-	for n := 0; ; n++ {
-		if !r.wait(ctx, gap) {
+// injectFaults injects one fault after another, and repairs each, until the run is over.
+func (r *Run) injectFaults(ctx context.Context) error {
+	for round := 0; ; round++ {
+		if !r.sleep(ctx, faultInterval) {
 			return nil
 		}
-		node := n % len(r.fleet.Nodes)
+		node := round % len(r.fleet.Nodes)
 		var err error
-		switch n % 3 {
+		switch round % 3 {
 		case 0:
 			err = r.kill(ctx, node)
 		case 1:
@@ -134,8 +137,8 @@
 	}
 }
 
-// wait reports false when the run is over.
-func (r *Run) wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether the run continues.
+func (r *Run) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -144,45 +147,46 @@
 	}
 }
 
-// kill ends a router without notice and starts another one at its address.
+// kill kills a router and starts a new process at its address.
 func (r *Run) kill(ctx context.Context, node int) error {
 	p := r.fleet.Nodes[node]
-	r.say("killing %s", p.Name)
+	r.logf("killing %s", p.Name)
 	if err := p.Kill(); err != nil {
 		return err
 	}
 	r.sum.Kills++
-	r.wait(ctx, downtime)
+	r.sleep(ctx, downtime)
 	if err := p.Start(); err != nil {
 		return err
 	}
 	return p.WaitReady(ctx)
 }
 
-// freeze stops a router in the middle of its work for a while.
+// freeze suspends a router for freezeDuration.
 func (r *Run) freeze(ctx context.Context, node int) error {
 	p := r.fleet.Nodes[node]
-	r.say("freezing %s", p.Name)
+	r.logf("freezing %s", p.Name)
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	r.sum.Freezes++
-	r.wait(ctx, frozen)
+	r.sleep(ctx, freezeDuration)
 	return p.Signal(syscall.SIGCONT)
 }
 
-// storeOutage makes the platform refuse everything, and lose some answers after their effect.
+// storeOutage makes the platform first lose the responses of some writes after carrying them out, then
+// refuse all requests.
 func (r *Run) storeOutage(ctx context.Context) error {
-	r.say("platform out")
+	r.logf("platform outage")
 	r.sum.Outages++
-	lost := sagestandin.Fault{Op: "put", Kind: sagestandin.FaultLostAnswer, Rate: 0.3}
-	out := sagestandin.Fault{Kind: sagestandin.FaultOutage}
-	for _, f := range [][]sagestandin.Fault{{lost}, {out}, {}} {
+	lostAnswers := sagestandin.Fault{Op: "put", Kind: sagestandin.FaultLostAnswer, Rate: 0.3}
+	storeOut := sagestandin.Fault{Kind: sagestandin.FaultOutage}
+	for _, f := range [][]sagestandin.Fault{{lostAnswers}, {storeOut}, {}} {
 		if err := sagefleet.SetFaults(ctx, r.fleet.Layout.Platform, sagestandin.FaultPlan{Seed: r.Seed, Faults: f}); err != nil {
 			return err
 		}
 		if len(f) > 0 {
-			r.wait(ctx, outage)
+			r.sleep(ctx, outageDuration)
 		}
 	}
 	return nil
--- a/internal/sageconfirm/doc.go
+++ b/internal/sageconfirm/doc.go
@@ -1,7 +1,8 @@
-// Package sageconfirm confirms two measures with real processes and the stand-ins: "exit", where a
-// data centre is taken out of service under load and brought back, and "churn", where engines are
-// killed and started again in turn. It says what the callers got and how much of their prompts was
-// cached; the figures depend on the machine, so they confirm and don't replace the measures.
+// Package sageconfirm runs two scenarios of package sagemeasure with real processes and the stand-ins:
+// "exit" takes a data centre out of service under load and puts it back, "churn" kills and restarts
+// engines in turn. It reports the outcomes that callers received and the fraction of prompt tokens that
+// were cached. The figures depend on the machine, so they confirm the measurements in virtual time but
+// don't replace them.
 //
 // # Usage
 //
--- a/internal/sageconfirm/run.go
+++ b/internal/sageconfirm/run.go
@@ -19,10 +19,10 @@
 // Errors of this package.
 var (
 	ErrUnknownScenario   = errors.New("unknown scenario")
-	ErrGuaranteeViolated = errors.New("a promise was broken")
+	ErrGuaranteeViolated = errors.New("guarantee violated")
 )
 
-// Scenario names what happens under the load.
+// Scenario names the event that a run injects under load.
 type Scenario string
 
 // The scenarios.
@@ -31,18 +31,19 @@
 	ScenarioChurn Scenario = "churn"
 )
 
-// Shape of a run.
+// Size of the fleet and the load, and the times of a run.
 const (
-	routers = 3
-	engines = 6
-	chats   = 24
-	bookers = 4
-	phase   = 6 * time.Second // before, during and after an exit
-	// inForce is how long after the ticket a left data centre may still begin work.
-	inForce  = 4 * time.Second
-	downtime = 500 * time.Millisecond
-	flapGap  = 3 * time.Second
-	probe    = 2 * time.Second
+	routers       = 3
+	engines       = 6
+	chats         = 24
+	bookers       = 4
+	phaseDuration = 6 * time.Second // one phase each before, during and after the exit
+	// inForceDelay is how long after the ticket a data centre may still begin work.
+	inForceDelay    = 4 * time.Second
+	downtime        = 500 * time.Millisecond
+	restartInterval = 3 * time.Second
+	// loadTimeout limits a request for an engine's load report.
+	loadTimeout = 2 * time.Second
 )
 
 var dataCentres = []string{"derby", "leicester", "nottingham"}
@@ -54,14 +55,14 @@
 	sageworkload.Audit
 	// Kills counts the engines killed and started again.
 	Kills int `json:"kills"`
-	// Before counts the requests that the left data centre had begun when inForce was over, After when
-	// it was about to return.
+	// BegunInForce is the number of requests that the data centre had begun inForceDelay after it was
+	// taken out of service, BegunAtReturn the number just before its return.
 	BegunInForce  uint64 `json:"begun_when_in_force"`
 	BegunAtReturn uint64 `json:"begun_at_return"`
 }
 
-// Check returns [ErrGuaranteeViolated] if a caller got a wrong answer, a booking ran twice, or a data centre
-// out of service began new work.
+// Check returns [ErrGuaranteeViolated] if a response was wrong, a booking ran twice, a booking's
+// outcome was wrong, a data centre out of service began new work, or no request was completed.
 func (s *Summary) Check() error {
 	if s.Wrong+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
 		return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w",
@@ -84,10 +85,10 @@
 	sum   Summary
 }
 
-// Do starts the fleet, runs the load with the scenario and returns what came of it, with an error
-// that wraps [ErrGuaranteeViolated] if a promise was broken.
+// Do starts the fleet and runs the load with the scenario. It returns the summary together with an
+// error that wraps [ErrGuaranteeViolated] if a guarantee was violated.
 func (r *Run) Do(ctx context.Context) (Summary, error) {
-	steps, ok := map[Scenario]func(context.Context) error{ScenarioExit: r.exit, ScenarioChurn: r.churn}[r.Scenario]
+	runScenario, ok := map[Scenario]func(context.Context) error{ScenarioExit: r.runExit, ScenarioChurn: r.runChurn}[r.Scenario]
 	if !ok {
 		return r.sum, fmt.Errorf("confirm %q: %w", r.Scenario, ErrUnknownScenario)
 	}
@@ -104,36 +105,36 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phase),
+		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phaseDuration),
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- steps(ctx) }()
+	scenarioDone := make(chan error, 1)
+	go func() { scenarioDone <- runScenario(ctx) }()
 	r.sum.Scenario, r.sum.Tally = r.Scenario, load.Run(ctx)
-	if err := <-failed; err != nil {
+	if err := <-scenarioDone; err != nil {
 		return r.sum, fmt.Errorf("confirm: %w", err)
 	}
-	n, err := r.fleet.Executions(ctx)
+	executions, err := r.fleet.Executions(ctx)
 	if err != nil {
 		return r.sum, fmt.Errorf("confirm: %w", err)
 	}
-	r.sum.Audit = load.Audit(n)
+	r.sum.Audit = load.Audit(executions)
 	return r.sum, r.sum.Check()
 }
 
-// exit takes the first data centre out of service for one phase.
-func (r *Run) exit(ctx context.Context) error {
-	out, back := time.Now().Add(phase), time.Now().Add(2*phase)
-	sleepUntil(ctx, out)
+// runExit takes the first data centre out of service for one phase.
+func (r *Run) runExit(ctx context.Context) error {
+	outAt, backAt := time.Now().Add(phaseDuration), time.Now().Add(2*phaseDuration)
+	sleepUntil(ctx, outAt)
 	if err := r.fleet.Submit(ctx, 0, sagefleet.DataCentreTicket(2, dataCentres[0], false)); err != nil {
 		return fmt.Errorf("exit: %w", err)
 	}
-	sleepUntil(ctx, out.Add(inForce))
+	sleepUntil(ctx, outAt.Add(inForceDelay))
 	var err error
-	if r.sum.BegunInForce, err = r.begun(ctx); err != nil {
+	if r.sum.BegunInForce, err = r.countBegun(ctx); err != nil {
 		return err
 	}
-	sleepUntil(ctx, back)
-	if r.sum.BegunAtReturn, err = r.begun(ctx); err != nil {
+	sleepUntil(ctx, backAt)
+	if r.sum.BegunAtReturn, err = r.countBegun(ctx); err != nil {
 		return err
 	}
 	if err := r.fleet.Submit(ctx, 0, sagefleet.DataCentreTicket(3, dataCentres[0], true)); err != nil {
@@ -142,24 +143,24 @@
 	return nil
 }
 
-// begun counts the requests that the engines of the first data centre have begun.
-func (r *Run) begun(ctx context.Context) (uint64, error) {
-	var sum uint64
+// countBegun returns the number of requests that the engines of the first data centre have begun.
+func (r *Run) countBegun(ctx context.Context) (uint64, error) {
+	var total uint64
 	for _, u := range r.fleet.Layout.Upstreams {
 		if u.DataCentre != dataCentres[0] || u.Kind != sageconfig.Engine {
 			continue
 		}
-		rep, err := report(ctx, u.Address)
+		rep, err := fetchLoadReport(ctx, u.Address)
 		if err != nil {
 			return 0, fmt.Errorf("load of %s: %w", u.Name, err)
 		}
-		sum += rep.Completed + uint64(rep.InFlight)
+		total += rep.Completed + uint64(rep.InFlight)
 	}
-	return sum, nil
+	return total, nil
 }
 
-func report(ctx context.Context, address string) (*sageload.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, probe)
+func fetchLoadReport(ctx context.Context, address string) (*sageload.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load", nil)
 	if err != nil {
@@ -177,11 +178,11 @@
 	return rep, nil
 }
 
-// churn kills one engine after the other and starts it again, cold.
-func (r *Run) churn(ctx context.Context) error {
-	end := time.Now().Add(3*phase - flapGap)
+// runChurn kills the engines in turn and restarts each with an empty cache.
+func (r *Run) runChurn(ctx context.Context) error {
+	end := time.Now().Add(3*phaseDuration - restartInterval)
 	for n := 0; ; n++ {
-		sleepUntil(ctx, time.Now().Add(flapGap))
+		sleepUntil(ctx, time.Now().Add(restartInterval))
 		if ctx.Err() != nil || time.Now().After(end) {
 			return nil
 		}
--- a/internal/sagecost/sagecost.go
+++ b/internal/sagecost/sagecost.go
@@ -17,15 +17,15 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Shape of the measurement.
+// Concurrency and length of the load, and the wait before the memory at rest is read.
 const (
 	workers      = 16
 	streams      = 16
 	streamTokens = 2000
-	settle       = 2 * time.Second
+	settleTime   = 2 * time.Second
 )
 
-// Results is the result.
+// Results are the results of a measurement.
 type Results struct {
 	Calls             int     `json:"calls"`
 	DirectP50Micros   float64 `json:"direct_p50_micros"`
@@ -42,69 +42,69 @@
 	RSSUnderLoadBytes int64   `json:"rss_under_load_bytes"`
 }
 
-// Measurement is one measurement. Its fields are set before Run.
+// Measurement is one measurement. Its exported fields are set before Run.
 type Measurement struct {
 	Sagestand string
 	Sagebench string
 	Calls     int
 
-	fleet *sagefleet.Fleet
-	fig   Results
+	fleet   *sagefleet.Fleet
+	results Results
 }
 
-// Run measures one router before one engine and one application.
+// Run measures one router with one engine and one application.
 func (m *Measurement) Run(ctx context.Context) (Results, error) {
 	dir, err := os.MkdirTemp("", "sagestand-cost")
 	if err != nil {
-		return m.fig, fmt.Errorf("cost: %w", err)
+		return m.results, fmt.Errorf("cost: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	l := sagefleet.NewLayout(1, 1, []string{"derby"})
 	m.fleet = &sagefleet.Fleet{Layout: l, Sagestand: m.Sagestand, Sagebench: m.Sagebench, Dir: dir, EngineArgs: []string{"--token-micros", "0", "--prompt-micros", "0"}}
 	defer m.fleet.Stop()
 	if err := m.fleet.Start(ctx); err != nil {
-		return m.fig, fmt.Errorf("cost: %w", err)
+		return m.results, fmt.Errorf("cost: %w", err)
 	}
-	m.fig.Calls = m.Calls
-	for _, step := range []func(context.Context) error{m.rest, m.latency, m.throughput, m.tokens} {
+	m.results.Calls = m.Calls
+	for _, step := range []func(context.Context) error{m.measureRest, m.measureLatency, m.measureThroughput, m.measureStreaming} {
 		if err := step(ctx); err != nil {
-			return m.fig, fmt.Errorf("cost: %w", err)
+			return m.results, fmt.Errorf("cost: %w", err)
 		}
 	}
-	return m.fig, nil
+	return m.results, nil
 }
 
 func (m *Measurement) usage() (Usage, error) { return ReadUsage(m.fleet.Nodes[0].PID()) }
 
-// rest reads the memory of a router that serves nothing.
-func (m *Measurement) rest(context.Context) error {
-	time.Sleep(settle)
+// measureRest reads the memory of a router without load.
+func (m *Measurement) measureRest(context.Context) error {
+	time.Sleep(settleTime)
 	u, err := m.usage()
-	m.fig.RSSAtRestBytes = u.RSS
+	m.results.RSSAtRestBytes = u.RSS
 	return err
 }
 
-// latency times single calls, directly and routed, one after another.
-func (m *Measurement) latency(ctx context.Context) error {
-	app := m.fleet.Layout.Upstreams[1].Address // the one engine comes first
+// measureLatency times sequential calls, first direct and then routed.
+func (m *Measurement) measureLatency(ctx context.Context) error {
+	app := m.fleet.Layout.Upstreams[1].Address // the engine is at index 0
 	entry := m.fleet.Layout.Nodes[0].Listen.Entry
-	direct, err := m.times(ctx, "http://"+app+"/reservations")
+	direct, err := m.callTimes(ctx, "http://"+app+"/reservations")
 	if err != nil {
 		return err
 	}
-	routed, err := m.times(ctx, "http://"+entry+"/v1/services/"+sagefleet.ServiceRoute+"/reservations")
+	routed, err := m.callTimes(ctx, "http://"+entry+"/v1/services/"+sagefleet.ServiceRoute+"/reservations")
 	if err != nil {
 		return err
 	}
-	f := &m.fig
+	f := &m.results
 	f.DirectP50Micros, f.DirectP99Micros = quantile(direct, 0.5), quantile(direct, 0.99)
 	f.RoutedP50Micros, f.RoutedP99Micros = quantile(routed, 0.5), quantile(routed, 0.99)
 	f.AddedP50Micros, f.AddedP99Micros = f.RoutedP50Micros-f.DirectP50Micros, f.RoutedP99Micros-f.DirectP99Micros
 	return nil
 }
 
-// get sends one idempotent call and reads its answer.
-func get(ctx context.Context, h *http.Client, url string) error {
+// call sends one idempotent call and checks its response.
+func call(ctx context.Context, h *http.Client, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("call: %w", err)
@@ -125,12 +125,12 @@
 	return nil
 }
 
-func (m *Measurement) times(ctx context.Context, url string) ([]time.Duration, error) {
+func (m *Measurement) callTimes(ctx context.Context, url string) ([]time.Duration, error) {
 	h := &http.Client{}
 	out := make([]time.Duration, 0, m.Calls)
 	for range m.Calls {
 		start := time.Now()
-		if err := get(ctx, h, url); err != nil {
+		if err := call(ctx, h, url); err != nil {
 			return nil, err
 		}
 		out = append(out, time.Since(start))
@@ -139,28 +139,28 @@
 	return out, nil
 }
 
-// quantile returns quantile q of sorted times, in microseconds.
+// quantile returns quantile q of the sorted durations, in microseconds.
 func quantile(sorted []time.Duration, q float64) float64 {
 	i := min(len(sorted)-1, int(q*float64(len(sorted))))
 	return float64(sorted[i]) / float64(time.Microsecond)
 }
 
-// throughput sends calls side by side and reads the router's processor time for them.
-func (m *Measurement) throughput(ctx context.Context) error {
+// measureThroughput sends concurrent calls and computes the router's processor time per call.
+func (m *Measurement) measureThroughput(ctx context.Context) error {
 	before, err := m.usage()
 	if err != nil {
 		return err
 	}
 	url := "http://" + m.fleet.Layout.Nodes[0].Listen.Entry + "/v1/services/" + sagefleet.ServiceRoute + "/reservations"
 	start := time.Now()
-	each := m.Calls / 2
+	callsPerWorker := m.Calls / 2
 	errs := make([]error, workers)
 	var wg sync.WaitGroup
 	for i := range workers {
 		wg.Go(func() {
 			h := &http.Client{Transport: &http.Transport{}}
-			for range each {
-				if errs[i] = get(ctx, h, url); errs[i] != nil {
+			for range callsPerWorker {
+				if errs[i] = call(ctx, h, url); errs[i] != nil {
 					return
 				}
 			}
@@ -173,36 +173,37 @@
 		}
 	}
 	after, err := m.usage()
-	n := float64(each * workers)
-	m.fig.CPUMicrosPerCall = float64(after.CPU-before.CPU) / float64(time.Microsecond) / n
-	m.fig.CallsPerSecond = n / time.Since(start).Seconds()
-	m.fig.RSSUnderLoadBytes = after.RSS
+	n := float64(callsPerWorker * workers)
+	m.results.CPUMicrosPerCall = float64(after.CPU-before.CPU) / float64(time.Microsecond) / n
+	m.results.CallsPerSecond = n / time.Since(start).Seconds()
+	m.results.RSSUnderLoadBytes = after.RSS
 	return err
 }
 
-// tokens streams long answers side by side and reads the router's processor time for them.
-func (m *Measurement) tokens(ctx context.Context) error {
+// measureStreaming streams long responses concurrently and computes the tokens per second of processor
+// time.
+func (m *Measurement) measureStreaming(ctx context.Context) error {
 	before, err := m.usage()
 	if err != nil {
 		return err
 	}
-	ends := make([]sagecaller.Result, streams)
+	results := make([]sagecaller.Result, streams)
 	var wg sync.WaitGroup
 	for i := range streams {
 		wg.Go(func() {
 			c := &sagecaller.Caller{Entries: m.fleet.Layout.Entries(), Key: sagefleet.AccountKey, HTTP: &http.Client{Transport: &http.Transport{}}}
 			chat := &sagestandin.ChatRequest{Model: sagefleet.Model, Stream: true, MaxTokens: streamTokens, Messages: []sagestandin.Message{{Role: "user", Content: fmt.Sprint("stream ", i)}}}
-			ends[i] = c.Chat(ctx, chat, sagecaller.Options{ChatID: fmt.Sprint("chat-", i)})
+			results[i] = c.Chat(ctx, chat, sagecaller.Options{ChatID: fmt.Sprint("chat-", i)})
 		})
 	}
 	wg.Wait()
-	for _, e := range ends {
+	for _, e := range results {
 		if e.Outcome != sagewire.Complete || e.Mismatch != "" || e.Err != nil {
 			return fmt.Errorf("stream ended %q, %s, %v: %w", e.Outcome, e.Mismatch, e.Err, sagecaller.ErrEntryUnavailable)
 		}
 	}
 	after, err := m.usage()
-	m.fig.StreamTokens = streams * streamTokens
-	m.fig.TokensPerCoreSec = float64(m.fig.StreamTokens) / (after.CPU - before.CPU).Seconds()
+	m.results.StreamTokens = streams * streamTokens
+	m.results.TokensPerCoreSec = float64(m.results.StreamTokens) / (after.CPU - before.CPU).Seconds()
 	return err
 }
--- a/internal/sagecost/usage.go
+++ b/internal/sagecost/usage.go
@@ -10,25 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// ErrInvalidStat reports process figures that can't be read.
-var ErrInvalidStat = errors.New("malformed process figures")
+// ErrInvalidStat reports a malformed /proc/PID/stat.
+var ErrInvalidStat = errors.New("malformed /proc stat")
 
-// ticksPerSecond is the unit of processor time in /proc; it is 100 on every Linux in use.
+// ticksPerSecond is the unit of processor time in /proc: USER_HZ, which is 100 on Linux.
 const ticksPerSecond = 100
 
-// Usage is what a process has used so far.
+// Usage is the processor time that a process has used and its resident memory.
 type Usage struct {
 	CPU time.Duration
 	RSS int64
 }
 
-// ReadUsage reads the processor time and resident memory of a process from /proc.
+// ReadUsage reads the usage of a process from /proc.
 func ReadUsage(pid int) (Usage, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, fmt.Errorf("read usage: %w", err)
 	}
-	// The name in parentheses may hold spaces; the fields after it are numbers.
+	// The name in parentheses may contain spaces, so the fields are counted from its end.
 	_, rest, ok := strings.Cut(string(b), ") ")
 	f := strings.Fields(rest)
 	if !ok || len(f) < 22 {
--- a/internal/sagepath/sagepath.go
+++ b/internal/sagepath/sagepath.go
@@ -1,11 +1,11 @@
-// Package sagepath checks the whole way of a request with real processes: stand-ins and routers are
-// started, a caller locates an entry address, sends chats and a booking, and verifies each answer
-// and the application's own count of executions.
+// Package sagepath checks the path of a request end to end with real processes. It starts stand-ins and
+// routers, locates an entry address, sends chats and a booking, and checks each response and the
+// application's count of executions.
 //
 // # Usage
 //
 //	c := &sagepath.Check{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench"}
-//	steps, err := c.Run(ctx, func(s sagepath.Step) { fmt.Println(s.Name, s.Verdict(), s.Detail) })
+//	steps, err := c.Run(ctx, func(s sagepath.Step) { fmt.Println(s.Name, s.Status(), s.Detail) })
 package sagepath
 
 import (
@@ -26,20 +26,20 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// ErrStepFailed reports that a step did not end as it must.
+// ErrStepFailed reports that a step did not give the expected result.
 var ErrStepFailed = errors.New("step failed")
 
-// limit bounds the whole check.
-const limit = 60 * time.Second
+// checkTimeout limits the whole check.
+const checkTimeout = 60 * time.Second
 
-// Step is one step of the check and how it ended.
+// Step is the result of one step of the check.
 type Step struct {
 	Name   string `json:"name"`
 	OK     bool   `json:"ok"`
 	Detail string `json:"detail"`
 }
 
-// Verdict returns "ok" or "FAIL".
+// Status returns "ok" or "FAIL".
 func (s Step) Status() string {
 	if s.OK {
 		return "ok"
@@ -47,7 +47,7 @@
 	return "FAIL"
 }
 
-// Check runs the path. The programs' paths are set before Run.
+// Check is one run of the check. The paths of the programs are set before Run.
 type Check struct {
 	Sagestand string
 	Sagebench string
@@ -56,9 +56,9 @@
 	caller *sagecaller.Caller
 }
 
-// Run runs every step until one fails, and tells each as it ends.
-func (c *Check) Run(ctx context.Context, tell func(Step)) ([]Step, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Run runs the steps in order until one fails, and calls report after each.
+func (c *Check) Run(ctx context.Context, report func(Step)) ([]Step, error) {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "sagestand-path")
 	if err != nil {
@@ -83,7 +83,7 @@
 			step.Detail = err.Error()
 		}
 		steps = append(steps, step)
-		tell(step)
+		report(step)
 		if err != nil {
 			return steps, fmt.Errorf("path: %s: %w", s.name, err)
 		}
@@ -122,72 +122,72 @@
 	return []sagestandin.Message{{Role: "system", Content: "You check meter batches for Trentvale."}, {Role: "user", Content: text}}
 }
 
-// complete turns anything but the whole right answer into an error.
-func complete(e sagecaller.Result) error {
+// requireComplete returns an error unless the result is a complete and correct response.
+func requireComplete(result sagecaller.Result) error {
 	switch {
-	case e.Err != nil:
-		return fmt.Errorf("lost: %v: %w", e.Err, ErrStepFailed)
-	case e.Mismatch != "":
-		return fmt.Errorf("wrong answer: %s: %w", e.Mismatch, ErrStepFailed)
-	case e.Refusal != nil:
-		return fmt.Errorf("%v: %w", e.Refusal, ErrStepFailed)
-	case e.Outcome != sagewire.Complete:
-		return fmt.Errorf("outcome %q: %w", e.Outcome, ErrStepFailed)
+	case result.Err != nil:
+		return fmt.Errorf("no outcome received: %v: %w", result.Err, ErrStepFailed)
+	case result.Mismatch != "":
+		return fmt.Errorf("wrong response: %s: %w", result.Mismatch, ErrStepFailed)
+	case result.Refusal != nil:
+		return fmt.Errorf("%v: %w", result.Refusal, ErrStepFailed)
+	case result.Outcome != sagewire.Complete:
+		return fmt.Errorf("outcome %q: %w", result.Outcome, ErrStepFailed)
 	}
 	return nil
 }
 
 func (c *Check) chat(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("Is batch 17 cleared?")}, sagecaller.Options{ChatID: "chat-1", Priority: sagewire.Urgent})
-	return fmt.Sprintf("whole answer of %s by way of %s", e.Upstream, e.Entry), complete(e)
+	result := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("Is batch 17 cleared?")}, sagecaller.Options{ChatID: "chat-1", Priority: sagewire.Urgent})
+	return fmt.Sprintf("complete response of %s through %s", result.Upstream, result.Entry), requireComplete(result)
 }
 
 func (c *Check) stream(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("And batch 18?"), Stream: true, MaxTokens: 40}, sagecaller.Options{ChatID: "chat-1"})
-	return fmt.Sprintf("whole stream of %s, %d of %d prompt tokens cached", e.Upstream, e.CachedTokens, e.PromptTokens), complete(e)
+	result := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: sagefleet.Model, Messages: messages("And batch 18?"), Stream: true, MaxTokens: 40}, sagecaller.Options{ChatID: "chat-1"})
+	return fmt.Sprintf("complete stream of %s, %d of %d prompt tokens cached", result.Upstream, result.CachedTokens, result.PromptTokens), requireComplete(result)
 }
 
-// bookingKey is the idempotency key that booking and repeat share.
+// bookingKey is the idempotency key that the steps booking and repeat share.
 var bookingKey = uuid.Must(uuid.NewV7()).String()
 
 func (c *Check) booking(ctx context.Context) (string, error) {
-	e := c.caller.Service(ctx, http.MethodPost, sagefleet.ServiceRoute+"/reservations", []byte(`{"batch":17,"meters":4}`), sagecaller.Options{IdempotencyKey: bookingKey})
-	if err := complete(e); err != nil {
+	result := c.caller.Service(ctx, http.MethodPost, sagefleet.ServiceRoute+"/reservations", []byte(`{"batch":17,"meters":4}`), sagecaller.Options{IdempotencyKey: bookingKey})
+	if err := requireComplete(result); err != nil {
 		return "", err
 	}
-	return "reserved by " + e.Upstream, c.executedOnce(ctx)
+	return "reserved by " + result.Upstream, c.executedOnce(ctx)
 }
 
 func (c *Check) repeat(ctx context.Context) (string, error) {
-	e := c.caller.Service(ctx, http.MethodPost, sagefleet.ServiceRoute+"/reservations", []byte(`{"batch":17,"meters":4}`), sagecaller.Options{IdempotencyKey: bookingKey})
-	if e.Outcome != sagewire.AlreadyRun {
-		return "", fmt.Errorf("outcome %q, want already_run: %w", e.Outcome, ErrStepFailed)
+	result := c.caller.Service(ctx, http.MethodPost, sagefleet.ServiceRoute+"/reservations", []byte(`{"batch":17,"meters":4}`), sagecaller.Options{IdempotencyKey: bookingKey})
+	if result.Outcome != sagewire.AlreadyRun {
+		return "", fmt.Errorf("outcome %q, want already_run: %w", result.Outcome, ErrStepFailed)
 	}
 	return "the repeat did not run", c.executedOnce(ctx)
 }
 
-// executedOnce asks the applications how often they ran the booking.
+// executedOnce checks that the applications ran the booking exactly once.
 func (c *Check) executedOnce(ctx context.Context) error {
-	n, err := c.fleet.Executions(ctx)
+	executions, err := c.fleet.Executions(ctx)
 	if err != nil {
 		return err
 	}
-	if n[bookingKey] != 1 {
-		return fmt.Errorf("the booking ran %d times: %w", n[bookingKey], ErrStepFailed)
+	if executions[bookingKey] != 1 {
+		return fmt.Errorf("the booking ran %d times: %w", executions[bookingKey], ErrStepFailed)
 	}
 	return nil
 }
 
 func (c *Check) refusal(ctx context.Context) (string, error) {
-	e := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: "no-such-model", Messages: messages("Hello?")}, sagecaller.Options{ChatID: "chat-2"})
-	if e.Outcome != sagewire.NotRun || e.Refusal == nil || e.Refusal.Reason != sagewire.ReasonNoRoute {
-		return "", fmt.Errorf("outcome %q, %v, want not_run: no_route: %w", e.Outcome, e.Refusal, ErrStepFailed)
+	result := c.caller.Chat(ctx, &sagestandin.ChatRequest{Model: "no-such-model", Messages: messages("Hello?")}, sagecaller.Options{ChatID: "chat-2"})
+	if result.Outcome != sagewire.NotRun || result.Refusal == nil || result.Refusal.Reason != sagewire.ReasonNoRoute {
+		return "", fmt.Errorf("outcome %q, %v, want not_run: no_route: %w", result.Outcome, result.Refusal, ErrStepFailed)
 	}
-	b, err := json.Marshal(e.Refusal)
+	b, err := json.Marshal(result.Refusal)
 	return string(b), err
 }
 
-// burn asks one router for the report over all of them.
+// burn asks one router for the burn report, which covers all routers.
 func (c *Check) burn(ctx context.Context) (string, error) {
 	var rep sageburnd.Report
 	if err := c.fleet.Operator(0).Do(ctx, http.MethodGet, "/v1/report/burn", nil, &rep); err != nil {
--- a/internal/sagescale/doc.go
+++ b/internal/sagescale/doc.go
@@ -1,12 +1,12 @@
-// Package sagescale measures what coordination costs and how fast tickets spread, with so many real
-// router processes on loopback: control bytes a second, processor time and memory of each node at
-// rest, calls to the platform, and the time from acceptance of a ticket until each node has it in
-// force, also with the platform out right after the acceptance.
+// Package sagescale measures the cost of coordination and the propagation of tickets with many real
+// router processes on loopback: control bytes per second, processor time and memory of each node at
+// rest, calls to the platform, and the time from the acceptance of a ticket until it is in force on
+// each node, also with a platform outage right after the acceptance.
 //
-// Nodes are at rest: no caller sends anything, so that all that is measured is coordination.
+// No caller sends requests, so all measured traffic is coordination.
 //
 // # Usage
 //
-//	s := &sagescale.Measurement{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Nodes: 50, Engines: 300}
-//	fig, err := s.Run(ctx)
+//	m := &sagescale.Measurement{Sagestand: "bin/sagestand", Sagebench: "bin/sagebench", Nodes: 50, Engines: 300}
+//	results, err := m.Run(ctx)
 package sagescale
--- a/internal/sagescale/sagescale.go
+++ b/internal/sagescale/sagescale.go
@@ -23,36 +23,37 @@
 	"sagestand.example/sagestand/internal/sagestandin"
 )
 
-// ErrMetricMissing reports a node that did not tell a figure.
-var ErrMetricMissing = errors.New("node told no such figure")
+// ErrMetricMissing reports a node whose metrics lack the requested one.
+var ErrMetricMissing = errors.New("metric not found")
 
-// Shape of the measurement.
+// Polling of the nodes, and the number of tickets and the interval between them.
 const (
-	pollEvery  = 50 * time.Millisecond
-	pollAtOnce = 64
-	inForceBy  = 30 * time.Second
-	between    = time.Second
-	tickets    = 5
+	pollInterval       = 50 * time.Millisecond
+	maxConcurrentPolls = 64
+	inForceTimeout     = 30 * time.Second
+	ticketInterval     = time.Second
+	ticketCount        = 5
 )
 
 var dataCentres = []string{"dc1", "dc2", "dc3"}
 
-// NodeStats is a figure over all nodes.
+// NodeStats aggregates a value over all nodes.
 type NodeStats struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
 }
 
-// Latencies are the times from acceptance to in force over all nodes and tickets, in milliseconds.
+// Latencies are the times from acceptance until a ticket is in force, over all nodes and tickets, in
+// milliseconds.
 type Latencies struct {
 	P50 float64 `json:"p50_millis"`
 	P99 float64 `json:"p99_millis"`
 	Max float64 `json:"max_millis"`
-	// Never counts nodes that did not get there within half a minute.
+	// NotReached counts the nodes on which a ticket was not in force within inForceTimeout.
 	NotReached int `json:"never"`
 }
 
-// Results is the result.
+// Results are the results of a measurement.
 type Results struct {
 	Nodes                 int                `json:"nodes"`
 	Upstreams             int                `json:"upstreams"`
@@ -64,37 +65,37 @@
 	InForceStoreOut       Latencies          `json:"in_force_store_out"`
 }
 
-// Measurement is one measurement. Its fields are set before Run.
+// Measurement is one measurement. Its exported fields are set before Run.
 type Measurement struct {
 	Sagestand string
 	Sagebench string
 	Nodes     int
 	Engines   int
-	// GrantMillis is the period of grants and promises of allotments; 0 means the default.
+	// GrantMillis is the duration of grants and promises of allotments; 0 means the default.
 	GrantMillis int
-	// Seeds is the number of nodes in the settings' seeds, which are the roster; 0 means all.
+	// Seeds is the number of nodes that the settings list as seeds, which form the roster; 0 means all.
 	Seeds int
-	// Settle is how long the fleet is left alone before figures are taken, in seconds: nodes that have
-	// just met tell each other everything.
+	// SettleSeconds is the wait before measuring, in seconds. Nodes that have just joined exchange
+	// their complete state, which would be counted as traffic at rest.
 	SettleSeconds int
-	// Seconds is how long figures at rest are taken.
+	// RestSeconds is the duration of the measurement at rest.
 	RestSeconds int
 
-	fleet  *sagefleet.Fleet
-	fig    Results
-	number uint64
+	fleet      *sagefleet.Fleet
+	results    Results
+	lastTicket uint64
 }
 
-// Run starts the fleet and takes all figures.
+// Run starts the fleet and runs all measurements.
 func (m *Measurement) Run(ctx context.Context) (Results, error) {
 	dir, err := os.MkdirTemp("", "sagestand-scale")
 	if err != nil {
-		return m.fig, fmt.Errorf("scale: %w", err)
+		return m.results, fmt.Errorf("scale: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	l := sagefleet.NewLayout(m.Nodes, m.Engines, dataCentres)
 	for i := range l.Nodes {
-		l.Nodes[i].Load = sagesettings.Default().Load // a layout's own are for quick tests
+		l.Nodes[i].Load = sagesettings.Default().Load // NewLayout shortens the periods for tests
 		if m.Seeds > 0 && m.Seeds < m.Nodes {
 			l.Nodes[i].Seeds = l.Nodes[i].Seeds[:m.Seeds]
 		}
@@ -105,29 +106,29 @@
 	m.fleet = &sagefleet.Fleet{Layout: l, Sagestand: m.Sagestand, Sagebench: m.Sagebench, Dir: dir, InProcessUpstreams: true}
 	defer m.fleet.Stop()
 	if err := m.fleet.Start(ctx); err != nil {
-		return m.fig, fmt.Errorf("scale: %w", err)
+		return m.results, fmt.Errorf("scale: %w", err)
 	}
-	m.number = 1
-	m.fig.Nodes, m.fig.Upstreams = m.Nodes, len(l.Upstreams)
+	m.lastTicket = 1
+	m.results.Nodes, m.results.Upstreams = m.Nodes, len(l.Upstreams)
 	time.Sleep(time.Duration(m.SettleSeconds) * time.Second)
-	for _, step := range []func(context.Context) error{m.rest, m.spread, m.spreadStoreOut} {
+	for _, step := range []func(context.Context) error{m.measureRest, m.measurePropagation, m.measurePropagationStoreOut} {
 		if err := step(ctx); err != nil {
-			return m.fig, fmt.Errorf("scale: %w", err)
+			return m.results, fmt.Errorf("scale: %w", err)
 		}
 	}
-	return m.fig, nil
+	return m.results, nil
 }
 
-// sample is what one node has used up to an instant.
+// sample is the resource use of one node up to an instant.
 type sample struct {
 	bytes float64
 	usage sagecost.Usage
 }
 
-func (m *Measurement) sample(ctx context.Context) ([]sample, error) {
+func (m *Measurement) takeSamples(ctx context.Context) ([]sample, error) {
 	out := make([]sample, m.Nodes)
 	for i := range out {
-		b, err := metric(ctx, m.fleet.Layout.Nodes[i].Listen.Operator, "sagestand_control_bytes_total")
+		b, err := readMetric(ctx, m.fleet.Layout.Nodes[i].Listen.Operator, "sagestand_control_bytes_total")
 		if err != nil {
 			return nil, err
 		}
@@ -140,8 +141,8 @@
 	return out, nil
 }
 
-// metric reads one metric of a node.
-func metric(ctx context.Context, addr, name string) (float64, error) {
+// readMetric reads one metric of a node.
+func readMetric(ctx context.Context, addr, name string) (float64, error) {
 	b, err := get(ctx, "http://"+addr+"/metrics")
 	if err != nil {
 		return 0, err
@@ -168,35 +169,35 @@
 	return io.ReadAll(res.Body)
 }
 
-// rest takes the figures of nodes that only coordinate.
-func (m *Measurement) rest(ctx context.Context) error {
-	calls, err := m.calls(ctx)
+// measureRest measures traffic, processor time, memory and store calls of nodes without load.
+func (m *Measurement) measureRest(ctx context.Context) error {
+	calls, err := m.storeCalls(ctx)
 	if err != nil {
 		return err
 	}
-	before, err := m.sample(ctx)
+	before, err := m.takeSamples(ctx)
 	if err != nil {
 		return err
 	}
 	start := time.Now()
 	time.Sleep(time.Duration(m.RestSeconds) * time.Second)
-	after, err := m.sample(ctx)
+	after, err := m.takeSamples(ctx)
 	if err != nil {
 		return err
 	}
 	seconds := time.Since(start).Seconds()
-	callsAfter, err := m.calls(ctx)
+	callsAfter, err := m.storeCalls(ctx)
 	if err != nil {
 		return err
 	}
-	m.fig.StoreCallsPerSecond = make(map[string]float64)
+	m.results.StoreCallsPerSecond = make(map[string]float64)
 	for op, n := range callsAfter {
-		m.fig.StoreCallsPerSecond[op] = float64(n-calls[op]) / seconds
+		m.results.StoreCallsPerSecond[op] = float64(n-calls[op]) / seconds
 	}
 	for i := range after {
-		m.fig.ControlBytesPerSecond.add((after[i].bytes-before[i].bytes)/seconds, m.Nodes)
-		m.fig.CPUPercent.add(100*(after[i].usage.CPU-before[i].usage.CPU).Seconds()/seconds, m.Nodes)
-		m.fig.RSSMegabytes.add(float64(after[i].usage.RSS)/1e6, m.Nodes)
+		m.results.ControlBytesPerSecond.add((after[i].bytes-before[i].bytes)/seconds, m.Nodes)
+		m.results.CPUPercent.add(100*(after[i].usage.CPU-before[i].usage.CPU).Seconds()/seconds, m.Nodes)
+		m.results.RSSMegabytes.add(float64(after[i].usage.RSS)/1e6, m.Nodes)
 	}
 	return nil
 }
@@ -206,45 +207,47 @@
 	s.Max = max(s.Max, v)
 }
 
-func (m *Measurement) calls(ctx context.Context) (map[string]int64, error) {
+func (m *Measurement) storeCalls(ctx context.Context) (map[string]int64, error) {
 	b, err := get(ctx, "http://"+m.fleet.Layout.Platform+"/standin/calls")
 	if err != nil {
 		return nil, err
 	}
 	var c map[string]int64
 	if err := json.Unmarshal(b, &c); err != nil {
-		return nil, fmt.Errorf("calls: %w", err)
+		return nil, fmt.Errorf("decode store calls: %w", err)
 	}
 	return c, nil
 }
 
-// spread submits tickets through different nodes and times them on all nodes.
-func (m *Measurement) spread(ctx context.Context) error {
+// measurePropagation submits tickets through different nodes and measures when each is in force on each
+// node.
+func (m *Measurement) measurePropagation(ctx context.Context) error {
 	var all []time.Duration
-	for i := range tickets {
-		took, never, err := m.ticket(ctx, i*m.Nodes/tickets, func() error { return nil })
+	for i := range ticketCount {
+		delays, notReached, err := m.submitAndTime(ctx, i*m.Nodes/ticketCount, func() error { return nil })
 		if err != nil {
 			return err
 		}
-		all = append(all, took...)
-		m.fig.InForce.NotReached += never
-		time.Sleep(between)
+		all = append(all, delays...)
+		m.results.InForce.NotReached += notReached
+		time.Sleep(ticketInterval)
 	}
-	m.fig.InForce.set(all)
+	m.results.InForce.setQuantiles(all)
 	return nil
 }
 
-// spreadStoreOut times a ticket whose acceptance is the store's last deed.
-func (m *Measurement) spreadStoreOut(ctx context.Context) error {
-	took, never, err := m.ticket(ctx, m.Nodes-1, func() error {
+// measurePropagationStoreOut does the same for one ticket with a store outage right after its
+// acceptance.
+func (m *Measurement) measurePropagationStoreOut(ctx context.Context) error {
+	delays, notReached, err := m.submitAndTime(ctx, m.Nodes-1, func() error {
 		return sagefleet.SetFaults(ctx, m.fleet.Layout.Platform, sagestandin.FaultPlan{Faults: []sagestandin.Fault{{Kind: sagestandin.FaultOutage}}})
 	})
-	m.fig.InForceStoreOut.set(took)
-	m.fig.InForceStoreOut.NotReached = never
+	m.results.InForceStoreOut.setQuantiles(delays)
+	m.results.InForceStoreOut.NotReached = notReached
 	return err
 }
 
-func (t *Latencies) set(all []time.Duration) {
+func (t *Latencies) setQuantiles(all []time.Duration) {
 	if len(all) == 0 {
 		return
 	}
@@ -255,42 +258,45 @@
 	t.P50, t.P99, t.Max = at(0.5), at(0.99), at(1)
 }
 
-// ticket submits one ticket through a node, runs then, and polls every node for its revision.
-func (m *Measurement) ticket(ctx context.Context, through int, then func() error) ([]time.Duration, int, error) {
-	m.number++
-	t := sagefleet.DataCentreTicket(m.number, dataCentres[0], m.number%2 == 0)
+// submitAndTime submits a ticket to a node, runs afterAccept and polls every node until the ticket is
+// in force there. It returns the delays, and the number of nodes on which the ticket was not in force
+// in time.
+func (m *Measurement) submitAndTime(ctx context.Context, node int, afterAccept func() error) ([]time.Duration, int, error) {
+	m.lastTicket++
+	t := sagefleet.DataCentreTicket(m.lastTicket, dataCentres[0], m.lastTicket%2 == 0)
 	t.Force = true
-	if err := m.fleet.Submit(ctx, through, t); err != nil {
+	if err := m.fleet.Submit(ctx, node, t); err != nil {
 		return nil, 0, err
 	}
 	accepted := time.Now()
-	if err := then(); err != nil {
+	if err := afterAccept(); err != nil {
 		return nil, 0, err
 	}
-	took := make([]time.Duration, m.Nodes)
+	delays := make([]time.Duration, m.Nodes)
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, pollAtOnce)
+	pollSlots := make(chan struct{}, maxConcurrentPolls)
 	for i := range m.Nodes {
-		wg.Go(func() { took[i] = m.reached(ctx, i, accepted, slots) })
+		wg.Go(func() { delays[i] = m.waitInForce(ctx, i, accepted, pollSlots) })
 	}
 	wg.Wait()
-	in := slices.DeleteFunc(took, func(d time.Duration) bool { return d == 0 })
-	return in, m.Nodes - len(in), nil
+	reached := slices.DeleteFunc(delays, func(d time.Duration) bool { return d == 0 })
+	return reached, m.Nodes - len(reached), nil
 }
 
-// reached polls one node until it holds the newest ticket; 0 means that it never did.
-func (m *Measurement) reached(ctx context.Context, node int, accepted time.Time, slots chan struct{}) time.Duration {
-	for time.Since(accepted) < inForceBy {
-		slots <- struct{}{}
+// waitInForce polls a node until the newest ticket is in force there and returns the delay since
+// acceptance, or 0 after inForceTimeout.
+func (m *Measurement) waitInForce(ctx context.Context, node int, accepted time.Time, pollSlots chan struct{}) time.Duration {
+	for time.Since(accepted) < inForceTimeout {
+		pollSlots <- struct{}{}
 		var st struct {
 			Revision uint64 `json:"revision"`
 		}
 		err := m.fleet.Operator(node).Do(ctx, http.MethodGet, "/v1/status", nil, &st)
-		<-slots
-		if err == nil && st.Revision >= m.number {
+		<-pollSlots
+		if err == nil && st.Revision >= m.lastTicket {
 			return time.Since(accepted)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return 0
 }
