--- a/internal/sagecli/sagecli.go
+++ b/internal/sagecli/sagecli.go
@@ -75,7 +75,7 @@
 func ExactArgs(names ...string) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != len(names) {
-			return fmt.Errorf("%w: want arguments %s, got %d (see %s --help)", ErrUsage, strings.Join(names, " "), len(args), c.CommandPath())
+			return fmt.Errorf("%w: want [%s], got %d arguments (see %s --help)", ErrUsage, strings.Join(names, " "), len(args), c.CommandPath())
 		}
 		return nil
 	}
