--- a/cmd/sagebench/soak.go
+++ b/cmd/sagebench/soak.go
@@ -39,17 +39,17 @@
 				if err := os.MkdirAll(seedDir, 0o700); err != nil {
 					return fmt.Errorf("make directory for logs: %w", err)
 				}
-				s := &sagesoak.Soak{Seed: n, Program: program, Dir: seedDir, Nodes: nodes, Lasts: time.Duration(seconds * float64(time.Second)), Calm: calm}
+				s := &sagesoak.Soak{Seed: n, Program: program, Dir: seedDir, Nodes: nodes, Duration: time.Duration(seconds * float64(time.Second)), NoFaults: calm}
 				report, err := s.Run(c.Context())
 				if err != nil {
 					return fmt.Errorf("seed %d: %w", n, err)
 				}
-				if len(report.Faults) > 0 {
+				if len(report.Violations) > 0 {
 					failed++
 				}
 				err = out.Print(c.OutOrStdout(), report, func(w io.Writer) {
-					_, _ = fmt.Fprintf(w, "soak: seed %d: %d faults injected, %d found; %v\n", n, len(report.Done), len(report.Faults), report.Counts)
-					for _, f := range report.Faults {
+					_, _ = fmt.Fprintf(w, "soak: seed %d: %d faults injected, %d found; %v\n", n, len(report.InjectedFaults), len(report.Violations), report.Counts)
+					for _, f := range report.Violations {
 						_, _ = fmt.Fprintf(w, "  %s\n", f)
 					}
 				})
--- a/internal/sagecaller/caller.go
+++ b/internal/sagecaller/caller.go
@@ -131,7 +131,7 @@
 		return Result{Err: err}
 	}
 	var want string
-	for _, t := range sagestandin.Tokens(chat) {
+	for _, t := range sagestandin.ResponseTokens(chat) {
 		want += t
 	}
 	return c.send(ctx, http.MethodPost, "/v1/chat/completions", body, opt, func(res *http.Response, result *Result) {
@@ -152,7 +152,7 @@
 			result.Err = fmt.Errorf("read response: %w", err)
 			return
 		}
-		var a sagestandin.ServiceAnswer
+		var a sagestandin.ServiceResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			result.Mismatch = "not a response of the service: " + err.Error()
 			return
--- a/internal/sagecaller/read.go
+++ b/internal/sagecaller/read.go
@@ -57,7 +57,7 @@
 		result.Err = fmt.Errorf("read response: %w", err)
 		return
 	}
-	var a sagestandin.ChatAnswer
+	var a sagestandin.ChatResponse
 	if err := json.Unmarshal(b, &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Message == nil {
 		result.Mismatch = "not a chat response"
 		return
@@ -96,7 +96,7 @@
 			}
 			return
 		}
-		var a sagestandin.ChatAnswer
+		var a sagestandin.ChatResponse
 		if err := json.Unmarshal([]byte(data), &a); err != nil || len(a.Choices) != 1 || a.Choices[0].Delta == nil {
 			result.Mismatch = "not a chat event"
 			return
--- a/internal/sagechaos/sagechaos.go
+++ b/internal/sagechaos/sagechaos.go
@@ -90,7 +90,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: r.Until,
+		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: r.Until,
 	}
 	faultsDone := make(chan error, 1)
 	go func() { faultsDone <- r.injectFaults(ctx) }()
@@ -109,10 +109,10 @@
 // check returns [ErrGuaranteeViolated] if a guarantee was violated or no request was completed. Lost
 // requests are no violation: their callers noticed that they broke off.
 func (s *Summary) check() error {
-	if violations := s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; violations == 0 && s.Complete > 0 {
+	if violations := s.WrongAnswers + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete; violations == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+	return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Complete, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // injectFaults injects one fault after another, and repairs each, until the run is over.
--- a/internal/sageconfirm/run.go
+++ b/internal/sageconfirm/run.go
@@ -64,9 +64,9 @@
 // Check returns [ErrGuaranteeViolated] if a response was wrong, a booking ran twice, a booking's
 // outcome was wrong, a data centre out of service began new work, or no request was completed.
 func (s *Summary) Check() error {
-	if s.Wrong+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
+	if s.WrongAnswers+s.ExecutedTwice+s.FalseNotRun+s.FalseComplete > 0 || s.Complete == 0 {
 		return fmt.Errorf("complete %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w",
-			s.Complete, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+			s.Complete, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 	}
 	if s.BegunAtReturn != s.BegunInForce {
 		return fmt.Errorf("%d requests begun in a data centre out of service: %w", s.BegunAtReturn-s.BegunInForce, ErrGuaranteeViolated)
@@ -105,7 +105,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phaseDuration),
+		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phaseDuration),
 	}
 	scenarioDone := make(chan error, 1)
 	go func() { scenarioDone <- runScenario(ctx) }()
--- a/internal/sagedemo/demo.go
+++ b/internal/sagedemo/demo.go
@@ -80,7 +80,7 @@
 	start := time.Now()
 	load := &sageworkload.Load{
 		Entries: d.system.Layout.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		Chats: chats, Bookers: bookers, Seed: seed, Until: d.Until,
+		ChatCallers: chats, BookingCallers: bookers, Seed: seed, Until: d.Until,
 	}
 	before := d.system.ControlBytes()
 	var loadSkew skew
@@ -99,11 +99,11 @@
 
 // check returns [ErrGuaranteeViolated] if a guarantee was violated or no request was completed.
 func (s *Summary) check() error {
-	violations := s.Lost + s.Wrong + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete
+	violations := s.Lost + s.WrongAnswers + s.ExecutedTwice + s.FalseNotRun + s.FalseComplete
 	if violations == 0 && s.Complete > 0 {
 		return nil
 	}
-	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.Wrong, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
+	return fmt.Errorf("lost %d, wrong %d, executed twice %d, false not run %d, false complete %d: %w", s.Lost, s.WrongAnswers, s.ExecutedTwice, s.FalseNotRun, s.FalseComplete, ErrGuaranteeViolated)
 }
 
 // cycleDataCentre takes the second data centre out of service after a third of the run and puts it back
