--- a/internal/sagechaos/sagechaos.go
+++ b/internal/sagechaos/sagechaos.go
@@ -34,8 +34,8 @@
 // Size of the fleet and the load, and the duration of each fault and of the interval between faults.
 const (
 	engines        = 6
-	chats          = 16
-	bookers        = 8
+	chatCallers    = 16
+	bookingCallers = 8
 	faultInterval  = 700 * time.Millisecond
 	downtime       = 300 * time.Millisecond
 	freezeDuration = 1500 * time.Millisecond
@@ -90,7 +90,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: r.Until,
+		ChatCallers: chatCallers, BookingCallers: bookingCallers, Seed: r.Seed, Until: r.Until,
 	}
 	faultsDone := make(chan error, 1)
 	go func() { faultsDone <- r.injectFaults(ctx) }()
--- a/internal/sageconfirm/run.go
+++ b/internal/sageconfirm/run.go
@@ -33,11 +33,11 @@
 
 // Size of the fleet and the load, and the times of a run.
 const (
-	routers       = 3
-	engines       = 6
-	chats         = 24
-	bookers       = 4
-	phaseDuration = 6 * time.Second // one phase each before, during and after the exit
+	routers        = 3
+	engines        = 6
+	chatCallers    = 24
+	bookingCallers = 4
+	phaseDuration  = 6 * time.Second // one phase each before, during and after the exit
 	// inForceDelay is how long after the ticket a data centre may still begin work.
 	inForceDelay    = 4 * time.Second
 	downtime        = 500 * time.Millisecond
@@ -105,7 +105,7 @@
 	}
 	load := &sageworkload.Load{
 		Entries: l.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		ChatCallers: chats, BookingCallers: bookers, Seed: r.Seed, Until: time.Now().Add(3 * phaseDuration),
+		ChatCallers: chatCallers, BookingCallers: bookingCallers, Seed: r.Seed, Until: time.Now().Add(3 * phaseDuration),
 	}
 	scenarioDone := make(chan error, 1)
 	go func() { scenarioDone <- runScenario(ctx) }()
--- a/internal/sagedemo/demo.go
+++ b/internal/sagedemo/demo.go
@@ -21,8 +21,8 @@
 const (
 	routers        = 3
 	engines        = 6
-	chats          = 24
-	bookers        = 6
+	chatCallers    = 24
+	bookingCallers = 6
 	seed           = 1
 	sampleInterval = 20 * time.Millisecond
 )
@@ -80,7 +80,7 @@
 	start := time.Now()
 	load := &sageworkload.Load{
 		Entries: d.system.Layout.Entries(), Key: sagefleet.AccountKey, Model: sagefleet.Model, Service: sagefleet.ServiceRoute,
-		ChatCallers: chats, BookingCallers: bookers, Seed: seed, Until: d.Until,
+		ChatCallers: chatCallers, BookingCallers: bookingCallers, Seed: seed, Until: d.Until,
 	}
 	before := d.system.ControlBytes()
 	var loadSkew skew
