--- a/internal/sagemeasure/allotment_test.go
+++ b/internal/sagemeasure/allotment_test.go
@@ -11,20 +11,20 @@
 // held idle count against the grants but not in the mean; the mean falls with each refusal and the
 // grants fall with the mean, until requests wait two seconds for a unit of idle engines and some are
 // refused then. Asked for on demand, the same bound refuses nothing.
-func TestStandingAllotmentsOfMeanCollapse(t *testing.T) {
-	s := small
+func TestAdvanceAllotmentsOfMeanRefuseRequests(t *testing.T) {
+	s := smallSite
 	s.routers = 8
-	run := func(rule allotRule) *replay {
-		v := ours
-		v.allot, v.feed = &rule, counts
+	run := func(rule allotmentRule) *replay {
+		v := sagestand
+		v.allotments, v.loadFeed = &rule, countFeed
 		p := newReplay(s, v, makeTrace(s, 1, time.Minute), 1)
 		p.runUntil(90 * time.Second)
 		return p
 	}
-	standing := run(allotRule{multiple: 1.5, headroom: 2})
-	require.Greater(t, standing.refused(20*time.Second), 0.02)
-	onDemand := run(allotRule{multiple: 1.5, onDemand: true})
-	require.Zero(t, onDemand.refused(20*time.Second))
-	require.Less(t, standing.reuse(20*time.Second), onDemand.reuse(20*time.Second))
-	require.NotZero(t, onDemand.allotments.asked)
+	standing := run(allotmentRule{meanMultiple: 1.5, headroom: 2})
+	require.Greater(t, standing.refusedShare(20*time.Second), 0.02)
+	onDemand := run(allotmentRule{meanMultiple: 1.5, onDemand: true})
+	require.Zero(t, onDemand.refusedShare(20*time.Second))
+	require.Less(t, standing.cacheReuse(20*time.Second), onDemand.cacheReuse(20*time.Second))
+	require.NotZero(t, onDemand.allotments.onDemandRequests)
 }
--- a/internal/sagemeasure/churn.go
+++ b/internal/sagemeasure/churn.go
@@ -4,9 +4,9 @@
 
 // The parts of a replay: caches fill, then figures count.
 const (
-	warmUp  = 120 * time.Second
-	measure = 240 * time.Second
-	tail    = 30 * time.Second
+	warmUp      = 120 * time.Second
+	measureTime = 240 * time.Second
+	drainTime   = 30 * time.Second
 )
 
 // Churn measures cache reuse, cached prompt tokens / prompt tokens, while engines join, leave and
@@ -14,17 +14,17 @@
 func Churn(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
-		trace := makeTrace(s, seed, warmUp+measure)
+		trace := makeTrace(s, seed, warmUp+measureTime)
 		best := 0.0
-		for _, v := range all() {
+		for _, v := range allVariants() {
 			p := runChurn(s, v, trace, seed)
-			reuse := p.reuse(warmUp)
+			reuse := p.cacheReuse(warmUp)
 			if v.name == oracle.name {
 				best = reuse
 			}
 			out = append(out, Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse", Value: reuse})
 			of := Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse of oracle's", Value: reuse / best}
-			if own(v) {
+			if isSagestand(v) {
 				of.Target = &Target{AtLeast, 0.95}
 			}
 			out = append(out, of)
@@ -35,15 +35,15 @@
 
 func runChurn(s site, v variant, trace []request, seed uint64) *replay {
 	p := newReplay(s, v, trace, seed)
-	p.churn()
-	p.runUntil(warmUp + measure + tail)
+	p.scheduleChurn()
+	p.runUntil(warmUp + measureTime + drainTime)
 	return p
 }
 
 // churn arranges what happens to engines and routers. Every 20 seconds an engine flaps: it crashes
 // and is back, cold, five seconds later. Every 60 seconds an engine leaves for 45 seconds as planned
 // and returns cold. Every 30 seconds a router is replaced by one that remembers nothing.
-func (p *replay) churn() {
+func (p *replay) scheduleChurn() {
 	n := len(p.engines)
 	p.every(warmUp/2, 20*time.Second, func() {
 		i := p.rand.IntN(n)
@@ -57,7 +57,7 @@
 			p.leave(i, 45*time.Second)
 		}
 	})
-	p.every(warmUp/2, 30*time.Second, func() { p.boot(p.routers[p.rand.IntN(len(p.routers))]) })
+	p.every(warmUp/2, 30*time.Second, func() { p.startRouter(p.routers[p.rand.IntN(len(p.routers))]) })
 }
 
 func (p *replay) flap(i int, back time.Duration) {
--- a/internal/sagemeasure/claims.go
+++ b/internal/sagemeasure/claims.go
@@ -15,43 +15,43 @@
 
 // The load of the claims measure: 36,000 requests a second of which one in 50 is a booking.
 const (
-	bookingRate  = 720
-	accounts     = 32_000
-	todayRate    = 5
-	claimsFor    = 1500 * time.Millisecond
-	bookingTakes = 300 * time.Millisecond
-	storeTakes   = 2 * time.Millisecond
-	storeJitter  = 4 * time.Millisecond
-	clockSpread  = time.Second
-	repeatAfter  = 100 * time.Millisecond
-	lossRate     = 0.1
+	bookingsPerSecond        = 720
+	numAccounts              = 32_000
+	currentBookingsPerSecond = 5
+	claimsDuration           = 1500 * time.Millisecond
+	bookingTime              = 300 * time.Millisecond
+	storeMinDelay            = 2 * time.Millisecond
+	storeJitter              = 4 * time.Millisecond
+	maxClockOffset           = time.Second
+	claimRetryDelay          = 100 * time.Millisecond
+	claimLossRate            = 0.1
 )
 
-// claimWay is one way of committing claims.
-type claimWay struct {
+// claimMethod is one way of committing claims.
+type claimMethod struct {
 	name   string
 	rate   int
 	rules  sageclaim.Rules
 	window time.Duration
 	// alone gives each claim an object of its own.
-	alone bool
+	ownObject bool
 	// loss is the part of updates whose answer is lost, half of them before their effect.
-	loss       float64
+	lossRate   float64
 	noReadBack bool
 }
 
 // slowStore adds the time that a platform takes, and loses answers.
 type slowStore struct {
 	sageobject.Store
-	mu   sync.Mutex
-	rng  *rand.Rand
-	loss float64
+	mu       sync.Mutex
+	rng      *rand.Rand
+	lossRate float64
 }
 
 func (s *slowStore) draw() (takes time.Duration, lost float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return storeTakes + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
+	return storeMinDelay + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
 }
 
 // Get implements [sageobject.Store].
@@ -65,11 +65,11 @@
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
 	takes, lost := s.draw()
 	time.Sleep(takes)
-	if lost < s.loss/2 {
+	if lost < s.lossRate/2 {
 		return 0, sageobject.ErrUnknown
 	}
 	v, err := s.Store.Put(ctx, key, value, want)
-	if err == nil && lost < s.loss {
+	if err == nil && lost < s.lossRate {
 		return 0, sageobject.ErrUnknown
 	}
 	return v, err
@@ -81,10 +81,10 @@
 	rules := func(bucket time.Duration, shards int) sageclaim.Rules {
 		return sageclaim.Rules{Bucket: bucket, Shards: shards, Retention: time.Hour, MaxAhead: time.Minute}
 	}
-	ways := []claimWay{
-		{name: "one write a claim", rate: bookingRate, alone: true, rules: rules(2*time.Second, 4)},
-		{name: "one write a claim, today", rate: todayRate, alone: true, rules: rules(2*time.Second, 4)},
-		{name: "group, today", rate: todayRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond},
+	ways := []claimMethod{
+		{name: "one write a claim", rate: bookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
+		{name: "one write a claim, today", rate: currentBookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
+		{name: "group, today", rate: currentBookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond},
 	}
 	for _, l := range []struct {
 		window time.Duration
@@ -96,14 +96,14 @@
 		{50 * time.Millisecond, 2, 2 * time.Second}, {50 * time.Millisecond, 4, 2 * time.Second},
 		{50 * time.Millisecond, 2, 10 * time.Second}, {100 * time.Millisecond, 2, 2 * time.Second},
 	} {
-		ways = append(ways, claimWay{
+		ways = append(ways, claimMethod{
 			name: fmt.Sprintf("group, %v, %d shards, bucket %v", l.window, l.shards, l.bucket),
-			rate: bookingRate, rules: rules(l.bucket, l.shards), window: l.window,
+			rate: bookingsPerSecond, rules: rules(l.bucket, l.shards), window: l.window,
 		})
 	}
 	ways = append(ways,
-		claimWay{name: "10% lost, read back", rate: bookingRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, loss: lossRate},
-		claimWay{name: "10% lost, taken as unknown", rate: bookingRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, loss: lossRate, noReadBack: true},
+		claimMethod{name: "10% lost, read back", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate},
+		claimMethod{name: "10% lost, taken as unknown", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate, noReadBack: true},
 	)
 	var out []Sample
 	for _, w := range ways {
@@ -116,41 +116,41 @@
 	return out, nil
 }
 
-// claimTally is what one way brought.
-type claimTally struct {
-	mu      sync.Mutex
-	took    []float64
-	refused int
-	failed  int
+// claimResults is what one way brought.
+type claimResults struct {
+	mu          sync.Mutex
+	latenciesMs []float64
+	refused     int
+	failed      int
 }
 
-func (w *claimWay) run(seed uint64) ([]Sample, error) {
+func (w *claimMethod) run(seed uint64) ([]Sample, error) {
 	rng := rand.New(rand.NewSource(int64(seed)))
 	mem := &sageobject.Memory{}
 	c := &sageclaim.Committer{
-		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), loss: w.loss},
+		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), lossRate: w.lossRate},
 		BatchWindow: w.window, NoReadBack: w.noReadBack, MaxCachedObjects: 1 << 16,
 	}
-	var t claimTally
+	var t claimResults
 	var wg sync.WaitGroup
 	start := time.Now()
 	n := 0
 	for next := start; ; n++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / float64(w.rate) * float64(time.Second)))
-		if next.Sub(start) > claimsFor {
+		if next.Sub(start) > claimsDuration {
 			break
 		}
 		time.Sleep(time.Until(next))
-		created := time.Now().Add(time.Duration((rng.Float64()*2 - 1) * float64(clockSpread)))
+		created := time.Now().Add(time.Duration((rng.Float64()*2 - 1) * float64(maxClockOffset)))
 		b := booking{
 			key:         fmt.Sprintf("%d-%016x%04x", created.UnixMilli(), rng.Uint64(), rng.Intn(1<<16)),
-			account:     fmt.Sprintf("account-%d", rng.Intn(accounts)),
+			account:     fmt.Sprintf("account-%d", rng.Intn(numAccounts)),
 			fingerprint: fmt.Sprintf("%016x", rng.Uint64()),
 		}
 		for i := range b.ids {
 			b.ids[i] = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 		}
-		wg.Go(func() { w.book(c, &t, &b) })
+		wg.Go(func() { w.commitBooking(c, &t, &b) })
 	}
 	wg.Wait()
 	c.Wait()
@@ -164,13 +164,13 @@
 }
 
 // book claims, runs and finishes one booking; a claim refused for the store is sent once more.
-func (w *claimWay) book(c *sageclaim.Committer, t *claimTally, b *booking) {
+func (w *claimMethod) commitBooking(c *sageclaim.Committer, t *claimResults, b *booking) {
 	key, err := sageclaim.ParseKey(b.key)
 	if err != nil {
 		return
 	}
 	object := w.rules.ObjectKey(b.account, key)
-	if w.alone {
+	if w.ownObject {
 		object += "/" + b.key
 	}
 	begin := time.Now()
@@ -181,17 +181,17 @@
 		}
 		rec, err := c.Commit(context.Background(), object, e)
 		if err != nil {
-			time.Sleep(repeatAfter)
+			time.Sleep(claimRetryDelay)
 			continue
 		}
 		if rec.ClaimID != e.ClaimID {
 			// Only this booking uses the key, and it did not run.
-			t.note(func() { t.refused++ })
+			t.update(func() { t.refused++ })
 			return
 		}
 		took := time.Since(begin)
-		t.note(func() { t.took = append(t.took, float64(took)/float64(time.Millisecond)) })
-		time.Sleep(bookingTakes)
+		t.update(func() { t.latenciesMs = append(t.latenciesMs, float64(took)/float64(time.Millisecond)) })
+		time.Sleep(bookingTime)
 		e.Op, e.Outcome, e.Status, e.Fingerprint, e.Deadline = sageclaim.OpFinish, sagewire.Complete, 201, "", time.Time{}
 		for range 5 {
 			if _, err := c.Commit(context.Background(), object, e); err == nil {
@@ -200,16 +200,16 @@
 		}
 		return
 	}
-	t.note(func() { t.failed++ })
+	t.update(func() { t.failed++ })
 }
 
-func (t *claimTally) note(f func()) {
+func (t *claimResults) update(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-func (w *claimWay) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimTally, n int) ([]Sample, error) {
+func (w *claimMethod) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimResults, n int) ([]Sample, error) {
 	metas, err := mem.List(context.Background(), sageclaim.Prefix)
 	if err != nil {
 		return nil, fmt.Errorf("list claims: %w", err)
@@ -222,12 +222,12 @@
 		}
 		largest, total = max(largest, len(o.Value)), total+len(o.Value)
 	}
-	sort.Float64s(t.took)
-	quantile := func(q float64) float64 { return t.took[int(q*float64(len(t.took)-1))] }
-	seconds := claimsFor.Seconds()
+	sort.Float64s(t.latenciesMs)
+	quantile := func(q float64) float64 { return t.latenciesMs[int(q*float64(len(t.latenciesMs)-1))] }
+	seconds := claimsDuration.Seconds()
 	s := c.Stats()
 	samples := []Sample{
-		{Metric: "claims", Unit: "/s", Value: float64(len(t.took)) / seconds},
+		{Metric: "claims", Unit: "/s", Value: float64(len(t.latenciesMs)) / seconds},
 		{Metric: "added latency, median", Unit: "ms", Value: quantile(0.5)},
 		{Metric: "added latency, 99 in 100", Unit: "ms", Value: quantile(0.99)},
 		{Metric: "store writes", Unit: "/s", Value: float64(s.Puts) / seconds},
@@ -236,7 +236,7 @@
 		{Metric: "kept a booking", Unit: "B", Value: float64(total) / float64(n)},
 		{Metric: "largest object", Unit: "KB", Value: float64(largest) / 1000},
 	}
-	if w.loss > 0 {
+	if w.lossRate > 0 {
 		samples = append(samples,
 			Sample{Metric: "bookings refused for nothing", Unit: "in 1000", Value: 1000 * float64(t.refused+t.failed) / float64(n)},
 			Sample{Metric: "store calls a booking", Value: float64(s.Puts+s.Gets) / float64(n)})
--- a/internal/sagemeasure/clock.go
+++ b/internal/sagemeasure/clock.go
@@ -19,7 +19,7 @@
 type event struct {
 	at     time.Duration
 	serial int
-	do     func()
+	run    func()
 }
 
 // instant returns the virtual time as the decision packages take it.
@@ -28,7 +28,7 @@
 // after runs do when d has passed. Events of the same instant run in the order they were made.
 func (c *clock) after(d time.Duration, do func()) {
 	c.serial++
-	heap.Push(&c.events, event{at: c.now + max(d, 0), serial: c.serial, do: do})
+	heap.Push(&c.events, event{at: c.now + max(d, 0), serial: c.serial, run: do})
 }
 
 // every runs do at each multiple of d after the first one.
@@ -44,14 +44,14 @@
 	for len(c.events) > 0 && c.events[0].at < end {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
-		e.do()
+		e.run()
 	}
 	c.now = end
 }
 
 // order returns jobs by the time and number of their request: a map's own order would differ
 // between runs of one seed.
-func (*clock) order(jobs map[*job]bool) []*job {
+func (*clock) sortJobs(jobs map[*job]bool) []*job {
 	all := make([]*job, 0, len(jobs))
 	for j := range jobs {
 		all = append(all, j)
@@ -77,7 +77,7 @@
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
-	old[len(old)-1].do = nil
+	old[len(old)-1].run = nil
 	*e = old[:len(old)-1]
 	return x
 }
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -9,8 +9,8 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// value returns a sample's figure by its metric.
-func value(t *testing.T, samples []Sample, metric string) float64 {
+// valueOf returns a sample's figure by its metric.
+func valueOf(t *testing.T, samples []Sample, metric string) float64 {
 	t.Helper()
 	for _, s := range samples {
 		if s.Metric == metric {
@@ -27,25 +27,25 @@
 	f, err := newConfigFleet(1, 20, 4, false)
 	require.NoError(t, err)
 	f.LossRate = 0.3
-	s, err := f.inForce(true)
+	s, err := f.measureInForce(true)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, value(t, s, "in force, max"), float64(inForceTarget))
-	assert.Greater(t, value(t, s, "in force, max"), 1.0, "it takes more than one exchange")
+	assert.LessOrEqual(t, valueOf(t, s, "in force, max"), float64(inForceTargetSeconds))
+	assert.Greater(t, valueOf(t, s, "in force, max"), 1.0, "it takes more than one exchange")
 }
 
 // A far region is cut off, and a data centre in it is taken out. Its nodes can't hear of that; under
 // the default rule they stop instead of sending work there.
-func TestIsolatedFarRegion(t *testing.T) {
-	for _, tr := range troubles() {
+func TestIsolationOfFarRegion(t *testing.T) {
+	for _, tr := range isolationFaults() {
 		if tr.name != "far region cut off, exit" {
 			continue
 		}
 		for way, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
-			s, err := isolate(1, tr, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+			s, err := measureIsolation(1, tr, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			require.NoError(t, err)
-			assert.Equal(t, sends, value(t, s, "work sent to the data centre that was out") > 0, way)
-			assert.Equal(t, sends, value(t, s, "service lost") == 0, way)
-			assert.Equal(t, 100.0, value(t, s, "exit accepted"), way)
+			assert.Equal(t, sends, valueOf(t, s, "work sent to the data centre that was out") > 0, way)
+			assert.Equal(t, sends, valueOf(t, s, "service lost") == 0, way)
+			assert.Equal(t, 100.0, valueOf(t, s, "exit accepted"), way)
 		}
 		return
 	}
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -19,108 +19,108 @@
 	watchRounds   = 15
 )
 
-// watchersEach is the number of nodes of a data centre that watch the store.
-const watchersEach = 2
+// watchersPerDataCentre is the number of nodes of a data centre that watch the store.
+const watchersPerDataCentre = 2
 
 // configFleet is a member fleet whose nodes also exchange configuration, and the store behind them.
 type configFleet struct {
 	*MemberFleet
-	nodes []*configNode
-	store sageobject.Memory
-	a     sageticket.Acceptor
+	nodes    []*configNode
+	store    sageobject.Memory
+	acceptor sageticket.Acceptor
 	// tables lets the nodes find each other through their member tables; else each knows all others
 	// from the start, which is far quicker to run.
-	tables bool
-	// all lets every node watch the store: the baseline.
-	all bool
+	useTables bool
+	// allVariants lets every node watch the store: the baseline.
+	allWatch bool
 	// reaches says whether a node reaches the store.
-	reaches func(n *configNode) bool
-	round   int
-	number  uint64
+	reachesStore func(n *configNode) bool
+	round        int
+	lastTicket   uint64
 	// calls counts the calls to the store, waiting watches among them.
-	calls int64
+	storeCalls int64
 }
 
 // configNode is one node with its copy of the configuration.
 type configNode struct {
 	*MemberNode
-	index   int
-	replica *sagesync.Replica
-	bytes   int64 // what its part of the exchanges carried
-	watcher bool  // as of its last look at who is live
-	peers   []sagegossip.Peer
+	index        int
+	replica      *sagesync.Replica
+	sectionBytes int64 // what its part of the exchanges carried
+	watcher      bool  // as of its last look at who is live
+	peers        []sagegossip.Peer
 }
 
-// counted counts the bytes of a section.
-type counted struct {
+// countingSection counts the bytes of a section.
+type countingSection struct {
 	sagegossip.Section
-	n *configNode
+	node *configNode
 }
 
-func (c *counted) Digest() []byte {
+func (c *countingSection) Digest() []byte {
 	d := c.Section.Digest()
-	c.n.bytes += int64(len(d))
+	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
-func (c *counted) Delta(digest []byte, budget int) []byte {
+func (c *countingSection) Delta(digest []byte, budget int) []byte {
 	d := c.Section.Delta(digest, budget)
-	c.n.bytes += int64(len(d))
+	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
 // roleRounds is how often a node looks at who is live.
 const roleRounds = 5
 
-// settleRounds lets the nodes of a new fleet meet each other.
-const settleRounds = 60
+// convergeRounds lets the nodes of a new fleet meet each other.
+const convergeRounds = 60
 
 // newConfigFleet returns a fleet of n nodes in so many data centres that have met each other.
 func newConfigFleet(seed uint64, n, dataCentres int, tables bool) (*configFleet, error) {
-	f := &configFleet{MemberFleet: NewMemberFleet(seed), tables: tables, reaches: func(*configNode) bool { return true }}
-	f.a = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
+	f := &configFleet{MemberFleet: NewMemberFleet(seed), useTables: tables, reachesStore: func(*configNode) bool { return true }}
+	f.acceptor = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
 	if err := f.AddNodes(n, dataCentres, sagemember.DefaultLimits()); err != nil {
 		return nil, fmt.Errorf("config fleet: %w", err)
 	}
 	for i, m := range f.Nodes {
 		c := &configNode{MemberNode: m, index: i, replica: &sagesync.Replica{Now: func() time.Time { return f.Now }}}
-		own := &counted{Section: c.replica, n: c}
+		own := &countingSection{Section: c.replica, node: c}
 		if tables {
 			m.Engine.Sections = append(m.Engine.Sections, own)
 		} else {
 			m.Engine.Sections = []sagegossip.Section{own}
-			c.peers = f.others(m)
+			c.peers = f.otherPeers(m)
 		}
 		f.nodes = append(f.nodes, c)
 	}
-	if err := f.accept(f.nodes[0], "dc0", true); err != nil {
+	if err := f.submitTicket(f.nodes[0], "dc0", true); err != nil {
 		return nil, err
 	}
-	for range settleRounds {
+	for range convergeRounds {
 		f.step()
 	}
-	if c := f.behind(1); c > 0 {
-		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", c, n, settleRounds, ErrIncomplete)
+	if c := f.nodesBehind(1); c > 0 {
+		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", c, n, convergeRounds, ErrIncomplete)
 	}
 	return f, nil
 }
 
 // accept submits a change of a data centre through a node that reaches the store. The acceptor has
 // it at once; the watchers have it with the next step.
-func (f *configFleet) accept(n *configNode, dataCentre string, in bool) error {
-	f.number++
-	t := &sageconfig.Ticket{Number: f.number, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
+func (f *configFleet) submitTicket(n *configNode, dataCentre string, in bool) error {
+	f.lastTicket++
+	t := &sageconfig.Ticket{Number: f.lastTicket, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
 		DataCentre: &sageconfig.DataCentre{InService: in},
 	}}}
-	if _, err := f.a.Submit(context.Background(), t); err != nil {
+	if _, err := f.acceptor.Submit(context.Background(), t); err != nil {
 		return fmt.Errorf("accept: %w", err)
 	}
-	return f.read(n)
+	return f.readStore(n)
 }
 
 // read brings a node up to date from the store.
-func (f *configFleet) read(n *configNode) error {
+func (f *configFleet) readStore(n *configNode) error {
 	h, _, err := sageticket.ReadHead(context.Background(), &f.store)
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
@@ -137,12 +137,12 @@
 }
 
 // watches says whether n watches the store, by its own view of who is live.
-func (f *configFleet) watches(n *configNode) bool {
-	if f.all || (f.round+n.index)%roleRounds != 0 {
-		return f.all || n.watcher
+func (f *configFleet) isWatching(n *configNode) bool {
+	if f.allWatch || (f.round+n.index)%roleRounds != 0 {
+		return f.allWatch || n.watcher
 	}
 	var live []string
-	if f.tables {
+	if f.useTables {
 		for _, m := range n.Table.Live() {
 			if m.DataCentre == n.Table.Self.DataCentre {
 				live = append(live, m.Address)
@@ -154,7 +154,7 @@
 			live = append(live, p.Address)
 		}
 	}
-	n.watcher = sagesync.IsWatcher(n.Table.Self.Address, live, watchersEach)
+	n.watcher = sagesync.IsWatcher(n.Table.Self.Address, live, watchersPerDataCentre)
 	return n.watcher
 }
 
@@ -162,29 +162,29 @@
 func (f *configFleet) step() {
 	f.round++
 	for _, n := range f.nodes {
-		if !f.watches(n) {
-			f.feedStarved(n)
+		if !f.isWatching(n) {
+			f.readIfStale(n)
 			continue
 		}
 		if (f.round+n.index)%confirmRounds == 0 {
-			f.calls++
+			f.storeCalls++
 		}
 		if (f.round+n.index)%watchRounds == 0 {
-			f.calls++
+			f.storeCalls++
 		}
-		if !f.reaches(n) {
+		if !f.reachesStore(n) {
 			continue
 		}
 		before := n.replica.Current().Revision
 		// The store of the fleet never fails; a failed read would show as a node that stays behind.
-		if (f.round+n.index)%confirmRounds == 0 || before < f.number {
-			_ = f.read(n)
+		if (f.round+n.index)%confirmRounds == 0 || before < f.lastTicket {
+			_ = f.readStore(n)
 		}
 		if n.replica.Current().Revision > before {
-			f.calls++ // the watch returned and is set again
+			f.storeCalls++ // the watch returned and is set again
 		}
 	}
-	if f.tables {
+	if f.useTables {
 		f.RunRound()
 		return
 	}
@@ -199,20 +199,20 @@
 }
 
 // feedStarved lets a node that doesn't watch ask the store when its evidence has grown old.
-func (f *configFleet) feedStarved(n *configNode) {
+func (f *configFleet) readIfStale(n *configNode) {
 	starved := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
 	if !starved || (f.round+n.index)%confirmRounds != 0 {
 		return
 	}
-	f.calls++
-	if f.reaches(n) {
+	f.storeCalls++
+	if f.reachesStore(n) {
 		// A failed read would show as a node that stays behind.
-		_ = f.read(n)
+		_ = f.readStore(n)
 	}
 }
 
 // others lists all nodes but one.
-func (f *configFleet) others(m *MemberNode) []sagegossip.Peer {
+func (f *configFleet) otherPeers(m *MemberNode) []sagegossip.Peer {
 	var peers []sagegossip.Peer
 	for _, o := range f.Nodes {
 		if o != m {
@@ -223,7 +223,7 @@
 }
 
 // behind returns how many nodes don't hold a revision yet.
-func (f *configFleet) behind(revision uint64) int {
+func (f *configFleet) nodesBehind(revision uint64) int {
 	c := 0
 	for _, n := range f.nodes {
 		if n.replica.Current().Revision < revision {
@@ -234,10 +234,10 @@
 }
 
 // bytesOut sums what the configuration's part of the exchanges carried.
-func (f *configFleet) bytesOut() int64 {
+func (f *configFleet) sectionBytes() int64 {
 	sum := int64(0)
 	for _, n := range f.nodes {
-		sum += n.bytes
+		sum += n.sectionBytes
 	}
 	return sum
 }
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -21,23 +21,23 @@
 		}
 		roster := f.nodes[:size.dataCentres]
 		f.setRoster(roster)
-		for range settleRounds {
+		for range convergeRounds {
 			f.step()
 		}
 		for _, loss := range []float64{0, 0.3} {
 			f.LossRate = loss
 			var heartbeats, digests time.Duration
-			bytes := f.bytesOut()
+			bytes := f.sectionBytes()
 			for range rounds {
 				f.step()
 				for _, n := range f.nodes {
-					heartbeats = max(heartbeats, f.Now.Sub(n.contact(f.Now, roster)))
+					heartbeats = max(heartbeats, f.Now.Sub(n.lastQuorumContact(f.Now, roster)))
 					digests = max(digests, f.Now.Sub(n.replica.Status().QuorumAt))
 				}
 			}
 			name := fmt.Sprintf("%d nodes, %g%% lost", size.nodes, 100*loss)
 			limit := &Target{Comparison: AtMost, Limit: sagesync.DefaultMaxEvidenceAge.Seconds()}
-			perNode := float64(f.bytesOut()-bytes) / rounds / float64(len(f.nodes))
+			perNode := float64(f.sectionBytes()-bytes) / rounds / float64(len(f.nodes))
 			out = append(out,
 				Sample{Scenario: name, Policy: "heartbeats", Metric: "oldest contact to most of the roster", Unit: "s", Value: heartbeats.Seconds()},
 				Sample{Scenario: name, Policy: "digests", Metric: "oldest contact to most of the roster", Unit: "s", Value: digests.Seconds(), Target: limit},
@@ -60,7 +60,7 @@
 }
 
 // contact returns the latest instant at which n had contact to most of a roster.
-func (n *configNode) contact(now time.Time, roster []*configNode) time.Time {
+func (n *configNode) lastQuorumContact(now time.Time, roster []*configNode) time.Time {
 	latest := map[string]time.Time{n.Table.Self.Address: now}
 	for _, m := range n.Table.Live() {
 		if m.LastContact.After(latest[m.Address]) {
--- a/internal/sagemeasure/fakeupstream.go
+++ b/internal/sagemeasure/fakeupstream.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// prefillRate is the number of uncached prompt tokens that a fake engine reads in a second,
+// prefillTokensPerSecond is the number of uncached prompt tokens that a fake engine reads in a second,
 // tokenGap the time between two tokens of an answer.
 const (
-	prefillRate = 8000
-	tokenGap    = 20 * time.Millisecond
+	prefillTokensPerSecond = 8000
+	tokenInterval          = 20 * time.Millisecond
 )
 
 // engine is a fake model engine in virtual time: slots run side by side, the rest waits by priority,
@@ -26,10 +26,10 @@
 	waiting    [3][]*job
 	cache      *prefixCache
 	// ended is called with false for a job that the engine lost.
-	ended func(j *job, ok bool)
-	clock *clock
-	jobs  map[*job]bool
-	last  report
+	onEnd      func(j *job, ok bool)
+	clock      *clock
+	jobs       map[*job]bool
+	lastReport loadReport
 }
 
 // job is one request at an engine.
@@ -47,13 +47,15 @@
 // An engine that has just started bears coldStart requests at once, and one more for each rampWork
 // that it has completed.
 const (
-	coldStart = 4
-	rampWork  = 2
+	initialCapacity    = 4
+	completionsPerUnit = 2
 )
 
-func (e *engine) bears() int { return bears(e.completed) }
+func (e *engine) capacity() int { return capacityAfter(e.completed) }
 
-func bears(completed int) int { return min(engineSlots, coldStart+completed/rampWork) }
+func capacityAfter(completed int) int {
+	return min(engineSlots, initialCapacity+completed/completionsPerUnit)
+}
 
 func (e *engine) submit(j *job) {
 	e.jobs[j] = true
@@ -75,13 +77,13 @@
 	e.running++
 	j.started = e.clock.now
 	j.cached = e.cache.cached(j.request)
-	prefill := time.Duration(j.prompt()-j.cached) * time.Second / prefillRate
+	prefill := time.Duration(j.prompt()-j.cached) * time.Second / prefillTokensPerSecond
 	e.clock.after(prefill, func() {
 		if e.jobs[j] {
 			e.cache.store(j.request, j.history+j.fresh)
 		}
 	})
-	e.clock.after(prefill+time.Duration(j.output)*tokenGap, func() { e.finish(j) })
+	e.clock.after(prefill+time.Duration(j.output)*tokenInterval, func() { e.finish(j) })
 }
 
 func (e *engine) finish(j *job) {
@@ -92,14 +94,14 @@
 	e.running--
 	e.completed++
 	e.cache.store(j.request, j.history+j.fresh+j.output)
-	e.ended(j, true)
+	e.onEnd(j, true)
 	e.startWaiting()
 }
 
 // crash loses the cache and all jobs.
 func (e *engine) crash() {
 	var lost []*job
-	for _, j := range e.clock.order(e.jobs) {
+	for _, j := range e.clock.sortJobs(e.jobs) {
 		delete(e.jobs, j)
 		lost = append(lost, j)
 	}
@@ -108,7 +110,7 @@
 	e.generation++
 	e.cache.clear()
 	for _, j := range lost {
-		e.ended(j, false)
+		e.onEnd(j, false)
 	}
 }
 
--- a/internal/sagemeasure/inforce.go
+++ b/internal/sagemeasure/inforce.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// inForceTickets is the number of tickets of each case.
-const inForceTickets = 6
+// inForceTicketsPerCase is the number of tickets of each case.
+const inForceTicketsPerCase = 6
 
-// inForceLimit is how many rounds a ticket is waited for.
-const inForceLimit = 90
+// inForceMaxRounds is how many rounds a ticket is waited for.
+const inForceMaxRounds = 90
 
-// inForceTarget is the time in which an accepted ticket must be in force everywhere, in seconds.
-const inForceTarget = 16
+// inForceTargetSeconds is the time in which an accepted ticket must be in force everywhere, in seconds.
+const inForceTargetSeconds = 16
 
 // InForce measures the time from acceptance to in force at every node, in rounds of a second in which
 // each node begins one exchange, with exchanges lost and with the store out right after acceptance,
@@ -28,7 +28,7 @@
 		for _, outage := range []bool{false, true} {
 			for _, loss := range []float64{0, 0.01, 0.1, 0.3} {
 				f.LossRate = loss
-				s, err := f.inForce(outage)
+				s, err := f.measureInForce(outage)
 				if err != nil {
 					return nil, fmt.Errorf("%d nodes: %w", size.nodes, err)
 				}
@@ -44,10 +44,10 @@
 		}
 		for _, loss := range []float64{0, 0.3} {
 			f.LossRate = loss
-			for range settleRounds {
+			for range convergeRounds {
 				f.step()
 			}
-			for _, s := range f.cost() {
+			for _, s := range f.measureCost() {
 				s.Scenario = fmt.Sprintf("%d nodes, %g%% lost, no tickets", size.nodes, 100*loss)
 				out = append(out, s)
 			}
@@ -57,53 +57,53 @@
 }
 
 // inForce accepts tickets one after another and notes when each node has each.
-func (f *configFleet) inForce(outage bool) ([]Sample, error) {
+func (f *configFleet) measureInForce(outage bool) ([]Sample, error) {
 	var delays []float64
-	for i := range inForceTickets {
-		f.reaches = func(*configNode) bool { return true }
+	for i := range inForceTicketsPerCase {
+		f.reachesStore = func(*configNode) bool { return true }
 		f.step()
-		if err := f.accept(f.nodes[f.Rand.IntN(len(f.nodes))], "dc1", i%2 == 0); err != nil {
+		if err := f.submitTicket(f.nodes[f.Rand.IntN(len(f.nodes))], "dc1", i%2 == 0); err != nil {
 			return nil, err
 		}
-		f.reaches = func(*configNode) bool { return !outage }
+		f.reachesStore = func(*configNode) bool { return !outage }
 		held := make([]bool, len(f.nodes))
-		for round := 1; round <= inForceLimit && f.behind(f.number) > 0; round++ {
+		for round := 1; round <= inForceMaxRounds && f.nodesBehind(f.lastTicket) > 0; round++ {
 			f.step()
 			for k, n := range f.nodes {
-				if !held[k] && n.replica.Current().Revision >= f.number {
+				if !held[k] && n.replica.Current().Revision >= f.lastTicket {
 					held[k] = true
 					delays = append(delays, float64(round))
 				}
 			}
 		}
-		if c := f.behind(f.number); c > 0 {
-			return nil, fmt.Errorf("ticket %d lacks at %d nodes after %d rounds: %w", f.number, c, inForceLimit, ErrIncomplete)
+		if c := f.nodesBehind(f.lastTicket); c > 0 {
+			return nil, fmt.Errorf("ticket %d lacks at %d nodes after %d rounds: %w", f.lastTicket, c, inForceMaxRounds, ErrIncomplete)
 		}
 	}
-	f.reaches = func(*configNode) bool { return true }
+	f.reachesStore = func(*configNode) bool { return true }
 	slices.Sort(delays)
 	at := func(q float64) float64 { return delays[int(q*float64(len(delays)-1))] }
 	return []Sample{
 		{Metric: "in force, p50", Unit: "s", Value: at(0.5)},
 		{Metric: "in force, p99", Unit: "s", Value: at(0.99)},
-		{Metric: "in force, max", Unit: "s", Value: at(1), Target: &Target{Comparison: AtMost, Limit: inForceTarget}},
+		{Metric: "in force, max", Unit: "s", Value: at(1), Target: &Target{Comparison: AtMost, Limit: inForceTargetSeconds}},
 	}, nil
 }
 
 // cost measures a quiet minute, with few watchers and with all nodes watching.
-func (f *configFleet) cost() []Sample {
+func (f *configFleet) measureCost() []Sample {
 	const rounds = 60
 	var out []Sample
 	for _, all := range []bool{false, true} {
-		f.all = all
+		f.allWatch = all
 		policy := "few watchers"
 		if all {
 			policy = "every node watches"
 		}
-		calls, bytes := f.calls, f.bytesOut()
+		calls, bytes := f.storeCalls, f.sectionBytes()
 		waiting := 0
 		for _, n := range f.nodes {
-			if f.watches(n) {
+			if f.isWatching(n) {
 				waiting++
 			}
 		}
@@ -112,15 +112,15 @@
 			f.step()
 			oldest = max(oldest, f.oldestEvidence())
 		}
-		perNode := float64(f.bytesOut()-bytes) / rounds / float64(len(f.nodes))
+		perNode := float64(f.sectionBytes()-bytes) / rounds / float64(len(f.nodes))
 		out = append(out,
-			Sample{Policy: policy, Metric: "store calls", Unit: "1/s", Value: float64(f.calls-calls) / rounds},
+			Sample{Policy: policy, Metric: "store calls", Unit: "1/s", Value: float64(f.storeCalls-calls) / rounds},
 			Sample{Policy: policy, Metric: "waiting watches", Unit: "", Value: float64(waiting)},
 			Sample{Policy: policy, Metric: "configuration bytes sent per node", Unit: "B/s", Value: perNode},
 			Sample{Policy: policy, Metric: "oldest evidence", Unit: "s", Value: oldest.Seconds()},
 		)
 	}
-	f.all = false
+	f.allWatch = false
 	return out
 }
 
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -15,20 +15,20 @@
 	isoRegions     = 3
 	isoNodes       = 18
 	isoRounds      = 300
-	isoExitAt      = 30
-	// isoGrace is what "a few seconds" allows after an accepted exit, in rounds.
-	isoGrace = 8
-	// isoBookings is the part of the requests that may not be repeated.
-	isoBookings = 0.3
+	isoExitRound   = 30
+	// isoGraceRounds is what "a few seconds" allows after an accepted exit, in rounds.
+	isoGraceRounds = 8
+	// isoBookingShare is the part of the requests that may not be repeated.
+	isoBookingShare = 0.3
 )
 
-// trouble is a failure that lasts for the whole measure: who reaches whom, and who the store.
-type trouble struct {
-	name  string
-	link  func(a, b *configNode) bool
-	store func(n *configNode) bool
+// isolationFault is a failure that lasts for the whole measure: who reaches whom, and who the store.
+type isolationFault struct {
+	name         string
+	reachable    func(a, b *configNode) bool
+	reachesStore func(n *configNode) bool
 	// exit is the data centre that operators take out, or -1, and by which node.
-	exit, by int
+	exitDataCentre, exitNode int
 }
 
 func region(n *configNode) int { return n.index % isoDataCentres / isoRegions }
@@ -37,11 +37,11 @@
 
 func sameRegion(a, b *configNode) bool { return region(a) == region(b) }
 
-// troubles lists the cases. The exit is in a region that is cut off from the store, where it matters
+// isolationFaults lists the cases. The exit is in a region that is cut off from the store, where it matters
 // most: nodes there go on sending work to it if they don't know.
-func troubles() []trouble {
+func isolationFaults() []isolationFault {
 	alone := func(n *configNode) bool { return n.index == 8 }
-	return []trouble{
+	return []isolationFault{
 		{"store out", anyLink, func(*configNode) bool { return false }, -1, 0},
 		{"one node cut off, exit", func(a, b *configNode) bool { return alone(a) == alone(b) }, func(n *configNode) bool { return !alone(n) }, 8, 0},
 		{
@@ -65,9 +65,9 @@
 // to a data centre that operators took out.
 func Isolation(seed uint64) ([]Sample, error) {
 	var out []Sample
-	for _, t := range troubles() {
+	for _, t := range isolationFaults() {
 		for _, way := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
-			s, err := isolate(seed, t, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+			s, err := measureIsolation(seed, t, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			if err != nil {
 				return nil, fmt.Errorf("%s, %s: %w", t.name, way, err)
 			}
@@ -80,44 +80,44 @@
 	return out, nil
 }
 
-// isolate runs one trouble under one rule. Each node gets the same load each round, and spreads it
+// measureIsolation runs one trouble under one rule. Each node gets the same load each round, and spreads it
 // over the data centres that are in service by its own state and that it reaches.
-func isolate(seed uint64, t trouble, rule sagesync.Rule) ([]Sample, error) {
+func measureIsolation(seed uint64, t isolationFault, rule sagesync.Rule) ([]Sample, error) {
 	f, err := newConfigFleet(seed, isoNodes, isoDataCentres, true)
 	if err != nil {
 		return nil, err
 	}
 	for d := range isoDataCentres {
-		if err := f.accept(f.nodes[0], fmt.Sprintf("dc%d", d), true); err != nil {
+		if err := f.submitTicket(f.nodes[0], fmt.Sprintf("dc%d", d), true); err != nil {
 			return nil, err
 		}
 	}
-	for range settleRounds {
+	for range convergeRounds {
 		f.step()
 	}
 	byTable := make(map[*MemberNode]*configNode)
 	for _, n := range f.nodes {
 		byTable[n.MemberNode] = n
 	}
-	f.LinkDown = func(from, to *MemberNode) bool { return !t.link(byTable[from], byTable[to]) }
-	f.reaches = t.store
+	f.LinkDown = func(from, to *MemberNode) bool { return !t.reachable(byTable[from], byTable[to]) }
+	f.reachesStore = t.reachesStore
 	var lost, sent, offered float64
-	accepted := t.exit < 0
+	accepted := t.exitDataCentre < 0
 	exitedAt := 0
 	for round := 1; round <= isoRounds; round++ {
 		f.step()
 		for _, n := range f.nodes {
-			n.noteQuorum(f.Now)
+			n.recordQuorum(f.Now)
 		}
-		if round >= isoExitAt && !accepted && rule.MayAccept(f.Now, f.nodes[t.by].replica.Status()) {
-			if err := f.accept(f.nodes[t.by], fmt.Sprintf("dc%d", t.exit), false); err != nil {
+		if round >= isoExitRound && !accepted && rule.MayAccept(f.Now, f.nodes[t.exitNode].replica.Status()) {
+			if err := f.submitTicket(f.nodes[t.exitNode], fmt.Sprintf("dc%d", t.exitDataCentre), false); err != nil {
 				return nil, err
 			}
 			accepted, exitedAt = true, round
 		}
 		for _, n := range f.nodes {
-			share, toOut := n.load(f, t, exitedAt > 0 && round > exitedAt+isoGrace)
-			served := servedPart(rule.Evaluate(f.Now, n.replica.Status()).Level)
+			share, toOut := n.workShare(f, t, exitedAt > 0 && round > exitedAt+isoGraceRounds)
+			served := servedShare(rule.Evaluate(f.Now, n.replica.Status()).Level)
 			offered++
 			lost += 1 - served
 			sent += served * share * toOut
@@ -131,33 +131,33 @@
 		{Metric: "service lost", Unit: "%", Value: 100 * lost / offered},
 		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sent / offered},
 	}
-	if t.exit >= 0 {
+	if t.exitDataCentre >= 0 {
 		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: yes})
 	}
 	return out, nil
 }
 
-func servedPart(m sagesync.ServiceLevel) float64 {
+func servedShare(m sagesync.ServiceLevel) float64 {
 	switch m {
 	case sagesync.ServeAll:
 		return 1
 	case sagesync.ServeIdempotent:
-		return 1 - isoBookings
+		return 1 - isoBookingShare
 	}
 	return 0
 }
 
 // load returns the part of n's work that goes to each data centre it uses, and 1 if one of these is
 // out although it may receive nothing any more.
-func (n *configNode) load(f *configFleet, t trouble, out bool) (share, toOut float64) {
+func (n *configNode) workShare(f *configFleet, t isolationFault, out bool) (share, toOut float64) {
 	used := 0
 	for _, o := range f.nodes[:isoDataCentres] {
 		dc, ok := n.replica.Current().State.DataCentre(o.Table.Self.DataCentre)
-		if !ok || !dc.InService || !t.link(n, o) && n.index%isoDataCentres != o.index {
+		if !ok || !dc.InService || !t.reachable(n, o) && n.index%isoDataCentres != o.index {
 			continue
 		}
 		used++
-		if out && o.index == t.exit {
+		if out && o.index == t.exitDataCentre {
 			toOut = 1
 		}
 	}
@@ -169,7 +169,7 @@
 
 // noteQuorum tells the replica when the node last had contact to most of the roster, which is all
 // nodes of this fleet: its table remembers dead ones for longer than the measure runs.
-func (n *configNode) noteQuorum(now time.Time) {
+func (n *configNode) recordQuorum(now time.Time) {
 	heard := []time.Time{now}
 	for _, m := range n.Table.All() {
 		if m.Incarnation != n.Table.LocalNode().Incarnation && m.Phase != sagemember.Gone {
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -32,11 +32,11 @@
 	// directFailures calls to it failed.
 	BaselineEvictions int64
 
-	failures map[[2]string]int
+	consecutiveFailures map[[2]string]int
 }
 
-// directFailures is how many failed calls in a row the baseline takes for death.
-const directFailures = 3
+// baselineFailures is how many failed calls in a row the baseline takes for death.
+const baselineFailures = 3
 
 // MemberNode is one process of the fleet.
 type MemberNode struct {
@@ -52,7 +52,7 @@
 // NewMemberFleet returns a fleet without nodes.
 func NewMemberFleet(seed uint64) *MemberFleet {
 	return &MemberFleet{
-		Now: time.Unix(1_800_000_000, 0), Rand: rand.New(rand.NewPCG(seed, 1)), failures: make(map[[2]string]int),
+		Now: time.Unix(1_800_000_000, 0), Rand: rand.New(rand.NewPCG(seed, 1)), consecutiveFailures: make(map[[2]string]int),
 	}
 }
 
@@ -128,20 +128,20 @@
 			continue
 		}
 		f.Exchanges++
-		f.noteDirect(n, addr, n.Engine.Exchange(context.Background(), n, addr))
+		f.recordBaseline(n, addr, n.Engine.Exchange(context.Background(), n, addr))
 	}
 }
 
 // noteDirect keeps the baseline's account of calls to nodes that run. A failed exchange is no error
 // here: it is what the fake link is for, and the table is told of it by the engine.
-func (f *MemberFleet) noteDirect(from *MemberNode, addr string, err error) {
+func (f *MemberFleet) recordBaseline(from *MemberNode, addr string, err error) {
 	link := [2]string{from.Table.Self.Address, addr}
 	if to := f.NodeAt(addr); err == nil || to == nil || to.Paused {
-		f.failures[link] = 0
+		f.consecutiveFailures[link] = 0
 		return
 	}
-	f.failures[link]++
-	if f.failures[link] == directFailures {
+	f.consecutiveFailures[link]++
+	if f.consecutiveFailures[link] == baselineFailures {
 		f.BaselineEvictions++
 	}
 }
@@ -158,9 +158,9 @@
 }
 
 // carry counts a message and says whether it arrives.
-func (f *MemberFleet) carry(from, to *MemberNode, parts []sagegossip.Part) bool {
+func (f *MemberFleet) deliver(from, to *MemberNode, parts []sagegossip.Part) bool {
 	for _, p := range parts {
-		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partFrame)
+		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partOverheadBytes)
 	}
 	if to == nil || to.Stopped || to.Paused {
 		return false
@@ -168,21 +168,21 @@
 	return f.LinkDown == nil || !f.LinkDown(from, to)
 }
 
-// partFrame is what the protobuf encoding adds to a part.
-const partFrame = 8
+// partOverheadBytes is what the protobuf encoding adds to a part.
+const partOverheadBytes = 8
 
 // Meet implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.NodeAt(addr)
 	fate := f.Rand.Float64()
-	if !f.carry(n, to, digests) || fate < f.LossRate/2 {
+	if !f.deliver(n, to, digests) || fate < f.LossRate/2 {
 		return nil, nil, errLost
 	}
 	deltas, own, err = to.Engine.Answer(digests)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer: %w", err)
 	}
-	if !f.carry(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.LossRate {
+	if !f.deliver(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.LossRate {
 		return nil, nil, errLost
 	}
 	return deltas, own, nil
@@ -191,7 +191,7 @@
 // Push implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
 	to := n.fleet.NodeAt(addr)
-	if !n.fleet.carry(n, to, deltas) {
+	if !n.fleet.deliver(n, to, deltas) {
 		return errLost
 	}
 	if err := to.Engine.Merge(deltas); err != nil {
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -8,11 +8,11 @@
 
 // Sizes of the measure of the membership.
 const (
-	memberBoot    = 60  // rounds at most until all nodes know each other
-	memberSteady  = 60  // rounds of steady state
-	memberChange  = 120 // rounds at most until a change is known everywhere
-	memberLinks   = 300 // rounds with a broken link
-	controlBudget = 19_000
+	memberBootRounds      = 60  // rounds at most until all nodes know each other
+	memberSteadyRounds    = 60  // rounds of steady state
+	memberChangeRounds    = 120 // rounds at most until a change is known everywhere
+	memberLinkRounds      = 300 // rounds with a broken link
+	controlBytesPerSecond = 19_000
 )
 
 // memberSize is a fleet to measure.
@@ -29,7 +29,7 @@
 	losses := []float64{0, 0.01, 0.1, 0.3}
 	for _, size := range []memberSize{{8, 4, losses}, {50, 9, losses}, {150, 9, losses}, {400, 9, []float64{0}}} {
 		for _, loss := range size.losses {
-			s, err := memberRun(seed, size, loss)
+			s, err := measureMembership(seed, size, loss)
 			if err != nil {
 				return nil, fmt.Errorf("%d nodes: %w", size.nodes, err)
 			}
@@ -46,7 +46,7 @@
 	return samples, nil
 }
 
-func memberRun(seed uint64, size memberSize, loss float64) ([]Sample, error) {
+func measureMembership(seed uint64, size memberSize, loss float64) ([]Sample, error) {
 	f := NewMemberFleet(seed)
 	f.LossRate = loss
 	if err := f.AddNodes(size.nodes, size.dcs, sagemember.DefaultLimits()); err != nil {
@@ -56,18 +56,18 @@
 	sample := func(metric, unit string, v float64, t *Target) Sample {
 		return Sample{Scenario: scenario, Policy: "indirect check", Metric: metric, Unit: unit, Value: v, Target: t}
 	}
-	boot := f.RunUntil(memberBoot, f.Converged)
+	boot := f.RunUntil(memberBootRounds, f.Converged)
 	evictions, bytes := f.Evictions(), f.MessageBytes
-	f.RunUntil(memberSteady, func() bool { return false })
-	perNode := 2 * float64(f.MessageBytes-bytes) / memberSteady / float64(size.nodes)
+	f.RunUntil(memberSteadyRounds, func() bool { return false })
+	perNode := 2 * float64(f.MessageBytes-bytes) / memberSteadyRounds / float64(size.nodes)
 	wrong := f.Evictions() - evictions
-	join, leave, death, err := f.change()
+	join, leave, death, err := f.measureChanges()
 	if err != nil {
 		return nil, err
 	}
 	return []Sample{
 		sample("rounds until all know each other", "s", float64(boot), nil),
-		sample("payload a node, both ways", "B/s", perNode, &Target{AtMost, controlBudget}),
+		sample("payload a node, both ways", "B/s", perNode, &Target{AtMost, controlBytesPerSecond}),
 		sample("nodes wrongly taken for dead in 60 s", "", float64(wrong), &Target{AtMost, 0}),
 		sample("rounds until a join is known", "s", float64(join), nil),
 		sample("rounds until a leave is known", "s", float64(leave), nil),
@@ -76,7 +76,7 @@
 }
 
 // change lets a node join, leave and die, and returns the rounds until each was known everywhere.
-func (f *MemberFleet) change() (join, leave, death int, err error) {
+func (f *MemberFleet) measureChanges() (join, leave, death int, err error) {
 	n, err := f.StartNode("10.9.9.9:7000", "dc0", sagemember.DefaultLimits())
 	if err != nil {
 		return 0, 0, 0, err
@@ -92,11 +92,11 @@
 			return true
 		}
 	}
-	join = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
+	join = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
 	n.Table.AdvancePhase(sagemember.Leaving)
-	leave = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
+	leave = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
 	n.Stopped = true
-	death = f.RunUntil(memberChange, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
+	death = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
 	return join, leave, death, nil
 }
 
@@ -108,22 +108,22 @@
 
 // brokenLink is a scenario in which every node runs and some link is broken.
 type brokenLink struct {
-	name  string
-	nodes int
-	loss  float64
-	cut   func(f *MemberFleet) func(from, to *MemberNode) bool
+	name     string
+	nodes    int
+	lossRate float64
+	linkDown func(f *MemberFleet) func(from, to *MemberNode) bool
 }
 
 var brokenLinks = []brokenLink{
-	{name: "8 nodes, one link broken", nodes: 8, cut: func(f *MemberFleet) func(from, to *MemberNode) bool {
+	{name: "8 nodes, one link broken", nodes: 8, linkDown: func(f *MemberFleet) func(from, to *MemberNode) bool {
 		a, b := f.Nodes[0], f.Nodes[4]
 		return func(from, to *MemberNode) bool { return from == a && to == b || from == b && to == a }
 	}},
-	{name: "8 nodes, one link broken one way", nodes: 8, cut: func(f *MemberFleet) func(from, to *MemberNode) bool {
+	{name: "8 nodes, one link broken one way", nodes: 8, linkDown: func(f *MemberFleet) func(from, to *MemberNode) bool {
 		a, b := f.Nodes[0], f.Nodes[4]
 		return func(from, to *MemberNode) bool { return from == a && to == b }
 	}},
-	{name: "8 nodes, one reaches half of the others", nodes: 8, cut: func(f *MemberFleet) func(from, to *MemberNode) bool {
+	{name: "8 nodes, one reaches half of the others", nodes: 8, linkDown: func(f *MemberFleet) func(from, to *MemberNode) bool {
 		far := make(map[*MemberNode]bool)
 		for _, n := range f.Nodes[4:] {
 			far[n] = true
@@ -131,7 +131,7 @@
 		a := f.Nodes[0]
 		return func(from, to *MemberNode) bool { return from == a && far[to] || to == a && far[from] }
 	}},
-	{name: "24 nodes, 45% lost", nodes: 24, loss: 0.45},
+	{name: "24 nodes, 45% lost", nodes: 24, lossRate: 0.45},
 }
 
 // run counts the nodes wrongly taken for dead under the table's own rule, under the rule without the
@@ -146,12 +146,12 @@
 		if err := f.AddNodes(l.nodes, 4, limits); err != nil {
 			return nil, err
 		}
-		f.RunUntil(memberBoot, f.Converged)
-		f.LossRate = l.loss
-		if l.cut != nil {
-			f.LinkDown = l.cut(f)
+		f.RunUntil(memberBootRounds, f.Converged)
+		f.LossRate = l.lossRate
+		if l.linkDown != nil {
+			f.LinkDown = l.linkDown(f)
 		}
-		f.RunUntil(memberLinks, func() bool { return false })
+		f.RunUntil(memberLinkRounds, func() bool { return false })
 		policy, target := "indirect check", &Target{AtMost, 0}
 		if checks == 0 {
 			policy, target = "no check", nil
--- a/internal/sagemeasure/membership_test.go
+++ b/internal/sagemeasure/membership_test.go
@@ -8,9 +8,9 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-func TestMembershipRepeatsItself(t *testing.T) {
+func TestMembershipIsDeterministic(t *testing.T) {
 	run := func() ([]Sample, []sagemember.Node) {
-		samples, err := memberRun(7, memberSize{nodes: 20, dcs: 3}, 0.3)
+		samples, err := measureMembership(7, memberSize{nodes: 20, dcs: 3}, 0.3)
 		require.NoError(t, err)
 		f := NewMemberFleet(7)
 		f.LossRate = 0.3
--- a/internal/sagemeasure/replay_test.go
+++ b/internal/sagemeasure/replay_test.go
@@ -9,10 +9,10 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// small is a site that a test can replay in less than a second.
-var small = site{name: "small", dataCentres: 2, engines: 6, routers: 3, accounts: 4, contexts: 4, festival: 0.2, use: 0.6}
+// smallSite is a site that a test can replay in less than a second.
+var smallSite = site{name: "small", dataCentres: 2, engines: 6, routers: 3, accounts: 4, contexts: 4, hotContextShare: 0.2, utilisation: 0.6}
 
-func replayed(s site, v variant, seed uint64) *replay {
+func runReplay(s site, v variant, seed uint64) *replay {
 	trace := makeTrace(s, seed, time.Minute)
 	p := newReplay(s, v, trace, seed)
 	p.every(20*time.Second, 20*time.Second, func() { p.flap(p.rand.IntN(len(p.engines)), 5*time.Second) })
@@ -20,25 +20,25 @@
 	return p
 }
 
-func TestReplayIsTheSameForOneSeed(t *testing.T) {
-	a, b, c := replayed(small, ours, 3), replayed(small, ours, 3), replayed(small, ours, 4)
-	require.Equal(t, a.reuse(0), b.reuse(0))
+func TestReplayIsDeterministic(t *testing.T) {
+	a, b, c := runReplay(smallSite, sagestand, 3), runReplay(smallSite, sagestand, 3), runReplay(smallSite, sagestand, 4)
+	require.Equal(t, a.cacheReuse(0), b.cacheReuse(0))
 	for i := range a.results {
-		require.Equal(t, a.results[i].at, b.results[i].at)
+		require.Equal(t, a.results[i].endedAt, b.results[i].endedAt)
 	}
-	require.NotEqual(t, a.reuse(0), c.reuse(0))
+	require.NotEqual(t, a.cacheReuse(0), c.cacheReuse(0))
 }
 
 func TestEveryRequestEnds(t *testing.T) {
-	p := replayed(small, ours, 1)
+	p := runReplay(smallSite, sagestand, 1)
 	for i := range p.results {
-		require.NotZero(t, p.results[i].at, "request %d has neither answer nor refusal", i)
+		require.NotZero(t, p.results[i].endedAt, "request %d has neither answer nor refusal", i)
 	}
 	for _, e := range p.engines {
 		require.Zero(t, e.inFlight())
 	}
 	for _, r := range p.routers {
-		for _, n := range r.own {
+		for _, n := range r.ownInFlight {
 			require.Zero(t, n)
 		}
 	}
@@ -48,37 +48,37 @@
 // loses it must not pass unseen. In the first seconds homes have not granted anything yet.
 func TestPolicyBeatsBaselinesThroughFlaps(t *testing.T) {
 	const from = 20 * time.Second
-	p := replayed(small, ours, 1)
-	require.Zero(t, p.refused(from))
-	require.Greater(t, p.reuse(from), 0.95*replayed(small, oracle, 1).reuse(from))
+	p := runReplay(smallSite, sagestand, 1)
+	require.Zero(t, p.refusedShare(from))
+	require.Greater(t, p.cacheReuse(from), 0.95*runReplay(smallSite, oracle, 1).cacheReuse(from))
 	for _, v := range append(baselines, firstVersion) {
-		require.Greater(t, p.reuse(from), replayed(small, v, 1).reuse(from), v.name)
+		require.Greater(t, p.cacheReuse(from), runReplay(smallSite, v, 1).cacheReuse(from), v.name)
 	}
 }
 
 func TestExitStopsNewWork(t *testing.T) {
-	trace := makeTrace(small, 1, 40*time.Second)
-	p := newReplay(small, ours, trace, 1)
+	trace := makeTrace(smallSite, 1, 40*time.Second)
+	p := newReplay(smallSite, sagestand, trace, 1)
 	p.after(20*time.Second, func() {
 		p.inService[0] = false
-		p.announceAll(0, false)
+		p.announceDataCentre(0, false)
 	})
 	p.runUntil(time.Minute)
 	began := 0
 	for i := range trace {
 		if r := &p.results[i]; r.done && r.engine.dataCentre == 0 {
-			require.LessOrEqual(t, trace[i].at, 20*time.Second+changeDelay)
+			require.LessOrEqual(t, trace[i].at, 20*time.Second+maxChangeDelay)
 			began++
 		}
 	}
 	require.NotZero(t, began)
 }
 
-func TestEngineServesUrgentFirst(t *testing.T) {
+func TestEngineStartsUrgentFirst(t *testing.T) {
 	var ended []int
 	c := new(clock)
 	e := &engine{slots: 1, up: true, cache: newPrefixCache(1000), clock: c, jobs: map[*job]bool{}}
-	e.ended = func(j *job, ok bool) {
+	e.onEnd = func(j *job, ok bool) {
 		require.True(t, ok)
 		ended = append(ended, j.number)
 	}
@@ -89,7 +89,7 @@
 	require.Equal(t, []int{0, 2, 1}, ended)
 }
 
-func TestPrefixCacheForgetsOldest(t *testing.T) {
+func TestPrefixCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newPrefixCache(1000)
 	a := &request{context: 1, contextTokens: 300, chat: 2, history: 400}
 	b := &request{context: 1, contextTokens: 300, chat: 3, history: 400}
--- a/internal/sagemeasure/report.go
+++ b/internal/sagemeasure/report.go
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	if err := r.fold(); err != nil {
+	if err := r.aggregate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return r, nil
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (r *Report) fold() error {
+func (r *Report) aggregate() error {
 	for i := range r.Rows {
 		row := &r.Rows[i]
 		if len(row.Values) != len(r.Seeds) {
@@ -171,7 +171,7 @@
 	for i := range r.Rows {
 		row := &r.Rows[i]
 		_, err := fmt.Fprintf(w, "| %s | %s | %s | %s %s | %s to %s | %s |\n",
-			row.Scenario, row.Policy, row.Metric, figure(row.Median), row.Unit, figure(row.Min), figure(row.Max), row.verdict())
+			row.Scenario, row.Policy, row.Metric, formatFigure(row.Median), row.Unit, formatFigure(row.Min), formatFigure(row.Max), row.verdict())
 		if err != nil {
 			return fmt.Errorf("write report: %w", err)
 		}
@@ -191,8 +191,8 @@
 	if row.Target.Comparison == AtLeast {
 		sign = "≥"
 	}
-	return sign + " " + figure(row.Target.Limit) + ": " + word
+	return sign + " " + formatFigure(row.Target.Limit) + ": " + word
 }
 
-// figure writes v with four significant digits.
-func figure(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
+// formatFigure writes v with four significant digits.
+func formatFigure(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
--- a/internal/sagemeasure/report_test.go
+++ b/internal/sagemeasure/report_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRunFoldsSeeds(t *testing.T) {
+func TestRunAggregatesSeeds(t *testing.T) {
 	values := map[uint64]float64{3: 5, 4: 1, 5: 3, 6: 9}
 	f := func(seed uint64) ([]Sample, error) {
 		return []Sample{{Scenario: "s", Policy: "p", Metric: "m", Unit: "x", Value: values[seed], Target: &Target{AtMost, 8}}}, nil
@@ -25,7 +25,7 @@
 	require.Contains(t, b.String(), "| s | p | m | 4 x | 1 to 9 | ≤ 8: missed |")
 }
 
-func TestRunRefusesBadSamples(t *testing.T) {
+func TestRunRejectsInvalidSamples(t *testing.T) {
 	_, err := Run("none", nil, 1, 0)
 	require.ErrorIs(t, err, ErrNoSeeds)
 	nan := func(uint64) ([]Sample, error) { return []Sample{{Metric: "m", Value: math.NaN()}}, nil }
--- a/internal/sagemeasure/result.go
+++ b/internal/sagemeasure/result.go
@@ -9,19 +9,19 @@
 
 // result is the end of one request of the trace.
 type result struct {
-	done    bool
-	refused sageplace.Reason
-	at      time.Duration // when it ended
-	cached  int
-	engine  *engine
-	started time.Duration
-	tries   int
+	done          bool
+	refusalReason sageplace.Reason
+	endedAt       time.Duration // when it ended
+	cached        int
+	engine        *engine
+	started       time.Duration
+	attempts      int
 }
 
 // reuse returns cached prompt tokens / prompt tokens of the requests from an instant on.
-func (p *replay) reuse(from time.Duration) float64 { return p.reuseBetween(from, p.now) }
+func (p *replay) cacheReuse(from time.Duration) float64 { return p.cacheReuseBetween(from, p.now) }
 
-func (p *replay) reuseBetween(from, to time.Duration) float64 {
+func (p *replay) cacheReuseBetween(from, to time.Duration) float64 {
 	cached, prompt := 0, 0
 	for i := range p.trace {
 		if q := &p.trace[i]; q.at >= from && q.at < to && p.results[i].done {
@@ -34,7 +34,7 @@
 
 // inTime returns the part of the requests of a priority from an instant on that completed within
 // their deadline, and how many were refused.
-func (p *replay) inTime(from, to time.Duration, priority sagewire.Priority) (part float64, refused int) {
+func (p *replay) withinDeadline(from, to time.Duration, priority sagewire.Priority) (part float64, refused int) {
 	all, good := 0, 0
 	for i := range p.trace {
 		q, res := &p.trace[i], &p.results[i]
@@ -45,7 +45,7 @@
 		switch {
 		case !res.done:
 			refused++
-		case res.at <= q.deadline:
+		case res.endedAt <= q.deadline:
 			good++
 		}
 	}
@@ -53,7 +53,7 @@
 }
 
 // refused returns the part of the requests from an instant on that were refused.
-func (p *replay) refused(from time.Duration) float64 {
+func (p *replay) refusedShare(from time.Duration) float64 {
 	all, no := 0, 0
 	for i := range p.trace {
 		if p.trace[i].at >= from {
--- a/internal/sagemeasure/retry.go
+++ b/internal/sagemeasure/retry.go
@@ -11,24 +11,24 @@
 
 // Shape of the retry measure: routers before twelve upstreams, a third of which fail for a while.
 const (
-	retryRouters   = 8
-	retryUpstreams = 12
-	retryTime      = 3 * time.Minute
-	retryFailFrom  = 30 * time.Second
-	retryFailTill  = 150 * time.Second
-	retryRate      = 400.0 // requests a second of all routers
-	retryService   = 300 * time.Millisecond
-	retryPatience  = 5 * time.Second
-	retryNaive     = 3 // retries of the baseline
-	retryHedgeAt   = 900 * time.Millisecond
+	retryRouters           = 8
+	retryUpstreams         = 12
+	retryDuration          = 3 * time.Minute
+	retryFailFrom          = 30 * time.Second
+	retryFailUntil         = 150 * time.Second
+	retryRequestsPerSecond = 400.0 // requests a second of all routers
+	retryMeanService       = 300 * time.Millisecond
+	retryDeadline          = 5 * time.Second
+	naiveRetries           = 3 // retries of the baseline
+	retryHedgeDelay        = 900 * time.Millisecond
 )
 
 // retryCase says how the failing upstreams fail.
 type retryCase struct {
-	name  string
-	fails int           // upstreams that fail
-	after time.Duration // until the failure shows
-	slow  float64       // part of answers that take ten times as long, without a failure
+	name             string
+	failingUpstreams int           // upstreams that fail
+	failureDelay     time.Duration // until the failure shows
+	slowShare        float64       // part of answers that take ten times as long, without a failure
 }
 
 var retryCases = []retryCase{
@@ -40,18 +40,18 @@
 
 // retryRule is one way to retry.
 type retryRule struct {
-	name string
-	own  bool // budget and circuits of sageretry
+	name         string
+	useSageretry bool // budget and circuits of sageretry
 	// retries bounds the retries of one request without a budget.
 	retries int
 	hedge   bool
 }
 
 var retryRules = []retryRule{
-	{name: "budget and circuits", own: true},
-	{name: "naive, 3 retries", retries: retryNaive},
+	{name: "budget and circuits", useSageretry: true},
+	{name: "naive, 3 retries", retries: naiveRetries},
 	{name: "no retries"},
-	{name: "budget, circuits and hedging", own: true, hedge: true},
+	{name: "budget, circuits and hedging", useSageretry: true, hedge: true},
 }
 
 // Retry measures what is sent for each request that is asked, and how many are answered, while
@@ -60,99 +60,99 @@
 	var out []Sample
 	for _, c := range retryCases {
 		for _, rule := range retryRules {
-			w := newRetryWorld(c, rule, seed)
-			w.runUntil(retryTime)
+			w := newRetrySimulation(c, rule, seed)
+			w.runUntil(retryDuration)
 			out = append(out, w.samples()...)
 		}
 	}
 	return out, nil
 }
 
-type retryWorld struct {
+type retrySimulation struct {
 	clock
 
-	rand     *rand.Rand
-	c        retryCase
-	rule     retryRule
-	policies []*sageretry.Policy
+	rand      *rand.Rand
+	retryCase retryCase
+	rule      retryRule
+	policies  []*sageretry.Policy
 
-	asked, sent, answered int
-	second                [2]int // asked and sent in the present second
-	worst                 float64
-	latencies             []time.Duration
+	requests, sent, answered int
+	currentSecond            [2]int // asked and sent in the present second
+	worstRatio               float64
+	latencies                []time.Duration
 }
 
 // retryRequest is a request until its first answer.
 type retryRequest struct {
-	router int
-	came   time.Duration
-	tried  []string
-	done   bool
-	flying int
+	router    int
+	arrivedAt time.Duration
+	tried     []string
+	done      bool
+	inFlight  int
 }
 
-func newRetryWorld(c retryCase, rule retryRule, seed uint64) *retryWorld {
-	w := &retryWorld{rand: rand.New(rand.NewPCG(seed, 17)), c: c, rule: rule}
+func newRetrySimulation(c retryCase, rule retryRule, seed uint64) *retrySimulation {
+	w := &retrySimulation{rand: rand.New(rand.NewPCG(seed, 17)), retryCase: c, rule: rule}
 	for i := range retryRouters {
 		w.policies = append(w.policies, &sageretry.Policy{Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
 	}
-	w.arrive()
+	w.scheduleArrival()
 	w.after(retryFailFrom, func() { w.every(time.Second, time.Second, w.endSecond) })
 	return w
 }
 
-func (w *retryWorld) failing() bool { return w.now >= retryFailFrom && w.now < retryFailTill }
+func (w *retrySimulation) failing() bool { return w.now >= retryFailFrom && w.now < retryFailUntil }
 
-func (w *retryWorld) arrive() {
-	w.after(time.Duration(w.rand.ExpFloat64()/retryRate*float64(time.Second)), func() {
-		q := &retryRequest{router: w.rand.IntN(retryRouters), came: w.now}
+func (w *retrySimulation) scheduleArrival() {
+	w.after(time.Duration(w.rand.ExpFloat64()/retryRequestsPerSecond*float64(time.Second)), func() {
+		q := &retryRequest{router: w.rand.IntN(retryRouters), arrivedAt: w.now}
 		if w.failing() {
-			w.asked++
-			w.second[0]++
+			w.requests++
+			w.currentSecond[0]++
 		}
-		if w.rule.own {
+		if w.rule.useSageretry {
 			w.policies[q.router].RecordFirstAttempt()
 		}
-		w.try(q)
+		w.send(q)
 		if w.rule.hedge {
-			w.after(retryHedgeAt, func() {
-				if !q.done && q.flying == 1 {
-					w.again(q)
+			w.after(retryHedgeDelay, func() {
+				if !q.done && q.inFlight == 1 {
+					w.retry(q)
 				}
 			})
 		}
-		w.arrive()
+		w.scheduleArrival()
 	})
 }
 
 // try sends the request to an upstream that it was not sent to yet.
-func (w *retryWorld) try(q *retryRequest) {
+func (w *retrySimulation) send(q *retryRequest) {
 	name, i, ok := w.pick(q)
 	if !ok {
 		return
 	}
 	p := w.policies[q.router]
-	if w.rule.own {
+	if w.rule.useSageretry {
 		p.RecordAttempt(name)
 	}
 	q.tried = append(q.tried, name)
-	q.flying++
+	q.inFlight++
 	if w.failing() {
 		w.sent++
-		w.second[1]++
+		w.currentSecond[1]++
 	}
-	if w.failing() && i < w.c.fails {
-		w.after(w.c.after, func() { w.failed(q, name) })
+	if w.failing() && i < w.retryCase.failingUpstreams {
+		w.after(w.retryCase.failureDelay, func() { w.fail(q, name) })
 		return
 	}
-	d := time.Duration((0.5 + w.rand.Float64()) * float64(retryService))
-	if w.rand.Float64() < w.c.slow {
+	d := time.Duration((0.5 + w.rand.Float64()) * float64(retryMeanService))
+	if w.rand.Float64() < w.retryCase.slowShare {
 		d *= 10
 	}
-	w.after(d, func() { w.answer(q, name) })
+	w.after(d, func() { w.complete(q, name) })
 }
 
-func (w *retryWorld) pick(q *retryRequest) (name string, i int, ok bool) {
+func (w *retrySimulation) pick(q *retryRequest) (name string, i int, ok bool) {
 	now, first := w.instant(), w.rand.IntN(retryUpstreams)
 	for k := range retryUpstreams {
 		i := (first + k) % retryUpstreams
@@ -160,81 +160,81 @@
 		if slices.Contains(q.tried, name) {
 			continue
 		}
-		if !w.rule.own || w.policies[q.router].Allow(now, name, epoch.Add(q.came+retryPatience)) {
+		if !w.rule.useSageretry || w.policies[q.router].Allow(now, name, epoch.Add(q.arrivedAt+retryDeadline)) {
 			return name, i, true
 		}
 	}
 	return "", 0, false
 }
 
-func (w *retryWorld) answer(q *retryRequest, name string) {
-	if w.rule.own {
+func (w *retrySimulation) complete(q *retryRequest, name string) {
+	if w.rule.useSageretry {
 		w.policies[q.router].RecordSuccess(name)
 	}
-	q.flying--
-	if q.done || w.now-q.came > retryPatience {
+	q.inFlight--
+	if q.done || w.now-q.arrivedAt > retryDeadline {
 		return
 	}
 	q.done = true
-	if q.came >= retryFailFrom && q.came < retryFailTill {
+	if q.arrivedAt >= retryFailFrom && q.arrivedAt < retryFailUntil {
 		w.answered++
-		w.latencies = append(w.latencies, w.now-q.came)
+		w.latencies = append(w.latencies, w.now-q.arrivedAt)
 	}
 }
 
-func (w *retryWorld) failed(q *retryRequest, name string) {
-	q.flying--
-	if w.rule.own {
+func (w *retrySimulation) fail(q *retryRequest, name string) {
+	q.inFlight--
+	if w.rule.useSageretry {
 		w.policies[q.router].RecordFailure(w.instant(), name)
 	}
-	if q.done || q.flying > 0 {
+	if q.done || q.inFlight > 0 {
 		return
 	}
-	w.again(q)
+	w.retry(q)
 }
 
 // again retries or hedges if the rule allows it.
-func (w *retryWorld) again(q *retryRequest) {
-	if !w.rule.own {
+func (w *retrySimulation) retry(q *retryRequest) {
+	if !w.rule.useSageretry {
 		if len(q.tried) <= w.rule.retries {
-			w.try(q)
+			w.send(q)
 		}
 		return
 	}
-	d := w.policies[q.router].Retry(w.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Untried: 1, Deadline: epoch.Add(q.came + retryPatience)})
+	d := w.policies[q.router].Retry(w.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Untried: 1, Deadline: epoch.Add(q.arrivedAt + retryDeadline)})
 	if d.OK {
 		w.after(d.At.Sub(w.instant()), func() {
 			if !q.done {
-				w.try(q)
+				w.send(q)
 			}
 		})
 	}
 }
 
-func (w *retryWorld) endSecond() {
-	if w.second[0] > 0 {
-		w.worst = max(w.worst, float64(w.second[1])/float64(w.second[0]))
+func (w *retrySimulation) endSecond() {
+	if w.currentSecond[0] > 0 {
+		w.worstRatio = max(w.worstRatio, float64(w.currentSecond[1])/float64(w.currentSecond[0]))
 	}
-	w.second = [2]int{}
+	w.currentSecond = [2]int{}
 }
 
-func (w *retryWorld) samples() []Sample {
+func (w *retrySimulation) samples() []Sample {
 	s := []Sample{
-		{Metric: "sent / asked", Value: float64(w.sent) / float64(w.asked)},
-		{Metric: "sent / asked, worst second", Value: w.worst},
-		{Metric: "answered", Unit: "%", Value: 100 * float64(w.answered) / float64(w.asked)},
+		{Metric: "sent / asked", Value: float64(w.sent) / float64(w.requests)},
+		{Metric: "sent / asked, worst second", Value: w.worstRatio},
+		{Metric: "answered", Unit: "%", Value: 100 * float64(w.answered) / float64(w.requests)},
 		{Metric: "p99", Unit: "ms", Value: w.p99()},
 	}
-	if w.rule.own && !w.rule.hedge {
+	if w.rule.useSageretry && !w.rule.hedge {
 		s[0].Target = &Target{AtMost, 1 + sageretry.DefaultRatio}
 	}
 	for i := range s {
-		s[i].Scenario, s[i].Policy = w.c.name, w.rule.name
+		s[i].Scenario, s[i].Policy = w.retryCase.name, w.rule.name
 	}
 	return s
 }
 
-func (w *retryWorld) p99() float64 {
+func (w *retrySimulation) p99() float64 {
 	if len(w.latencies) == 0 {
 		return 0
 	}
--- a/internal/sagemeasure/skew.go
+++ b/internal/sagemeasure/skew.go
@@ -7,24 +7,24 @@
 	"sagestand.example/sagestand/pkg/sageplace"
 )
 
-// promised is the multiple of the mean that no engine is to exceed.
-const promised = sageplace.DefaultLoadBound
+// maxLoadMultiple is the multiple of the mean that no engine is to exceed.
+const maxLoadMultiple = sageplace.DefaultLoadBound
 
 // Skew measures how unevenly the engines are loaded: Zipf accounts, at haller with a context that
 // three chats of ten share, while each 15 seconds a router loses sight of an engine for 10 seconds.
 func Skew(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
-		trace := makeTrace(s, seed, warmUp+measure)
-		for _, v := range all() {
+		trace := makeTrace(s, seed, warmUp+measureTime)
+		for _, v := range allVariants() {
 			p := newReplay(s, v, trace, seed)
-			p.disagree()
-			k := p.sampleSkew(warmUp, warmUp+measure)
-			p.runUntil(warmUp + measure + tail)
+			p.scheduleDisagreement()
+			k := p.sampleSkew(warmUp, warmUp+measureTime)
+			p.runUntil(warmUp + measureTime + drainTime)
 			rows := k.samples(v)
 			rows = append(rows,
-				Sample{Metric: "cache reuse", Value: p.reuse(warmUp)},
-				Sample{Metric: "refused", Unit: "%", Value: 100 * p.refused(warmUp)})
+				Sample{Metric: "cache reuse", Value: p.cacheReuse(warmUp)},
+				Sample{Metric: "refused", Unit: "%", Value: 100 * p.refusedShare(warmUp)})
 			for _, r := range rows {
 				r.Scenario, r.Policy = s.name, v.name
 				out = append(out, r)
@@ -35,18 +35,18 @@
 }
 
 // disagree makes the routers disagree about which engines exist.
-func (p *replay) disagree() {
+func (p *replay) scheduleDisagreement() {
 	p.every(warmUp/2, 15*time.Second, func() {
 		r, i := p.routers[p.rand.IntN(len(p.routers))], p.rand.IntN(len(p.engines))
-		p.see(r, i, false, 0)
-		p.see(r, i, true, 10*time.Second)
+		p.setCandidate(r, i, false, 0)
+		p.setCandidate(r, i, true, 10*time.Second)
 	})
 }
 
 // samples returns the figures of s; one of the project's own policies has the promised bound as target.
 func (s *skewSampler) samples(v variant) []Sample {
-	over := Sample{Metric: "samples over 1.5 x mean", Unit: "%", Value: 100 * float64(s.over) / float64(max(1, len(s.maxOverMean)))}
-	if own(v) {
+	over := Sample{Metric: "samples over 1.5 x mean", Unit: "%", Value: 100 * float64(s.overSamples) / float64(max(1, len(s.maxOverMean)))}
+	if isSagestand(v) {
 		over.Target = &Target{AtMost, 0}
 	}
 	return []Sample{
@@ -63,7 +63,7 @@
 	maxOverMean []float64
 	p99OverMean []float64
 	// over counts the samples in which an engine carried more than ceil(promised x mean).
-	over int
+	overSamples int
 }
 
 // sampleSkew samples every 100 ms from an instant to another.
@@ -82,7 +82,7 @@
 	for _, e := range p.engines {
 		if p.usable(e) {
 			total += e.inFlight()
-			capacity += e.bears()
+			capacity += e.capacity()
 		}
 	}
 	if total == 0 {
@@ -92,15 +92,15 @@
 	over := false
 	for _, e := range p.engines {
 		if p.usable(e) {
-			relative = append(relative, float64(e.inFlight()*capacity)/float64(e.bears()*total))
-			over = over || e.inFlight() > ceiling(promised, total, capacity, e.bears())
+			relative = append(relative, float64(e.inFlight()*capacity)/float64(e.capacity()*total))
+			over = over || e.inFlight() > loadLimit(maxLoadMultiple, total, capacity, e.capacity())
 		}
 	}
 	sort.Float64s(relative)
 	s.maxOverMean = append(s.maxOverMean, relative[len(relative)-1])
 	s.p99OverMean = append(s.p99OverMean, relative[(len(relative)*99+99)/100-1])
 	if over {
-		s.over++
+		s.overSamples++
 	}
 }
 
--- a/internal/sagemeasure/slope.go
+++ b/internal/sagemeasure/slope.go
@@ -14,11 +14,11 @@
 		s := haller
 		s.name, s.engines, s.routers = fmt.Sprintf("%d engines", n), n, 8*n/18
 		trace := makeTrace(s, seed, end)
-		for _, v := range []variant{oracle, ours, oursCounts} {
+		for _, v := range []variant{oracle, sagestand, sagestandCounts} {
 			p := newReplay(s, v, trace, seed)
 			k := p.sampleSkew(start, end)
-			p.runUntil(end + tail)
-			for _, r := range append(k.samples(v), Sample{Metric: "cache reuse", Value: p.reuse(start)}) {
+			p.runUntil(end + drainTime)
+			for _, r := range append(k.samples(v), Sample{Metric: "cache reuse", Value: p.cacheReuse(start)}) {
 				r.Scenario, r.Policy, r.Target = s.name, v.name, nil
 				out = append(out, r)
 			}
--- a/internal/sagemeasure/surge.go
+++ b/internal/sagemeasure/surge.go
@@ -13,22 +13,22 @@
 // Shape of the surge measure: routers with equal parts of the slots, ten client accounts of equal
 // weight, one of which sends a multiple of what the whole fleet can serve for half of the time.
 const (
-	surgeRouters  = 8
-	surgeSlots    = 24 // of each router
-	surgeAccounts = 10
-	surgeTime     = 3 * time.Minute
-	surgeFrom     = time.Minute
-	surgeService  = 400 * time.Millisecond
-	surgePatience = 3 * time.Second
-	surgeUse      = 0.6 // of the slots, by the nine others and the tenth before its surge
-	surgeTimes    = 5   // the surge as a multiple of all slots
-	surgeQueue    = 200
+	surgeRouters     = 8
+	surgeSlots       = 24 // of each router
+	surgeAccounts    = 10
+	surgeDuration    = 3 * time.Minute
+	surgeStart       = time.Minute
+	surgeMeanService = 400 * time.Millisecond
+	surgeDeadline    = 3 * time.Second
+	surgeUtilisation = 0.6 // of the slots, by the nine others and the tenth before its surge
+	surgeMultiple    = 5   // the surge as a multiple of all slots
+	surgeMaxQueue    = 200
 )
 
 // surgeQueuing is one way to queue the requests of a router.
 type surgeQueuing struct {
-	name string
-	make func() surgeQueuer
+	name     string
+	newQueue func() surgeQueuer
 }
 
 // surgeQueuer offers requests and takes their ends; items are those of the scheduler.
@@ -39,7 +39,7 @@
 
 var surgeQueuings = []surgeQueuing{
 	{"fair shares", func() surgeQueuer {
-		s := &sagefair.Scheduler{MaxQueue: surgeQueue}
+		s := &sagefair.Scheduler{MaxQueue: surgeMaxQueue}
 		s.SetSlots(epoch, surgeSlots)
 		return s
 	}},
@@ -64,23 +64,23 @@
 	var out []Sample
 	for _, c := range surgeCases {
 		for _, q := range surgeQueuings {
-			calm := newSurgeWorld(q, c, 0, seed)
-			surged := newSurgeWorld(q, c, surgeTimes, seed)
-			calm.runUntil(surgeTime)
-			surged.runUntil(surgeTime)
+			calm := newSurgeSimulation(q, c, 0, seed)
+			surged := newSurgeSimulation(q, c, surgeMultiple, seed)
+			calm.runUntil(surgeDuration)
+			surged.runUntil(surgeDuration)
 			out = append(out, surgeSamples(c, q, calm, surged)...)
 		}
 	}
 	return out, nil
 }
 
-func surgeSamples(c surgeCase, q surgeQueuing, calm, surged *surgeWorld) []Sample {
-	kept := 100 * float64(surged.good) / float64(calm.good)
+func surgeSamples(c surgeCase, q surgeQueuing, calm, surged *surgeSimulation) []Sample {
+	kept := 100 * float64(surged.goodput) / float64(calm.goodput)
 	s := []Sample{
 		{Metric: "goodput of others, of that without surge", Unit: "%", Value: kept},
 		{Metric: "p99 of others without surge", Unit: "ms", Value: calm.p99()},
 		{Metric: "p99 of others with surge", Unit: "ms", Value: surged.p99()},
-		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * surged.surgeTime.Seconds() / surged.allTime.Seconds()},
+		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * surged.surgeSlotTime.Seconds() / surged.totalSlotTime.Seconds()},
 	}
 	if q.name == "fair shares" {
 		s[0].Target = &Target{AtLeast, 98}
@@ -91,89 +91,91 @@
 	return s
 }
 
-type surgeWorld struct {
+type surgeSimulation struct {
 	clock
 
 	rand   *rand.Rand
 	queues []surgeQueuer
-	timers map[*sagefair.Item]*surgeJob
+	jobs   map[*sagefair.Item]*surgeJob
 
-	good               int // requests of others that ended within their deadline, during the surge
-	latencies          []time.Duration
-	surgeTime, allTime time.Duration
+	goodput                      int // requests of others that ended within their deadline, during the surge
+	latencies                    []time.Duration
+	surgeSlotTime, totalSlotTime time.Duration
 }
 
 type surgeJob struct {
-	router  int
-	account int
-	came    time.Duration
-	service time.Duration
+	router    int
+	account   int
+	arrivedAt time.Duration
+	service   time.Duration
 }
 
-func newSurgeWorld(q surgeQueuing, c surgeCase, times float64, seed uint64) *surgeWorld {
-	w := &surgeWorld{rand: rand.New(rand.NewPCG(seed, 13)), timers: make(map[*sagefair.Item]*surgeJob)}
+func newSurgeSimulation(q surgeQueuing, c surgeCase, times float64, seed uint64) *surgeSimulation {
+	w := &surgeSimulation{rand: rand.New(rand.NewPCG(seed, 13)), jobs: make(map[*sagefair.Item]*surgeJob)}
 	for range surgeRouters {
-		w.queues = append(w.queues, q.make())
+		w.queues = append(w.queues, q.newQueue())
 	}
-	full := surgeRouters * surgeSlots / surgeService.Seconds()
+	full := surgeRouters * surgeSlots / surgeMeanService.Seconds()
 	for a := range surgeAccounts {
 		source := rand.New(rand.NewPCG(seed, uint64(100+a)))
-		w.arrive(source, a, surgeUse*full/surgeAccounts, surgeRouters, sagewire.Normal)
+		w.scheduleArrival(source, a, surgeUtilisation*full/surgeAccounts, surgeRouters, sagewire.Normal)
 	}
 	if times > 0 {
 		source := rand.New(rand.NewPCG(seed, 99))
-		w.after(surgeFrom, func() { w.arrive(source, 0, times*full*float64(c.routers)/surgeRouters, c.routers, c.priority) })
+		w.after(surgeStart, func() {
+			w.scheduleArrival(source, 0, times*full*float64(c.routers)/surgeRouters, c.routers, c.priority)
+		})
 	}
 	return w
 }
 
 // arrive makes the requests of one account come; each account draws from a source of its own, so
 // that the others' requests are the same with and without the surge.
-func (w *surgeWorld) arrive(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
+func (w *surgeSimulation) scheduleArrival(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
 	w.after(time.Duration(source.ExpFloat64()/rate*float64(time.Second)), func() {
-		j := &surgeJob{router: source.IntN(routers), account: account, came: w.now,
-			service: time.Duration(source.ExpFloat64() * float64(surgeService))}
+		j := &surgeJob{router: source.IntN(routers), account: account, arrivedAt: w.now,
+			service: time.Duration(source.ExpFloat64() * float64(surgeMeanService))}
 		w.offer(j, p)
-		w.arrive(source, account, rate, routers, p)
+		w.scheduleArrival(source, account, rate, routers, p)
 	})
 }
 
-func (w *surgeWorld) offer(j *surgeJob, p sagewire.Priority) {
+func (w *surgeSimulation) offer(j *surgeJob, p sagewire.Priority) {
 	now := w.instant()
 	it, others := w.queues[j.router].Offer(now, sagefair.Request{
-		Account: fmt.Sprint("account-", j.account), Weight: 1, Priority: p, Deadline: now.Add(surgePatience)})
-	w.timers[it] = j
+		Account: fmt.Sprint("account-", j.account), Weight: 1, Priority: p, Deadline: now.Add(surgeDeadline)})
+	w.jobs[it] = j
 	w.start(append(others, it))
 }
 
 // start runs the items that got their slot.
-func (w *surgeWorld) start(items []*sagefair.Item) {
+func (w *surgeSimulation) start(items []*sagefair.Item) {
 	for _, it := range items {
-		j := w.timers[it]
+		j := w.jobs[it]
 		switch it.State {
 		case sagefair.Refused:
-			delete(w.timers, it)
+			delete(w.jobs, it)
 		case sagefair.Running:
-			w.after(j.service, func() { w.end(it, j) })
+			w.after(j.service, func() { w.finish(it, j) })
 		}
 	}
 }
 
-func (w *surgeWorld) end(it *sagefair.Item, j *surgeJob) {
-	delete(w.timers, it)
-	if w.now >= surgeFrom {
-		w.allTime += j.service
+func (w *surgeSimulation) finish(it *sagefair.Item, j *surgeJob) {
+	delete(w.jobs, it)
+	if w.now >= surgeStart {
+		w.totalSlotTime += j.service
 		if j.account == 0 {
-			w.surgeTime += j.service
-		} else if took := w.now - j.came; took <= surgePatience {
-			w.good++
+			w.surgeSlotTime += j.service
+		} else if took := w.now - j.arrivedAt; took <= surgeDeadline {
+			w.goodput++
 			w.latencies = append(w.latencies, took)
 		}
 	}
 	w.start(w.queues[j.router].Done(w.instant(), it))
 }
 
-func (w *surgeWorld) p99() float64 {
+func (w *surgeSimulation) p99() float64 {
 	slices.Sort(w.latencies)
 	return float64(w.latencies[len(w.latencies)*99/100]) / float64(time.Millisecond)
 }
@@ -191,7 +193,7 @@
 	case f.running < f.slots:
 		f.running++
 		it.State = sagefair.Running
-	case len(f.queue) >= surgeQueue:
+	case len(f.queue) >= surgeMaxQueue:
 		it.State = sagefair.Refused
 	default:
 		f.queue = append(f.queue, it)
--- a/internal/sagemeasure/trace.go
+++ b/internal/sagemeasure/trace.go
@@ -21,22 +21,22 @@
 	// contexts is the number of shared contexts of each account.
 	contexts int
 	// festival is the part of all chats that share one context, besides the Zipf order of the rest.
-	festival float64
+	hotContextShare float64
 	// use is the part of all slots that the trace keeps busy when nothing is cached but contexts.
-	use float64
+	utilisation float64
 }
 
 // The users' sizes of today.
 var (
-	trentvale = site{name: "trentvale", dataCentres: 4, engines: 12, routers: 8, accounts: 10, contexts: 8, festival: 0, use: 0.55}
-	haller    = site{name: "haller", dataCentres: 3, engines: 18, routers: 8, accounts: 10, contexts: 8, festival: 0.3, use: 0.55}
+	trentvale = site{name: "trentvale", dataCentres: 4, engines: 12, routers: 8, accounts: 10, contexts: 8, hotContextShare: 0, utilisation: 0.55}
+	haller    = site{name: "haller", dataCentres: 3, engines: 18, routers: 8, accounts: 10, contexts: 8, hotContextShare: 0.3, utilisation: 0.55}
 )
 
 // What a fake engine has, and how long a request of the trace occupies it on average.
 const (
-	engineSlots = 32
-	engineCache = 400_000 // tokens
-	meanService = 2700 * time.Millisecond
+	engineSlots       = 32
+	engineCacheTokens = 400_000 // tokens
+	meanService       = 2700 * time.Millisecond
 )
 
 // request is one request of a trace.
@@ -58,8 +58,8 @@
 
 func (r *request) prompt() int { return r.contextTokens + r.history + r.fresh }
 
-// patience is the time from a request to its deadline by priority.
-var patience = [sagewire.NumPriorities]time.Duration{10 * time.Second, 15 * time.Second, 60 * time.Second}
+// deadlineAfter is the time from a request to its deadline by priority.
+var deadlineAfter = [sagewire.NumPriorities]time.Duration{10 * time.Second, 15 * time.Second, 60 * time.Second}
 
 // makeTrace returns the requests of a site until end. Chats begin as a Poisson process, take a
 // geometric number of turns and return after log-normal pauses. Accounts and their contexts are
@@ -72,13 +72,13 @@
 		lengths[i] = 1000 + r.IntN(4000)
 	}
 	const meanTurns = 5
-	perSecond := float64(s.engines) * engineSlots * s.use / meanService.Seconds() / meanTurns
+	perSecond := float64(s.engines) * engineSlots * s.utilisation / meanService.Seconds() / meanTurns
 	var trace []request
 	// The first chats begin before the trace so that it starts with chats of every age.
 	for t := -90.0; t < end.Seconds(); t += r.ExpFloat64() / perSecond {
-		account := draw(r, accounts)
-		context := account*s.contexts + draw(r, contexts)
-		if r.Float64() < s.festival {
+		account := drawRank(r, accounts)
+		context := account*s.contexts + drawRank(r, contexts)
+		if r.Float64() < s.hotContextShare {
 			account, context = 0, 0
 		}
 		c := request{
@@ -101,7 +101,7 @@
 	c.fresh = 200 + r.IntN(1000)
 	for {
 		c.at = time.Duration(t * float64(time.Second))
-		c.deadline = c.at + patience[c.priority]
+		c.deadline = c.at + deadlineAfter[c.priority]
 		c.output = min(300, 20+int(r.ExpFloat64()*80))
 		if c.at >= end {
 			return trace
@@ -141,6 +141,6 @@
 	return p
 }
 
-func draw(r *rand.Rand, cumulative []float64) int {
+func drawRank(r *rand.Rand, cumulative []float64) int {
 	return min(sort.SearchFloat64s(cumulative, r.Float64()), len(cumulative)-1)
 }
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -14,65 +14,65 @@
 	policy func(p *replay) sageplace.Policy
 	// token lets placement tokens ride with the callers; memory lets each router remember the chats
 	// that it served.
-	token, memory bool
+	token, routerMemory bool
 	// yield lets less urgent requests leave room for urgent ones.
-	yield bool
+	headroom bool
 	// allot, if set, bounds requests in flight by allotments of the engines' homes.
-	allot *allotRule
-	// feed is reports if it is zero.
-	feed feed
+	allotments *allotmentRule
+	// loadFeed is reports if it is zero.
+	loadFeed loadFeed
 }
 
-// ours is what the daemon does: placement by the engines' lagging reports and own requests since,
+// sagestand is what the daemon does: placement by the engines' lagging reports and own requests since,
 // under allotments of what each engine bears.
-var ours = variant{
-	name: "sagestand", token: true, yield: true,
-	allot: &allotRule{multiple: noMultiple, headroom: 1, onDemand: true}, policy: byLoad(sageplace.LoadBounds(promised)),
+var sagestand = variant{
+	name: "sagestand", token: true, headroom: true,
+	allotments: &allotmentRule{meanMultiple: unlimitedMultiple, headroom: 1, onDemand: true}, policy: widthByLoad(sageplace.LoadBounds(maxLoadMultiple)),
 }
 
-// noMultiple leaves the allotments of an engine at what it bears.
-const noMultiple = 1e6
+// unlimitedMultiple leaves the allotments of an engine at what it bears.
+const unlimitedMultiple = 1e6
 
-// oursCounts is ours if homes told the routers' counts with each grant, which the daemon doesn't.
-var oursCounts = variant{name: "sagestand, counts", token: true, yield: true, feed: counts, allot: ours.allot, policy: ours.policy}
+// sagestandCounts is ours if homes told the routers' counts with each grant, which the daemon doesn't.
+var sagestandCounts = variant{name: "sagestand, counts", token: true, headroom: true, loadFeed: countFeed, allotments: sagestand.allotments, policy: sagestand.policy}
 
-// oursAllotted is oursCounts if homes also granted no more than 1.4 x mean, each unit on demand,
+// sagestandAllotted is oursCounts if homes also granted no more than 1.4 x mean, each unit on demand,
 // which the daemon doesn't.
-var oursAllotted = variant{
-	name: "sagestand, mean allotted", token: true, yield: true, feed: counts,
-	allot: &allotRule{multiple: 1.4, onDemand: true}, policy: byLoad(1.4, 1.1),
+var sagestandAllotted = variant{
+	name: "sagestand, mean allotted", token: true, headroom: true, loadFeed: countFeed,
+	allotments: &allotmentRule{meanMultiple: 1.4, onDemand: true}, policy: widthByLoad(1.4, 1.1),
 }
 
-// estimates is ours without allotments.
-var estimates = variant{name: "estimates alone", token: true, yield: true, policy: ours.policy}
+// estimatesOnly is ours without allotments.
+var estimatesOnly = variant{name: "estimates alone", token: true, headroom: true, policy: sagestand.policy}
 
-// own reports whether v is one of the project's own ways, which have targets.
-func own(v variant) bool {
-	return v.name == ours.name || v.name == oursCounts.name || v.name == oursAllotted.name
+// isSagestand reports whether v is one of the project's own ways, which have targets.
+func isSagestand(v variant) bool {
+	return v.name == sagestand.name || v.name == sagestandCounts.name || v.name == sagestandAllotted.name
 }
 
 // firstVersion is the bounded order alone, which the project began with.
-var firstVersion = variant{name: "first version", policy: narrow(1.25, 1.25)}
+var firstVersion = variant{name: "first version", policy: noWidening(1.25, 1.25)}
 
-func byLoad(bound, fresh float64) func(*replay) sageplace.Policy {
+func widthByLoad(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(1024)}
 	}
 }
 
-func byShare(bound, fresh float64) func(*replay) sageplace.Policy {
+func widthByShare(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByShare(1024)}
 	}
 }
 
-func narrow(bound, fresh float64) func(*replay) sageplace.Policy {
+func noWidening(bound, fresh float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: fresh}
 	}
 }
 
-var oracle = variant{name: "oracle", policy: func(p *replay) sageplace.Policy { return &seer{p} }}
+var oracle = variant{name: "oracle", policy: func(p *replay) sageplace.Policy { return &oraclePolicy{p} }}
 
 var baselines = []variant{
 	{name: "random", policy: func(p *replay) sageplace.Policy { return &sageplace.Random{Rand: p.rand} }},
@@ -82,27 +82,27 @@
 	{name: "plain hash", policy: func(*replay) sageplace.Policy { return sageplace.PlainHash{} }},
 }
 
-// seerBound is the bound of the oracle, the same as ours.
-var seerBound, _ = sageplace.LoadBounds(promised)
+// oracleBound is the bound of the oracle, the same as ours.
+var oracleBound, _ = sageplace.LoadBounds(maxLoadMultiple)
 
-// seer is the oracle: it sees the true caches and loads of all engines without lag, and sends each
+// oraclePolicy is the oracle: it sees the true caches and loads of all engines without lag, and sends each
 // request to the one under the bound that holds most of its prompt, the least loaded of these.
-type seer struct{ p *replay }
+type oraclePolicy struct{ p *replay }
 
 // Choose implements [sageplace.Policy].
-func (s *seer) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
+func (s *oraclePolicy) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
 	p := s.p
 	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, history: 1 << 20}
 	total, capacity := 1, 0
 	for _, e := range p.engines {
 		if p.usable(e) {
 			total += e.inFlight()
-			capacity += e.bears()
+			capacity += e.capacity()
 		}
 	}
 	best, cached, load := -1, -1, 0
 	for i, e := range p.engines {
-		if !p.usable(e) || e.inFlight()+1 > min(e.bears(), ceiling(seerBound, total, capacity, e.bears())) {
+		if !p.usable(e) || e.inFlight()+1 > min(e.capacity(), loadLimit(oracleBound, total, capacity, e.capacity())) {
 			continue
 		}
 		c := e.cache.cached(r)
@@ -119,12 +119,12 @@
 // usable reports whether an engine is a candidate in truth.
 func (p *replay) usable(e *engine) bool { return e.up && !e.leaving && p.inService[e.dataCentre] }
 
-// ceiling returns ceil(multiple x mean) for an engine that bears that much of the whole capacity.
-func ceiling(multiple float64, total, capacity, bears int) int {
+// loadLimit returns ceil(multiple x mean) for an engine that bears that much of the whole capacity.
+func loadLimit(multiple float64, total, capacity, bears int) int {
 	return int(math.Ceil(multiple * float64(total) * float64(bears) / float64(max(capacity, 1))))
 }
 
-// all returns every policy that a table compares.
-func all() []variant {
-	return slices.Concat([]variant{oracle, ours, oursCounts, oursAllotted, estimates, firstVersion}, baselines)
+// allVariants returns every policy that a table compares.
+func allVariants() []variant {
+	return slices.Concat([]variant{oracle, sagestand, sagestandCounts, sagestandAllotted, estimatesOnly, firstVersion}, baselines)
 }
