--- a/internal/sagemeasure/allotment.go
+++ b/internal/sagemeasure/allotment.go
@@ -56,9 +56,9 @@
 		a.grantable[r] = make([]int, len(p.engines))
 	}
 	for i, e := range p.engines {
-		home, _ := sageload.Coordinator(e.name, "", roster)
-		a.coordinators = append(a.coordinators, slices.Index(names, home))
-		a.ledgers = append(a.ledgers, &sageload.Ledger{Coordinator: home + ".1", Voters: names, Limits: sageload.DefaultLimits})
+		coordinator, _ := sageload.Coordinator(e.name, "", roster)
+		a.coordinators = append(a.coordinators, slices.Index(names, coordinator))
+		a.ledgers = append(a.ledgers, &sageload.Ledger{Coordinator: coordinator + ".1", Voters: names, Limits: sageload.DefaultLimits})
 		a.ramps[i] = sageload.Ramp{InitialCap: initialCapacity, CompletionsPerUnit: completionsPerUnit}
 		p.every(p.randomPhase(requestInterval), requestInterval, func() { a.readReport(i, e) })
 		for r := range n {
@@ -84,25 +84,25 @@
 			BootID: fmt.Sprint(last.generation), InFlight: last.inFlight, Slots: e.slots, Capacity: capacityAfter(last.completed),
 			CacheGeneration: last.generation, AsOf: epoch.Add(last.asOf), Completed: uint64(last.completed),
 		}
-		bears := a.ramps[i].Observe(r)
-		a.ledgers[i].RecordReport(a.p.instant(), sent, r, min(bears, a.grantBound(i, bears)))
+		capacity := a.ramps[i].Observe(r)
+		a.ledgers[i].RecordReport(a.p.instant(), sent, r, min(capacity, a.grantBound(i, capacity)))
 	})
 }
 
 // bound returns the multiple of the mean that the home of engine i may grant by what it knows.
-func (a *allotments) grantBound(i, engineBears int) int {
-	home := a.p.routers[a.coordinators[i]]
-	total, capacity := 1, 0
-	for k, r := range home.lastReports {
-		if home.candidates[k] && home.estimates[k].Known(a.p.instant()) {
-			total += r.inFlight
-			capacity += capacityAfter(r.completed)
+func (a *allotments) grantBound(i, engineCapacity int) int {
+	coordinator := a.p.routers[a.coordinators[i]]
+	totalLoad, totalCapacity := 1, 0
+	for k, r := range coordinator.lastReports {
+		if coordinator.candidates[k] && coordinator.estimates[k].Known(a.p.instant()) {
+			totalLoad += r.inFlight
+			totalCapacity += capacityAfter(r.completed)
 		}
 	}
-	if capacity == 0 {
-		return engineBears
+	if totalCapacity == 0 {
+		return engineCapacity
 	}
-	return loadLimit(a.rule.meanMultiple, total, capacity, engineBears)
+	return loadLimit(a.rule.meanMultiple, totalLoad, totalCapacity, engineCapacity)
 }
 
 func (a *allotments) requestUnits(r, i int) {
@@ -114,10 +114,10 @@
 	}
 	a.p.after(hopDelay, func() {
 		g := a.ledgers[i].HandleRequest(a.p.instant(), w)
-		left := g.Cap - a.ledgers[i].Committed()
+		grantable := g.Cap - a.ledgers[i].Committed()
 		a.p.after(hopDelay, func() {
 			h.ApplyGrant(g)
-			a.grantable[r][i] = left
+			a.grantable[r][i] = grantable
 			a.p.updateLoad(a.p.routers[r], i)
 		})
 	})
--- a/internal/sagemeasure/allotment_test.go
+++ b/internal/sagemeasure/allotment_test.go
@@ -21,10 +21,10 @@
 		p.runUntil(90 * time.Second)
 		return p
 	}
-	standing := run(allotmentRule{meanMultiple: 1.5, headroom: 2})
-	require.Greater(t, standing.refusedShare(20*time.Second), 0.02)
+	inAdvance := run(allotmentRule{meanMultiple: 1.5, headroom: 2})
+	require.Greater(t, inAdvance.refusedShare(20*time.Second), 0.02)
 	onDemand := run(allotmentRule{meanMultiple: 1.5, onDemand: true})
 	require.Zero(t, onDemand.refusedShare(20*time.Second))
-	require.Less(t, standing.cacheReuse(20*time.Second), onDemand.cacheReuse(20*time.Second))
+	require.Less(t, inAdvance.cacheReuse(20*time.Second), onDemand.cacheReuse(20*time.Second))
 	require.NotZero(t, onDemand.allotments.onDemandRequests)
 }
--- a/internal/sagemeasure/weigh.go
+++ b/internal/sagemeasure/alternatives.go
@@ -4,7 +4,7 @@
 // finds its engine, how a hot context widens, which multiples of the mean bound the load, and how
 // fresh the view of the load is.
 func PlacementAlternatives(seed uint64) ([]Sample, error) {
-	ways := []variant{
+	variants := []variant{
 		{name: "place: hash only", policy: widthByLoad(1.35, 1.1)},
 		{name: "place: router memory", routerMemory: true, policy: widthByLoad(1.35, 1.1)},
 		{name: "place: token", token: true, policy: widthByLoad(1.35, 1.1)},
@@ -26,12 +26,12 @@
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
 		trace := makeTrace(s, seed, warmUp+measureTime)
-		for _, v := range ways {
+		for _, v := range variants {
 			p := newReplay(s, v, trace, seed)
 			p.scheduleChurn()
-			k := p.sampleSkew(warmUp, warmUp+measureTime)
+			sampler := p.sampleSkew(warmUp, warmUp+measureTime)
 			p.runUntil(warmUp + measureTime + drainTime)
-			rows := append(k.samples(v),
+			rows := append(sampler.samples(v),
 				Sample{Metric: "cache reuse", Value: p.cacheReuse(warmUp)},
 				Sample{Metric: "refused", Unit: "%", Value: 100 * p.refusedShare(warmUp)})
 			for _, r := range rows {
--- a/internal/sagemeasure/churn.go
+++ b/internal/sagemeasure/churn.go
@@ -23,11 +23,11 @@
 				best = reuse
 			}
 			out = append(out, Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse", Value: reuse})
-			of := Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse of oracle's", Value: reuse / best}
+			relative := Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse of oracle's", Value: reuse / best}
 			if isSagestand(v) {
-				of.Target = &Target{AtLeast, 0.95}
+				relative.Target = &Target{AtLeast, 0.95}
 			}
-			out = append(out, of)
+			out = append(out, relative)
 		}
 	}
 	return out, nil
@@ -60,11 +60,11 @@
 	p.every(warmUp/2, 30*time.Second, func() { p.startRouter(p.routers[p.rand.IntN(len(p.routers))]) })
 }
 
-func (p *replay) flap(i int, back time.Duration) {
+func (p *replay) flap(i int, downTime time.Duration) {
 	e := p.engines[i]
 	p.announce(i, false)
 	e.crash()
-	p.after(back, func() {
+	p.after(downTime, func() {
 		e.up = true
 		p.announce(i, true)
 	})
@@ -72,12 +72,12 @@
 
 // leave drains an engine: no router sends it new work after changeDelay, and it stops when the last
 // request is done.
-func (p *replay) leave(i int, back time.Duration) {
+func (p *replay) leave(i int, awayTime time.Duration) {
 	e := p.engines[i]
 	e.leaving = true
 	p.announce(i, false)
-	p.after(back-5*time.Second, func() { e.crash() })
-	p.after(back, func() {
+	p.after(awayTime-5*time.Second, func() { e.crash() })
+	p.after(awayTime, func() {
 		e.up, e.leaving = true, false
 		p.announce(i, true)
 	})
--- a/internal/sagemeasure/claims.go
+++ b/internal/sagemeasure/claims.go
@@ -48,7 +48,7 @@
 	lossRate float64
 }
 
-func (s *slowStore) draw() (takes time.Duration, lost float64) {
+func (s *slowStore) draw() (delay time.Duration, lossDraw float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return storeMinDelay + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
@@ -56,20 +56,20 @@
 
 // Get implements [sageobject.Store].
 func (s *slowStore) Get(ctx context.Context, key string) (sageobject.Object, error) {
-	takes, _ := s.draw()
-	time.Sleep(takes)
+	delay, _ := s.draw()
+	time.Sleep(delay)
 	return s.Store.Get(ctx, key)
 }
 
 // Put implements [sageobject.Store].
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
-	takes, lost := s.draw()
-	time.Sleep(takes)
-	if lost < s.lossRate/2 {
+	delay, lossDraw := s.draw()
+	time.Sleep(delay)
+	if lossDraw < s.lossRate/2 {
 		return 0, sageobject.ErrUnknown
 	}
 	v, err := s.Store.Put(ctx, key, value, want)
-	if err == nil && lost < s.lossRate {
+	if err == nil && lossDraw < s.lossRate {
 		return 0, sageobject.ErrUnknown
 	}
 	return v, err
@@ -81,12 +81,12 @@
 	rules := func(bucket time.Duration, shards int) sageclaim.Rules {
 		return sageclaim.Rules{Bucket: bucket, Shards: shards, Retention: time.Hour, MaxAhead: time.Minute}
 	}
-	ways := []claimMethod{
+	methods := []claimMethod{
 		{name: "one write a claim", rate: bookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
 		{name: "one write a claim, today", rate: currentBookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
 		{name: "group, today", rate: currentBookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond},
 	}
-	for _, l := range []struct {
+	for _, layout := range []struct {
 		window time.Duration
 		shards int
 		bucket time.Duration
@@ -96,20 +96,20 @@
 		{50 * time.Millisecond, 2, 2 * time.Second}, {50 * time.Millisecond, 4, 2 * time.Second},
 		{50 * time.Millisecond, 2, 10 * time.Second}, {100 * time.Millisecond, 2, 2 * time.Second},
 	} {
-		ways = append(ways, claimMethod{
-			name: fmt.Sprintf("group, %v, %d shards, bucket %v", l.window, l.shards, l.bucket),
-			rate: bookingsPerSecond, rules: rules(l.bucket, l.shards), window: l.window,
+		methods = append(methods, claimMethod{
+			name: fmt.Sprintf("group, %v, %d shards, bucket %v", layout.window, layout.shards, layout.bucket),
+			rate: bookingsPerSecond, rules: rules(layout.bucket, layout.shards), window: layout.window,
 		})
 	}
-	ways = append(ways,
+	methods = append(methods,
 		claimMethod{name: "10% lost, read back", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate},
 		claimMethod{name: "10% lost, taken as unknown", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate, noReadBack: true},
 	)
 	var out []Sample
-	for _, w := range ways {
-		samples, err := w.run(seed)
+	for _, m := range methods {
+		samples, err := m.run(seed)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", w.name, err)
+			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
 		out = append(out, samples...)
 	}
@@ -173,7 +173,7 @@
 	if w.ownObject {
 		object += "/" + b.key
 	}
-	begin := time.Now()
+	start := time.Now()
 	for _, id := range b.ids {
 		e := sageclaim.Entry{
 			Op: sageclaim.OpClaim, Account: b.account, Key: key.Text, ClaimID: id,
@@ -189,8 +189,8 @@
 			t.update(func() { t.refused++ })
 			return
 		}
-		took := time.Since(begin)
-		t.update(func() { t.latenciesMs = append(t.latenciesMs, float64(took)/float64(time.Millisecond)) })
+		latency := time.Since(start)
+		t.update(func() { t.latenciesMs = append(t.latenciesMs, float64(latency)/float64(time.Millisecond)) })
 		time.Sleep(bookingTime)
 		e.Op, e.Outcome, e.Status, e.Fingerprint, e.Deadline = sageclaim.OpFinish, sagewire.Complete, 201, "", time.Time{}
 		for range 5 {
@@ -215,8 +215,8 @@
 		return nil, fmt.Errorf("list claims: %w", err)
 	}
 	largest, total := 0, 0
-	for _, m := range metas {
-		o, err := mem.Get(context.Background(), m.Key)
+	for _, meta := range metas {
+		o, err := mem.Get(context.Background(), meta.Key)
 		if err != nil {
 			return nil, fmt.Errorf("read claims: %w", err)
 		}
--- a/internal/sagemeasure/clock.go
+++ b/internal/sagemeasure/clock.go
@@ -52,12 +52,12 @@
 // order returns jobs by the time and number of their request: a map's own order would differ
 // between runs of one seed.
 func (*clock) sortJobs(jobs map[*job]bool) []*job {
-	all := make([]*job, 0, len(jobs))
+	sorted := make([]*job, 0, len(jobs))
 	for j := range jobs {
-		all = append(all, j)
+		sorted = append(sorted, j)
 	}
-	sort.Slice(all, func(a, b int) bool { return all[a].number < all[b].number })
-	return all
+	sort.Slice(sorted, func(a, b int) bool { return sorted[a].number < sorted[b].number })
+	return sorted
 }
 
 type events []event
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -36,16 +36,16 @@
 // A far region is cut off, and a data centre in it is taken out. Its nodes can't hear of that; under
 // the default rule they stop instead of sending work there.
 func TestIsolationOfFarRegion(t *testing.T) {
-	for _, tr := range isolationFaults() {
-		if tr.name != "far region cut off, exit" {
+	for _, fault := range isolationFaults() {
+		if fault.name != "far region cut off, exit" {
 			continue
 		}
-		for way, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
-			s, err := measureIsolation(1, tr, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+		for policy, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
+			s, err := measureIsolation(1, fault, sagesync.Rule{Isolated: policy, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			require.NoError(t, err)
-			assert.Equal(t, sends, valueOf(t, s, "work sent to the data centre that was out") > 0, way)
-			assert.Equal(t, sends, valueOf(t, s, "service lost") == 0, way)
-			assert.Equal(t, 100.0, valueOf(t, s, "exit accepted"), way)
+			assert.Equal(t, sends, valueOf(t, s, "work sent to the data centre that was out") > 0, policy)
+			assert.Equal(t, sends, valueOf(t, s, "service lost") == 0, policy)
+			assert.Equal(t, 100.0, valueOf(t, s, "exit accepted"), policy)
 		}
 		return
 	}
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -99,8 +99,8 @@
 	for range convergeRounds {
 		f.step()
 	}
-	if c := f.nodesBehind(1); c > 0 {
-		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", c, n, convergeRounds, ErrIncomplete)
+	if behind := f.nodesBehind(1); behind > 0 {
+		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", behind, n, convergeRounds, ErrIncomplete)
 	}
 	return f, nil
 }
@@ -143,9 +143,9 @@
 	}
 	var live []string
 	if f.useTables {
-		for _, m := range n.Table.Live() {
-			if m.DataCentre == n.Table.Self.DataCentre {
-				live = append(live, m.Address)
+		for _, node := range n.Table.Live() {
+			if node.DataCentre == n.Table.Self.DataCentre {
+				live = append(live, node.Address)
 			}
 		}
 	}
@@ -200,8 +200,8 @@
 
 // feedStarved lets a node that doesn't watch ask the store when its evidence has grown old.
 func (f *configFleet) readIfStale(n *configNode) {
-	starved := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
-	if !starved || (f.round+n.index)%confirmRounds != 0 {
+	stale := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
+	if !stale || (f.round+n.index)%confirmRounds != 0 {
 		return
 	}
 	f.storeCalls++
@@ -224,13 +224,13 @@
 
 // behind returns how many nodes don't hold a revision yet.
 func (f *configFleet) nodesBehind(revision uint64) int {
-	c := 0
+	count := 0
 	for _, n := range f.nodes {
 		if n.replica.Current().Revision < revision {
-			c++
+			count++
 		}
 	}
-	return c
+	return count
 }
 
 // bytesOut sums what the configuration's part of the exchanges carried.
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -67,9 +67,9 @@
 			latest[m.Address] = m.LastContact
 		}
 	}
-	heard := make([]time.Time, len(roster))
+	contacts := make([]time.Time, len(roster))
 	for i, r := range roster {
-		heard[i] = latest[r.Table.Self.Address]
+		contacts[i] = latest[r.Table.Self.Address]
 	}
-	return sagesync.QuorumAt(now, heard)
+	return sagesync.QuorumAt(now, contacts)
 }
--- a/internal/sagemeasure/exit.go
+++ b/internal/sagemeasure/exit.go
@@ -25,10 +25,10 @@
 		trace := makeTrace(s, seed, exitEnd)
 		for _, v := range allVariants() {
 			p := newReplay(s, v, trace, seed)
-			w := p.watchReturnedEngines()
+			returned := p.watchReturnedEngines()
 			p.scheduleExit(0)
 			p.runUntil(exitEnd + deadlineAfter[sagewire.Bulk])
-			for _, r := range append(p.exitSamples(v), w.sample(v)) {
+			for _, r := range append(p.exitSamples(v), returned.sample(v)) {
 				r.Scenario, r.Policy = s.name, v.name
 				out = append(out, r)
 			}
@@ -70,13 +70,13 @@
 func (p *replay) exitSamples(v variant) []Sample {
 	var out []Sample
 	for c := range sagewire.Priority(sagewire.NumPriorities) {
-		part, refused := p.withinDeadline(exitAt, exitEnd, c)
-		in := Sample{Metric: c.String() + " within deadline", Unit: "%", Value: 100 * part}
-		no := Sample{Metric: c.String() + " refused", Value: float64(refused)}
+		fraction, refused := p.withinDeadline(exitAt, exitEnd, c)
+		inTime := Sample{Metric: c.String() + " within deadline", Unit: "%", Value: 100 * fraction}
+		refusals := Sample{Metric: c.String() + " refused", Value: float64(refused)}
 		if isSagestand(v) && c == sagewire.Urgent {
-			in.Target, no.Target = &Target{AtLeast, 99}, &Target{AtMost, 0}
+			inTime.Target, refusals.Target = &Target{AtLeast, 99}, &Target{AtMost, 0}
 		}
-		out = append(out, in, no)
+		out = append(out, inTime, refusals)
 	}
 	late := Sample{Metric: "new work in the left data centre after 4 s", Value: float64(p.lateRequests(0))}
 	if isSagestand(v) {
@@ -94,8 +94,8 @@
 func (p *replay) worstUrgentSecond() float64 {
 	worst := 1.0
 	for t := exitAt; t < exitEnd; t += time.Second {
-		if part, _ := p.withinDeadline(t, t+time.Second, sagewire.Urgent); part < worst && p.urgentInSecond(t) > 0 {
-			worst = part
+		if fraction, _ := p.withinDeadline(t, t+time.Second, sagewire.Urgent); fraction < worst && p.urgentInSecond(t) > 0 {
+			worst = fraction
 		}
 	}
 	return worst
@@ -114,15 +114,15 @@
 // settle returns how long after an instant it takes until the mean time of an answer, over five
 // seconds, is at most 1.15 times what it was in the 40 seconds before the exit, and stays so for five
 // seconds more; the whole time if it never does.
-func (p *replay) settleTime(from, to time.Duration) float64 {
+func (p *replay) settleTime(from, until time.Duration) float64 {
 	const window = 5 * time.Second
-	want := 1.15 * p.meanResponseTime(warmUp, exitAt)
-	for t := from; t+2*window <= to; t += time.Second {
-		if p.meanResponseTime(t, t+window) <= want && p.meanResponseTime(t+window, t+2*window) <= want {
+	limit := 1.15 * p.meanResponseTime(warmUp, exitAt)
+	for t := from; t+2*window <= until; t += time.Second {
+		if p.meanResponseTime(t, t+window) <= limit && p.meanResponseTime(t+window, t+2*window) <= limit {
 			return (t - from).Seconds()
 		}
 	}
-	return (to - from).Seconds()
+	return (until - from).Seconds()
 }
 
 // meanTime returns the mean seconds from arrival to the end of the answer of completed requests.
--- a/internal/sagemeasure/inforce.go
+++ b/internal/sagemeasure/inforce.go
@@ -76,17 +76,17 @@
 				}
 			}
 		}
-		if c := f.nodesBehind(f.lastTicket); c > 0 {
-			return nil, fmt.Errorf("ticket %d lacks at %d nodes after %d rounds: %w", f.lastTicket, c, inForceMaxRounds, ErrIncomplete)
+		if behind := f.nodesBehind(f.lastTicket); behind > 0 {
+			return nil, fmt.Errorf("ticket %d lacks at %d nodes after %d rounds: %w", f.lastTicket, behind, inForceMaxRounds, ErrIncomplete)
 		}
 	}
 	f.reachesStore = func(*configNode) bool { return true }
 	slices.Sort(delays)
-	at := func(q float64) float64 { return delays[int(q*float64(len(delays)-1))] }
+	delayAt := func(q float64) float64 { return delays[int(q*float64(len(delays)-1))] }
 	return []Sample{
-		{Metric: "in force, p50", Unit: "s", Value: at(0.5)},
-		{Metric: "in force, p99", Unit: "s", Value: at(0.99)},
-		{Metric: "in force, max", Unit: "s", Value: at(1), Target: &Target{Comparison: AtMost, Limit: inForceTargetSeconds}},
+		{Metric: "in force, p50", Unit: "s", Value: delayAt(0.5)},
+		{Metric: "in force, p99", Unit: "s", Value: delayAt(0.99)},
+		{Metric: "in force, max", Unit: "s", Value: delayAt(1), Target: &Target{Comparison: AtMost, Limit: inForceTargetSeconds}},
 	}, nil
 }
 
@@ -94,17 +94,17 @@
 func (f *configFleet) measureCost() []Sample {
 	const rounds = 60
 	var out []Sample
-	for _, all := range []bool{false, true} {
-		f.allWatch = all
+	for _, allWatch := range []bool{false, true} {
+		f.allWatch = allWatch
 		policy := "few watchers"
-		if all {
+		if allWatch {
 			policy = "every node watches"
 		}
 		calls, bytes := f.storeCalls, f.sectionBytes()
-		waiting := 0
+		watching := 0
 		for _, n := range f.nodes {
 			if f.isWatching(n) {
-				waiting++
+				watching++
 			}
 		}
 		oldest := time.Duration(0)
@@ -115,7 +115,7 @@
 		perNode := float64(f.sectionBytes()-bytes) / rounds / float64(len(f.nodes))
 		out = append(out,
 			Sample{Policy: policy, Metric: "store calls", Unit: "1/s", Value: float64(f.storeCalls-calls) / rounds},
-			Sample{Policy: policy, Metric: "waiting watches", Unit: "", Value: float64(waiting)},
+			Sample{Policy: policy, Metric: "waiting watches", Unit: "", Value: float64(watching)},
 			Sample{Policy: policy, Metric: "configuration bytes sent per node", Unit: "B/s", Value: perNode},
 			Sample{Policy: policy, Metric: "oldest evidence", Unit: "s", Value: oldest.Seconds()},
 		)
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -40,10 +40,10 @@
 // isolationFaults lists the cases. The exit is in a region that is cut off from the store, where it matters
 // most: nodes there go on sending work to it if they don't know.
 func isolationFaults() []isolationFault {
-	alone := func(n *configNode) bool { return n.index == 8 }
+	cutOff := func(n *configNode) bool { return n.index == 8 }
 	return []isolationFault{
 		{"store out", anyLink, func(*configNode) bool { return false }, -1, 0},
-		{"one node cut off, exit", func(a, b *configNode) bool { return alone(a) == alone(b) }, func(n *configNode) bool { return !alone(n) }, 8, 0},
+		{"one node cut off, exit", func(a, b *configNode) bool { return cutOff(a) == cutOff(b) }, func(n *configNode) bool { return !cutOff(n) }, 8, 0},
 		{
 			"far region cut off, exit",
 			func(a, b *configNode) bool { return (region(a) == 2) == (region(b) == 2) },
@@ -66,13 +66,13 @@
 func Isolation(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, t := range isolationFaults() {
-		for _, way := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
-			s, err := measureIsolation(seed, t, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+		for _, policy := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
+			s, err := measureIsolation(seed, t, sagesync.Rule{Isolated: policy, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			if err != nil {
-				return nil, fmt.Errorf("%s, %s: %w", t.name, way, err)
+				return nil, fmt.Errorf("%s, %s: %w", t.name, policy, err)
 			}
 			for i := range s {
-				s[i].Scenario, s[i].Policy = t.name, string(way)
+				s[i].Scenario, s[i].Policy = t.name, string(policy)
 			}
 			out = append(out, s...)
 		}
@@ -95,11 +95,11 @@
 	for range convergeRounds {
 		f.step()
 	}
-	byTable := make(map[*MemberNode]*configNode)
+	byMember := make(map[*MemberNode]*configNode)
 	for _, n := range f.nodes {
-		byTable[n.MemberNode] = n
+		byMember[n.MemberNode] = n
 	}
-	f.LinkDown = func(from, to *MemberNode) bool { return !t.reachable(byTable[from], byTable[to]) }
+	f.LinkDown = func(from, to *MemberNode) bool { return !t.reachable(byMember[from], byMember[to]) }
 	f.reachesStore = t.reachesStore
 	var lost, sent, offered float64
 	accepted := t.exitDataCentre < 0
@@ -116,23 +116,23 @@
 			accepted, exitedAt = true, round
 		}
 		for _, n := range f.nodes {
-			share, toOut := n.workShare(f, t, exitedAt > 0 && round > exitedAt+isoGraceRounds)
+			share, exitedShare := n.workShare(f, t, exitedAt > 0 && round > exitedAt+isoGraceRounds)
 			served := servedShare(rule.Evaluate(f.Now, n.replica.Status()).Level)
 			offered++
 			lost += 1 - served
-			sent += served * share * toOut
+			sent += served * share * exitedShare
 		}
 	}
-	yes := 0.0
+	acceptedPercent := 0.0
 	if accepted {
-		yes = 100
+		acceptedPercent = 100
 	}
 	out := []Sample{
 		{Metric: "service lost", Unit: "%", Value: 100 * lost / offered},
 		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sent / offered},
 	}
 	if t.exitDataCentre >= 0 {
-		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: yes})
+		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: acceptedPercent})
 	}
 	return out, nil
 }
@@ -149,7 +149,7 @@
 
 // load returns the part of n's work that goes to each data centre it uses, and 1 if one of these is
 // out although it may receive nothing any more.
-func (n *configNode) workShare(f *configFleet, t isolationFault, out bool) (share, toOut float64) {
+func (n *configNode) workShare(f *configFleet, t isolationFault, afterExit bool) (share, exitedShare float64) {
 	used := 0
 	for _, o := range f.nodes[:isoDataCentres] {
 		dc, ok := n.replica.Current().State.DataCentre(o.Table.Self.DataCentre)
@@ -157,24 +157,24 @@
 			continue
 		}
 		used++
-		if out && o.index == t.exitDataCentre {
-			toOut = 1
+		if afterExit && o.index == t.exitDataCentre {
+			exitedShare = 1
 		}
 	}
 	if used == 0 {
 		return 0, 0
 	}
-	return 1 / float64(used), toOut
+	return 1 / float64(used), exitedShare
 }
 
 // noteQuorum tells the replica when the node last had contact to most of the roster, which is all
 // nodes of this fleet: its table remembers dead ones for longer than the measure runs.
 func (n *configNode) recordQuorum(now time.Time) {
-	heard := []time.Time{now}
+	contacts := []time.Time{now}
 	for _, m := range n.Table.All() {
 		if m.Incarnation != n.Table.LocalNode().Incarnation && m.Phase != sagemember.Gone {
-			heard = append(heard, m.LastContact)
+			contacts = append(contacts, m.LastContact)
 		}
 	}
-	n.replica.RecordQuorum(sagesync.QuorumAt(now, heard))
+	n.replica.RecordQuorum(sagesync.QuorumAt(now, contacts))
 }
--- a/internal/sagemeasure/load_test.go
+++ b/internal/sagemeasure/load_test.go
@@ -35,12 +35,12 @@
 
 // Story: one account sends five times what the fleet can serve, and the others' requests drown.
 func TestFairSharesKeepGoodputDuringSurge(t *testing.T) {
-	run := func(q surgeQueuing, times float64) float64 {
-		w := newSurgeSimulation(q, surgeCases[0], times, 1)
+	run := func(q surgeQueuing, multiple float64) float64 {
+		w := newSurgeSimulation(q, surgeCases[0], multiple, 1)
 		w.runUntil(surgeStart + 20*time.Second)
 		return float64(w.goodput)
 	}
-	fair, first := surgeQueuings[0], surgeQueuings[1]
+	fair, fifoQueue := surgeQueuings[0], surgeQueuings[1]
 	require.Greater(t, run(fair, surgeMultiple)/run(fair, 0), 0.98)
-	require.Less(t, run(first, surgeMultiple)/run(first, 0), 0.5)
+	require.Less(t, run(fifoQueue, surgeMultiple)/run(fifoQueue, 0), 0.5)
 }
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -57,11 +57,11 @@
 }
 
 // Add starts n nodes over data centres in turn; the first node of the fleet is their hint.
-func (f *MemberFleet) AddNodes(n, dcs int, limits sagemember.Limits) error {
+func (f *MemberFleet) AddNodes(n, dataCentres int, limits sagemember.Limits) error {
 	for range n {
 		i := len(f.Nodes)
 		addr := fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
-		if _, err := f.StartNode(addr, fmt.Sprintf("dc%d", i%dcs), limits); err != nil {
+		if _, err := f.StartNode(addr, fmt.Sprintf("dc%d", i%dataCentres), limits); err != nil {
 			return fmt.Errorf("add node %d: %w", i, err)
 		}
 	}
@@ -69,12 +69,12 @@
 }
 
 // Start starts a process at an address; one that ran there before is stopped.
-func (f *MemberFleet) StartNode(addr, dc string, limits sagemember.Limits) (*MemberNode, error) {
-	if old := f.NodeAt(addr); old != nil {
-		old.Stopped = true
+func (f *MemberFleet) StartNode(addr, dataCentre string, limits sagemember.Limits) (*MemberNode, error) {
+	if previous := f.NodeAt(addr); previous != nil {
+		previous.Stopped = true
 	}
 	t := &sagemember.Table{
-		Self:   sagemember.Node{Address: addr, Entry: addr, DataCentre: dc, Phase: sagemember.Serving},
+		Self:   sagemember.Node{Address: addr, Entry: addr, DataCentre: dataCentre, Phase: sagemember.Serving},
 		Limits: limits,
 		Now:    func() time.Time { return f.Now },
 		Random: f.Rand.Uint64,
@@ -88,7 +88,7 @@
 	n := &MemberNode{
 		Table:   t,
 		Engine:  &sagegossip.Engine{Sections: []sagegossip.Section{t}, Budget: 8 << 10},
-		chooser: &sagegossip.Chooser{Self: sagegossip.Peer{Address: addr, DataCentre: dc}, Rand: f.Rand},
+		chooser: &sagegossip.Chooser{Self: sagegossip.Peer{Address: addr, DataCentre: dataCentre}, Rand: f.Rand},
 		fleet:   f,
 	}
 	f.Nodes = append(f.Nodes, n)
@@ -174,15 +174,15 @@
 // Meet implements [sagegossip.Transport] for the node that calls.
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.NodeAt(addr)
-	fate := f.Rand.Float64()
-	if !f.deliver(n, to, digests) || fate < f.LossRate/2 {
+	lossDraw := f.Rand.Float64()
+	if !f.deliver(n, to, digests) || lossDraw < f.LossRate/2 {
 		return nil, nil, errLost
 	}
 	deltas, own, err = to.Engine.Answer(digests)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer: %w", err)
 	}
-	if !f.deliver(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.LossRate {
+	if !f.deliver(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || lossDraw < f.LossRate {
 		return nil, nil, errLost
 	}
 	return deltas, own, nil
@@ -202,19 +202,19 @@
 
 // Agreed says whether every running node counts exactly the running and paused nodes as live.
 func (f *MemberFleet) Converged() bool {
-	there := make(map[uint64]bool)
+	running := make(map[uint64]bool)
 	for _, n := range f.Nodes {
 		if !n.Stopped {
-			there[n.Table.LocalNode().Incarnation] = true
+			running[n.Table.LocalNode().Incarnation] = true
 		}
 	}
 	for _, n := range f.Running() {
 		live := n.Table.Live()
-		if len(live) != len(there) {
+		if len(live) != len(running) {
 			return false
 		}
 		for _, l := range live {
-			if !there[l.Incarnation] {
+			if !running[l.Incarnation] {
 				return false
 			}
 		}
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -17,8 +17,8 @@
 
 // memberSize is a fleet to measure.
 type memberSize struct {
-	nodes, dcs int
-	losses     []float64
+	nodes, dataCentres int
+	losses             []float64
 }
 
 // Membership measures the member table and its exchange: bytes a node spends, rounds of one second
@@ -49,7 +49,7 @@
 func measureMembership(seed uint64, size memberSize, loss float64) ([]Sample, error) {
 	f := NewMemberFleet(seed)
 	f.LossRate = loss
-	if err := f.AddNodes(size.nodes, size.dcs, sagemember.DefaultLimits()); err != nil {
+	if err := f.AddNodes(size.nodes, size.dataCentres, sagemember.DefaultLimits()); err != nil {
 		return nil, err
 	}
 	scenario := fmt.Sprintf("%d nodes, %g%% lost", size.nodes, loss*100)
@@ -124,12 +124,12 @@
 		return func(from, to *MemberNode) bool { return from == a && to == b }
 	}},
 	{name: "8 nodes, one reaches half of the others", nodes: 8, linkDown: func(f *MemberFleet) func(from, to *MemberNode) bool {
-		far := make(map[*MemberNode]bool)
+		unreachable := make(map[*MemberNode]bool)
 		for _, n := range f.Nodes[4:] {
-			far[n] = true
+			unreachable[n] = true
 		}
 		a := f.Nodes[0]
-		return func(from, to *MemberNode) bool { return from == a && far[to] || to == a && far[from] }
+		return func(from, to *MemberNode) bool { return from == a && unreachable[to] || to == a && unreachable[from] }
 	}},
 	{name: "24 nodes, 45% lost", nodes: 24, lossRate: 0.45},
 }
--- a/internal/sagemeasure/membership_test.go
+++ b/internal/sagemeasure/membership_test.go
@@ -10,7 +10,7 @@
 
 func TestMembershipIsDeterministic(t *testing.T) {
 	run := func() ([]Sample, []sagemember.Node) {
-		samples, err := measureMembership(7, memberSize{nodes: 20, dcs: 3}, 0.3)
+		samples, err := measureMembership(7, memberSize{nodes: 20, dataCentres: 3}, 0.3)
 		require.NoError(t, err)
 		f := NewMemberFleet(7)
 		f.LossRate = 0.3
--- a/internal/sagemeasure/replay.go
+++ b/internal/sagemeasure/replay.go
@@ -106,19 +106,19 @@
 // dispatch asks the decision code until an engine takes the job. An engine whose allotment is used up
 // is passed over for this dispatch; only one that is down counts as a try.
 func (p *replay) dispatch(j *job) {
-	passed := slices.Clone(j.tried)
+	skipped := slices.Clone(j.tried)
 	for len(j.tried) < maxAttempts {
-		i, why := p.chooseEngine(j, passed)
+		i, reason := p.chooseEngine(j, skipped)
 		if i < 0 && p.canWaitForUnit(j) {
 			p.after(unitRetryInterval, func() { p.dispatch(j) })
 			return
 		}
 		if i < 0 {
-			p.results[j.number] = result{refusalReason: why, endedAt: p.now, attempts: len(j.tried)}
+			p.results[j.number] = result{refusalReason: reason, endedAt: p.now, attempts: len(j.tried)}
 			return
 		}
 		e := p.engines[i]
-		passed = append(passed, i)
+		skipped = append(skipped, i)
 		switch {
 		case !e.up:
 			j.tried = append(j.tried, i)
@@ -144,13 +144,13 @@
 }
 
 // query is what the router's policy is asked for a job.
-func (p *replay) placementQuery(j *job, passed []int) *sageplace.Query {
+func (p *replay) placementQuery(j *job, skipped []int) *sageplace.Query {
 	r := j.router
 	q := &sageplace.Query{Context: j.context, Chat: j.chat, Location: p.location(j)}
 	if p.variant.headroom {
 		q.Headroom = sageplace.DefaultHeadroom[j.priority]
 	}
-	for _, i := range passed {
+	for _, i := range skipped {
 		if k := slices.Index(r.tableEngines, i); k >= 0 {
 			q.Tried = append(q.Tried, k)
 		}
@@ -159,10 +159,10 @@
 }
 
 // choose returns the engine that the router's policy takes.
-func (p *replay) chooseEngine(j *job, passed []int) (int, sageplace.Reason) {
+func (p *replay) chooseEngine(j *job, skipped []int) (int, sageplace.Reason) {
 	r := j.router
-	c := r.policy.Choose(p.instant(), r.table, r.loads, p.placementQuery(j, passed))
-	if _, sees := r.policy.(*oraclePolicy); sees || c.Index < 0 {
+	c := r.policy.Choose(p.instant(), r.table, r.loads, p.placementQuery(j, skipped))
+	if _, isOracle := r.policy.(*oraclePolicy); isOracle || c.Index < 0 {
 		return c.Index, c.Reason
 	}
 	return r.tableEngines[c.Index], c.Reason
@@ -170,13 +170,13 @@
 
 func (p *replay) location(j *job) sageplace.Location {
 	if p.variant.token {
-		if at, ok := p.signer.Verify(p.tokens[j.chat], "", j.chatName, p.instant()); ok {
-			return at
+		if location, ok := p.signer.Verify(p.tokens[j.chat], "", j.chatName, p.instant()); ok {
+			return location
 		}
 	}
 	if p.variant.routerMemory {
-		at, _ := j.router.locations.Lookup(j.chat)
-		return at
+		location, _ := j.router.locations.Lookup(j.chat)
+		return location
 	}
 	return sageplace.Location{}
 }
@@ -196,11 +196,11 @@
 	p.results[j.number] = result{
 		done: true, endedAt: p.now, cached: j.cached, engine: j.engine, started: j.started, attempts: len(j.tried) + 1,
 	}
-	at := sageplace.Location{Upstream: sageplace.Key(j.engine.name), Generation: j.engine.generation}
+	location := sageplace.Location{Upstream: sageplace.Key(j.engine.name), Generation: j.engine.generation}
 	if p.variant.token {
-		p.tokens[j.chat] = p.signer.Sign("", j.chatName, at, p.instant().Add(tokenTTL))
+		p.tokens[j.chat] = p.signer.Sign("", j.chatName, location, p.instant().Add(tokenTTL))
 	}
 	if p.variant.routerMemory {
-		r.locations.RecordStored(j.chat, at.Upstream, at.Generation)
+		r.locations.RecordStored(j.chat, location.Upstream, location.Generation)
 	}
 }
--- a/internal/sagemeasure/replay_test.go
+++ b/internal/sagemeasure/replay_test.go
@@ -64,14 +64,14 @@
 		p.announceDataCentre(0, false)
 	})
 	p.runUntil(time.Minute)
-	began := 0
+	started := 0
 	for i := range trace {
 		if r := &p.results[i]; r.done && r.engine.dataCentre == 0 {
 			require.LessOrEqual(t, trace[i].at, 20*time.Second+maxChangeDelay)
-			began++
+			started++
 		}
 	}
-	require.NotZero(t, began)
+	require.NotZero(t, started)
 }
 
 func TestEngineStartsUrgentFirst(t *testing.T) {
--- a/internal/sagemeasure/report.go
+++ b/internal/sagemeasure/report.go
@@ -155,9 +155,9 @@
 
 // WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	if err := e.Encode(r); err != nil {
+	enc := json.NewEncoder(w)
+	enc.SetIndent("", "  ")
+	if err := enc.Encode(r); err != nil {
 		return fmt.Errorf("write report: %w", err)
 	}
 	return nil
@@ -183,15 +183,15 @@
 	if row.Target == nil {
 		return ""
 	}
-	word := "missed"
+	outcome := "missed"
 	if *row.Met {
-		word = "met"
+		outcome = "met"
 	}
 	sign := "≤"
 	if row.Target.Comparison == AtLeast {
 		sign = "≥"
 	}
-	return sign + " " + formatFigure(row.Target.Limit) + ": " + word
+	return sign + " " + formatFigure(row.Target.Limit) + ": " + outcome
 }
 
 // formatFigure writes v with four significant digits.
--- a/internal/sagemeasure/result.go
+++ b/internal/sagemeasure/result.go
@@ -34,34 +34,34 @@
 
 // inTime returns the part of the requests of a priority from an instant on that completed within
 // their deadline, and how many were refused.
-func (p *replay) withinDeadline(from, to time.Duration, priority sagewire.Priority) (part float64, refused int) {
-	all, good := 0, 0
+func (p *replay) withinDeadline(from, to time.Duration, priority sagewire.Priority) (fraction float64, refused int) {
+	total, inTime := 0, 0
 	for i := range p.trace {
 		q, res := &p.trace[i], &p.results[i]
 		if q.at < from || q.at >= to || q.priority != priority {
 			continue
 		}
-		all++
+		total++
 		switch {
 		case !res.done:
 			refused++
 		case res.endedAt <= q.deadline:
-			good++
+			inTime++
 		}
 	}
-	return float64(good) / float64(max(all, 1)), refused
+	return float64(inTime) / float64(max(total, 1)), refused
 }
 
 // refused returns the part of the requests from an instant on that were refused.
 func (p *replay) refusedShare(from time.Duration) float64 {
-	all, no := 0, 0
+	total, refused := 0, 0
 	for i := range p.trace {
 		if p.trace[i].at >= from {
-			all++
+			total++
 			if !p.results[i].done {
-				no++
+				refused++
 			}
 		}
 	}
-	return float64(no) / float64(max(all, 1))
+	return float64(refused) / float64(max(total, 1))
 }
--- a/internal/sagemeasure/router.go
+++ b/internal/sagemeasure/router.go
@@ -40,16 +40,16 @@
 
 // rebuild makes the router's table from what it believes of the engines.
 func (p *replay) rebuildTable(r *router) {
-	var ups []sageplace.Upstream
+	var upstreams []sageplace.Upstream
 	r.tableEngines = r.tableEngines[:0]
 	for i, e := range p.engines {
 		if r.candidates[i] {
-			ups = append(ups, sageplace.Upstream{Name: e.name, Weight: e.slots})
+			upstreams = append(upstreams, sageplace.Upstream{Name: e.name, Weight: e.slots})
 			r.tableEngines = append(r.tableEngines, i)
 		}
 	}
-	r.table = sageplace.NewTable(ups)
-	r.loads = sageplace.NewLoads(len(ups))
+	r.table = sageplace.NewTable(upstreams)
+	r.loads = sageplace.NewLoads(len(upstreams))
 	r.loads.Refresh(func(i int) sageplace.Load { return p.estimatedLoad(r, r.tableEngines[i]) })
 }
 
--- a/internal/sagemeasure/slope.go
+++ b/internal/sagemeasure/scaling.go
@@ -16,9 +16,9 @@
 		trace := makeTrace(s, seed, end)
 		for _, v := range []variant{oracle, sagestand, sagestandCounts} {
 			p := newReplay(s, v, trace, seed)
-			k := p.sampleSkew(start, end)
+			sampler := p.sampleSkew(start, end)
 			p.runUntil(end + drainTime)
-			for _, r := range append(k.samples(v), Sample{Metric: "cache reuse", Value: p.cacheReuse(start)}) {
+			for _, r := range append(sampler.samples(v), Sample{Metric: "cache reuse", Value: p.cacheReuse(start)}) {
 				r.Scenario, r.Policy, r.Target = s.name, v.name, nil
 				out = append(out, r)
 			}
--- a/internal/sagemeasure/skew.go
+++ b/internal/sagemeasure/skew.go
@@ -19,9 +19,9 @@
 		for _, v := range allVariants() {
 			p := newReplay(s, v, trace, seed)
 			p.scheduleDisagreement()
-			k := p.sampleSkew(warmUp, warmUp+measureTime)
+			sampler := p.sampleSkew(warmUp, warmUp+measureTime)
 			p.runUntil(warmUp + measureTime + drainTime)
-			rows := k.samples(v)
+			rows := sampler.samples(v)
 			rows = append(rows,
 				Sample{Metric: "cache reuse", Value: p.cacheReuse(warmUp)},
 				Sample{Metric: "refused", Unit: "%", Value: 100 * p.refusedShare(warmUp)})
@@ -78,22 +78,22 @@
 }
 
 func (s *skewSampler) sample(p *replay) {
-	total, capacity := 0, 0
+	totalLoad, totalCapacity := 0, 0
 	for _, e := range p.engines {
 		if p.usable(e) {
-			total += e.inFlight()
-			capacity += e.capacity()
+			totalLoad += e.inFlight()
+			totalCapacity += e.capacity()
 		}
 	}
-	if total == 0 {
+	if totalLoad == 0 {
 		return
 	}
 	var relative []float64
 	over := false
 	for _, e := range p.engines {
 		if p.usable(e) {
-			relative = append(relative, float64(e.inFlight()*capacity)/float64(e.capacity()*total))
-			over = over || e.inFlight() > loadLimit(maxLoadMultiple, total, capacity, e.capacity())
+			relative = append(relative, float64(e.inFlight()*totalCapacity)/float64(e.capacity()*totalLoad))
+			over = over || e.inFlight() > loadLimit(maxLoadMultiple, totalLoad, totalCapacity, e.capacity())
 		}
 	}
 	sort.Float64s(relative)
--- a/internal/sagemeasure/surge.go
+++ b/internal/sagemeasure/surge.go
@@ -64,23 +64,23 @@
 	var out []Sample
 	for _, c := range surgeCases {
 		for _, q := range surgeQueuings {
-			calm := newSurgeSimulation(q, c, 0, seed)
-			surged := newSurgeSimulation(q, c, surgeMultiple, seed)
-			calm.runUntil(surgeDuration)
-			surged.runUntil(surgeDuration)
-			out = append(out, surgeSamples(c, q, calm, surged)...)
+			baseline := newSurgeSimulation(q, c, 0, seed)
+			withSurge := newSurgeSimulation(q, c, surgeMultiple, seed)
+			baseline.runUntil(surgeDuration)
+			withSurge.runUntil(surgeDuration)
+			out = append(out, surgeSamples(c, q, baseline, withSurge)...)
 		}
 	}
 	return out, nil
 }
 
-func surgeSamples(c surgeCase, q surgeQueuing, calm, surged *surgeSimulation) []Sample {
-	kept := 100 * float64(surged.goodput) / float64(calm.goodput)
+func surgeSamples(c surgeCase, q surgeQueuing, baseline, withSurge *surgeSimulation) []Sample {
+	goodputShare := 100 * float64(withSurge.goodput) / float64(baseline.goodput)
 	s := []Sample{
-		{Metric: "goodput of others, of that without surge", Unit: "%", Value: kept},
-		{Metric: "p99 of others without surge", Unit: "ms", Value: calm.p99()},
-		{Metric: "p99 of others with surge", Unit: "ms", Value: surged.p99()},
-		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * surged.surgeSlotTime.Seconds() / surged.totalSlotTime.Seconds()},
+		{Metric: "goodput of others, of that without surge", Unit: "%", Value: goodputShare},
+		{Metric: "p99 of others without surge", Unit: "ms", Value: baseline.p99()},
+		{Metric: "p99 of others with surge", Unit: "ms", Value: withSurge.p99()},
+		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * withSurge.surgeSlotTime.Seconds() / withSurge.totalSlotTime.Seconds()},
 	}
 	if q.name == "fair shares" {
 		s[0].Target = &Target{AtLeast, 98}
@@ -110,20 +110,20 @@
 	service   time.Duration
 }
 
-func newSurgeSimulation(q surgeQueuing, c surgeCase, times float64, seed uint64) *surgeSimulation {
+func newSurgeSimulation(q surgeQueuing, c surgeCase, multiple float64, seed uint64) *surgeSimulation {
 	w := &surgeSimulation{rand: rand.New(rand.NewPCG(seed, 13)), jobs: make(map[*sagefair.Item]*surgeJob)}
 	for range surgeRouters {
 		w.queues = append(w.queues, q.newQueue())
 	}
-	full := surgeRouters * surgeSlots / surgeMeanService.Seconds()
+	fleetRate := surgeRouters * surgeSlots / surgeMeanService.Seconds()
 	for a := range surgeAccounts {
 		source := rand.New(rand.NewPCG(seed, uint64(100+a)))
-		w.scheduleArrival(source, a, surgeUtilisation*full/surgeAccounts, surgeRouters, sagewire.Normal)
+		w.scheduleArrival(source, a, surgeUtilisation*fleetRate/surgeAccounts, surgeRouters, sagewire.Normal)
 	}
-	if times > 0 {
+	if multiple > 0 {
 		source := rand.New(rand.NewPCG(seed, 99))
 		w.after(surgeStart, func() {
-			w.scheduleArrival(source, 0, times*full*float64(c.routers)/surgeRouters, c.routers, c.priority)
+			w.scheduleArrival(source, 0, multiple*fleetRate*float64(c.routers)/surgeRouters, c.routers, c.priority)
 		})
 	}
 	return w
@@ -167,9 +167,9 @@
 		w.totalSlotTime += j.service
 		if j.account == 0 {
 			w.surgeSlotTime += j.service
-		} else if took := w.now - j.arrivedAt; took <= surgeDeadline {
+		} else if latency := w.now - j.arrivedAt; latency <= surgeDeadline {
 			w.goodput++
-			w.latencies = append(w.latencies, took)
+			w.latencies = append(w.latencies, latency)
 		}
 	}
 	w.start(w.queues[j.router].Done(w.instant(), it))
--- a/internal/sagemeasure/trace.go
+++ b/internal/sagemeasure/trace.go
@@ -81,13 +81,13 @@
 		if r.Float64() < s.hotContextShare {
 			account, context = 0, 0
 		}
-		c := request{
+		first := request{
 			account: sageplace.Key(fmt.Sprint("account-", account)),
 			context: sageplace.Key(fmt.Sprint("context-", context)), contextTokens: lengths[context],
 			chatName: fmt.Sprint("chat-", len(trace), "-", t), priority: drawPriority(r),
 		}
-		c.chat = sageplace.Key(c.chatName)
-		trace = appendChat(trace, r, c, t, end, meanTurns)
+		first.chat = sageplace.Key(first.chatName)
+		trace = appendChat(trace, r, first, t, end, meanTurns)
 	}
 	sort.SliceStable(trace, func(a, b int) bool { return trace[a].at < trace[b].at })
 	for i := range trace {
@@ -97,23 +97,23 @@
 }
 
 // appendChat adds the turns of one chat that fall into the trace.
-func appendChat(trace []request, r *rand.Rand, c request, t float64, end time.Duration, meanTurns float64) []request {
-	c.fresh = 200 + r.IntN(1000)
+func appendChat(trace []request, r *rand.Rand, turn request, t float64, end time.Duration, meanTurns float64) []request {
+	turn.fresh = 200 + r.IntN(1000)
 	for {
-		c.at = time.Duration(t * float64(time.Second))
-		c.deadline = c.at + deadlineAfter[c.priority]
-		c.output = min(300, 20+int(r.ExpFloat64()*80))
-		if c.at >= end {
+		turn.at = time.Duration(t * float64(time.Second))
+		turn.deadline = turn.at + deadlineAfter[turn.priority]
+		turn.output = min(300, 20+int(r.ExpFloat64()*80))
+		if turn.at >= end {
 			return trace
 		}
-		if c.at >= 0 {
-			trace = append(trace, c)
+		if turn.at >= 0 {
+			trace = append(trace, turn)
 		}
 		if r.Float64() < 1/meanTurns {
 			return trace
 		}
-		c.history += c.fresh + c.output
-		c.fresh = 20 + r.IntN(200)
+		turn.history += turn.fresh + turn.output
+		turn.fresh = 20 + r.IntN(200)
 		t += 8 + 20*math.Exp(0.8*r.NormFloat64())
 	}
 }
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -54,21 +54,21 @@
 // firstVersion is the bounded order alone, which the project began with.
 var firstVersion = variant{name: "first version", policy: noWidening(1.25, 1.25)}
 
-func widthByLoad(bound, fresh float64) func(*replay) sageplace.Policy {
+func widthByLoad(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(1024)}
+		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByLoad(1024)}
 	}
 }
 
-func widthByShare(bound, fresh float64) func(*replay) sageplace.Policy {
+func widthByShare(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByShare(1024)}
+		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByShare(1024)}
 	}
 }
 
-func noWidening(bound, fresh float64) func(*replay) sageplace.Policy {
+func noWidening(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: fresh}
+		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: uncachedBound}
 	}
 }
 
@@ -93,16 +93,16 @@
 func (s *oraclePolicy) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
 	p := s.p
 	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, history: 1 << 20}
-	total, capacity := 1, 0
+	totalLoad, totalCapacity := 1, 0
 	for _, e := range p.engines {
 		if p.usable(e) {
-			total += e.inFlight()
-			capacity += e.capacity()
+			totalLoad += e.inFlight()
+			totalCapacity += e.capacity()
 		}
 	}
 	best, cached, load := -1, -1, 0
 	for i, e := range p.engines {
-		if !p.usable(e) || e.inFlight()+1 > min(e.capacity(), loadLimit(oracleBound, total, capacity, e.capacity())) {
+		if !p.usable(e) || e.inFlight()+1 > min(e.capacity(), loadLimit(oracleBound, totalLoad, totalCapacity, e.capacity())) {
 			continue
 		}
 		c := e.cache.cached(r)
@@ -120,8 +120,8 @@
 func (p *replay) usable(e *engine) bool { return e.up && !e.leaving && p.inService[e.dataCentre] }
 
 // loadLimit returns ceil(multiple x mean) for an engine that bears that much of the whole capacity.
-func loadLimit(multiple float64, total, capacity, bears int) int {
-	return int(math.Ceil(multiple * float64(total) * float64(bears) / float64(max(capacity, 1))))
+func loadLimit(multiple float64, totalLoad, totalCapacity, engineCapacity int) int {
+	return int(math.Ceil(multiple * float64(totalLoad) * float64(engineCapacity) / float64(max(totalCapacity, 1))))
 }
 
 // allVariants returns every policy that a table compares.
