--- a/internal/sagemeasure/cold.go
+++ b/internal/sagemeasure/cold.go
@@ -163,7 +163,7 @@
 		}
 		return
 	}
-	e, boot, life := w.engines[i], w.engines[i].boot, r.incarnation
+	e, boot, incarnation := w.engines[i], w.engines[i].boot, r.incarnation
 	e.inFlight++
 	r.ownInFlight[i]++
 	w.observeLoad(e)
@@ -173,7 +173,7 @@
 			e.inFlight--
 			e.completed++
 		}
-		if r.incarnation == life {
+		if r.incarnation == incarnation {
 			r.ownInFlight[i]--
 			r.allotments[i].Release()
 		}
--- a/internal/sagemeasure/coldrouter.go
+++ b/internal/sagemeasure/coldrouter.go
@@ -38,21 +38,21 @@
 	r.ownInFlight, r.shortfall, r.lastUrgentRequest = make([]int, n), make([]int, n), make([]time.Duration, n)
 	r.ramps, r.lastReports = make([]sageload.Ramp, n), make([]sageload.Report, n)
 	r.allotments, r.ledgers, r.live = nil, nil, nil
-	now, process := w.instant(), fmt.Sprintf("%s.%d", routerName(r.id), r.incarnation)
+	now, holder := w.instant(), fmt.Sprintf("%s.%d", routerName(r.id), r.incarnation)
 	var names []string
 	for _, m := range w.roster {
 		names = append(names, m.Name)
 		r.live = append(r.live, true)
 	}
 	for i, e := range w.engines {
-		h := &sageload.Allotment{Upstream: e.name, Holder: process, Node: routerName(r.id), Voter: true, Limits: coldLimits,
+		h := &sageload.Allotment{Upstream: e.name, Holder: holder, Node: routerName(r.id), Voter: true, Limits: coldLimits,
 			Guaranteed: sageload.GuaranteedShare(e.name, routerName(r.id), w.roster, coldFloor)}
 		if !first {
 			h.AbstainUntil = now.Add(coldLimits.PromiseDuration + coldLimits.PromiseDuration/10)
 			h.GuaranteedFrom = now.Add(coldLimits.RequestLifetime + coldLimits.RequestLifetime/10)
 		}
 		r.allotments = append(r.allotments, h)
-		r.ledgers = append(r.ledgers, &sageload.Ledger{Coordinator: process, Voters: names, Limits: coldLimits, Floor: coldFloor, WarmAfterRequests: coldWarmAfter})
+		r.ledgers = append(r.ledgers, &sageload.Ledger{Coordinator: holder, Voters: names, Limits: coldLimits, Floor: coldFloor, WarmAfterRequests: coldWarmAfter})
 		r.ramps[i] = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: completionsPerUnit}
 	}
 }
@@ -67,40 +67,40 @@
 
 // probe reads a report that is as old as reports get, as home and for the baselines.
 func (r *coldRouter) readReport(i int) {
-	w, e, life := r.sim, r.sim.engines[i], r.incarnation
-	rep, sent := e.report(), w.instant()
+	w, e, incarnation := r.sim, r.sim.engines[i], r.incarnation
+	report, sent := e.report(), w.instant()
 	w.after(coldReportLag, func() {
-		if r.incarnation != life || e.bootID() != rep.BootID {
+		if r.incarnation != incarnation || e.bootID() != report.BootID {
 			return // the connection broke with the engine's process
 		}
-		r.lastReports[i] = rep
+		r.lastReports[i] = report
 		if r.coordinator(i) == r.id {
-			r.ledgers[i].RecordReport(w.instant(), sent.Add(coldReportLag), rep, r.ramps[i].Observe(rep))
+			r.ledgers[i].RecordReport(w.instant(), sent.Add(coldReportLag), report, r.ramps[i].Observe(report))
 		}
 	})
 }
 
 // home returns who this router takes for the engine's home.
 func (r *coldRouter) coordinator(i int) int {
-	best, id := "", -1
-	var in []sageload.Member
+	best, index := "", -1
+	var live []sageload.Member
 	for k, ok := range r.live {
 		if ok || k == r.id {
-			in = append(in, r.sim.roster[k])
+			live = append(live, r.sim.roster[k])
 		}
 	}
-	best, _ = sageload.Coordinator(r.sim.engines[i].name, "", in)
+	best, _ = sageload.Coordinator(r.sim.engines[i].name, "", live)
 	for k, m := range r.sim.roster {
 		if m.Name == best {
-			id = k
+			index = k
 		}
 	}
-	return id
+	return index
 }
 
 // ask asks the home for units: what is in use, what was missed and one to spare.
 func (r *coldRouter) requestUnits(i int) {
-	w, h, life := r.sim, r.allotments[i], r.incarnation
+	w, h, incarnation := r.sim, r.allotments[i], r.incarnation
 	to := w.routers[r.coordinator(i)]
 	units := h.InUse() + r.shortfall[i] + 1
 	want, ok := h.Request(w.instant(), routerName(to.id), units)
@@ -114,7 +114,7 @@
 		}
 		g := to.ledgers[i].HandleRequest(w.instant(), want)
 		w.after(coldHopDelay, func() {
-			if r.incarnation == life && w.partitionSide[r.id] == w.partitionSide[to.id] {
+			if r.incarnation == incarnation && w.partitionSide[r.id] == w.partitionSide[to.id] {
 				h.ApplyGrant(g)
 			}
 		})
@@ -153,10 +153,10 @@
 
 // pickStaticShare has for each router a fixed part of the slots of every warm engine.
 func pickStaticShare(w *coldSimulation, r *coldRouter) int {
-	n, part := len(w.engines), max(engineSlots/len(w.routers), 1)
+	n, share := len(w.engines), max(engineSlots/len(w.routers), 1)
 	first := w.rand.IntN(n)
 	for k := range n {
-		if i := (first + k) % n; r.ownInFlight[i] < part {
+		if i := (first + k) % n; r.ownInFlight[i] < share {
 			return i
 		}
 	}
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -84,11 +84,11 @@
 	}
 	for i, m := range f.Nodes {
 		c := &configNode{MemberNode: m, index: i, replica: &sagesync.Replica{Now: func() time.Time { return f.Now }}}
-		own := &countingSection{Section: c.replica, node: c}
+		section := &countingSection{Section: c.replica, node: c}
 		if tables {
-			m.Engine.Sections = append(m.Engine.Sections, own)
+			m.Engine.Sections = append(m.Engine.Sections, section)
 		} else {
-			m.Engine.Sections = []sagegossip.Section{own}
+			m.Engine.Sections = []sagegossip.Section{section}
 			c.peers = f.otherPeers(m)
 		}
 		f.nodes = append(f.nodes, c)
@@ -107,11 +107,11 @@
 
 // accept submits a change of a data centre through a node that reaches the store. The acceptor has
 // it at once; the watchers have it with the next step.
-func (f *configFleet) submitTicket(n *configNode, dataCentre string, in bool) error {
+func (f *configFleet) submitTicket(n *configNode, dataCentre string, inService bool) error {
 	f.lastTicket++
 	t := &sageconfig.Ticket{Number: f.lastTicket, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
-		DataCentre: &sageconfig.DataCentre{InService: in},
+		DataCentre: &sageconfig.DataCentre{InService: inService},
 	}}}
 	if _, err := f.acceptor.Submit(context.Background(), t); err != nil {
 		return fmt.Errorf("accept: %w", err)
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -101,9 +101,9 @@
 	}
 	f.LinkDown = func(from, to *MemberNode) bool { return !t.reachable(byMember[from], byMember[to]) }
 	f.reachesStore = t.reachesStore
-	var lost, sent, offered float64
+	var lostWork, sentToExited, offeredWork float64
 	accepted := t.exitDataCentre < 0
-	exitedAt := 0
+	exitRound := 0
 	for round := 1; round <= isoRounds; round++ {
 		f.step()
 		for _, n := range f.nodes {
@@ -113,14 +113,14 @@
 			if err := f.submitTicket(f.nodes[t.exitNode], fmt.Sprintf("dc%d", t.exitDataCentre), false); err != nil {
 				return nil, err
 			}
-			accepted, exitedAt = true, round
+			accepted, exitRound = true, round
 		}
 		for _, n := range f.nodes {
-			share, exitedShare := n.workShare(f, t, exitedAt > 0 && round > exitedAt+isoGraceRounds)
+			share, exitedShare := n.workShare(f, t, exitRound > 0 && round > exitRound+isoGraceRounds)
 			served := servedShare(rule.Evaluate(f.Now, n.replica.Status()).Level)
-			offered++
-			lost += 1 - served
-			sent += served * share * exitedShare
+			offeredWork++
+			lostWork += 1 - served
+			sentToExited += served * share * exitedShare
 		}
 	}
 	acceptedPercent := 0.0
@@ -128,8 +128,8 @@
 		acceptedPercent = 100
 	}
 	out := []Sample{
-		{Metric: "service lost", Unit: "%", Value: 100 * lost / offered},
-		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sent / offered},
+		{Metric: "service lost", Unit: "%", Value: 100 * lostWork / offeredWork},
+		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sentToExited / offeredWork},
 	}
 	if t.exitDataCentre >= 0 {
 		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: acceptedPercent})
@@ -150,21 +150,21 @@
 // load returns the part of n's work that goes to each data centre it uses, and 1 if one of these is
 // out although it may receive nothing any more.
 func (n *configNode) workShare(f *configFleet, t isolationFault, afterExit bool) (share, exitedShare float64) {
-	used := 0
+	usedDataCentres := 0
 	for _, o := range f.nodes[:isoDataCentres] {
 		dc, ok := n.replica.Current().State.DataCentre(o.Table.Self.DataCentre)
 		if !ok || !dc.InService || !t.reachable(n, o) && n.index%isoDataCentres != o.index {
 			continue
 		}
-		used++
+		usedDataCentres++
 		if afterExit && o.index == t.exitDataCentre {
 			exitedShare = 1
 		}
 	}
-	if used == 0 {
+	if usedDataCentres == 0 {
 		return 0, 0
 	}
-	return 1 / float64(used), exitedShare
+	return 1 / float64(usedDataCentres), exitedShare
 }
 
 // noteQuorum tells the replica when the node last had contact to most of the roster, which is all
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -56,19 +56,19 @@
 	sample := func(metric, unit string, v float64, t *Target) Sample {
 		return Sample{Scenario: scenario, Policy: "indirect check", Metric: metric, Unit: unit, Value: v, Target: t}
 	}
-	boot := f.RunUntil(memberBootRounds, f.Converged)
+	bootRounds := f.RunUntil(memberBootRounds, f.Converged)
 	evictions, bytes := f.Evictions(), f.MessageBytes
 	f.RunUntil(memberSteadyRounds, func() bool { return false })
 	perNode := 2 * float64(f.MessageBytes-bytes) / memberSteadyRounds / float64(size.nodes)
-	wrong := f.Evictions() - evictions
+	wrongEvictions := f.Evictions() - evictions
 	join, leave, death, err := f.measureChanges()
 	if err != nil {
 		return nil, err
 	}
 	return []Sample{
-		sample("rounds until all know each other", "s", float64(boot), nil),
+		sample("rounds until all know each other", "s", float64(bootRounds), nil),
 		sample("payload a node, both ways", "B/s", perNode, &Target{AtMost, controlBytesPerSecond}),
-		sample("nodes wrongly taken for dead in 60 s", "", float64(wrong), &Target{AtMost, 0}),
+		sample("nodes wrongly taken for dead in 60 s", "", float64(wrongEvictions), &Target{AtMost, 0}),
 		sample("rounds until a join is known", "s", float64(join), nil),
 		sample("rounds until a leave is known", "s", float64(leave), nil),
 		sample("rounds until a death is known", "s", float64(death), nil),
@@ -82,7 +82,7 @@
 		return 0, 0, 0, err
 	}
 	id := n.Table.LocalNode().Incarnation
-	knows := func(ok func(sagemember.Node) bool) func() bool {
+	knownEverywhere := func(ok func(sagemember.Node) bool) func() bool {
 		return func() bool {
 			for _, m := range f.Running() {
 				if m != n && !m.knows(id, ok) {
@@ -92,11 +92,11 @@
 			return true
 		}
 	}
-	join = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
+	join = f.RunUntil(memberChangeRounds, knownEverywhere(func(x sagemember.Node) bool { return x.State == sagemember.Alive }))
 	n.Table.AdvancePhase(sagemember.Leaving)
-	leave = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
+	leave = f.RunUntil(memberChangeRounds, knownEverywhere(func(x sagemember.Node) bool { return x.Phase == sagemember.Leaving }))
 	n.Stopped = true
-	death = f.RunUntil(memberChangeRounds, knows(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
+	death = f.RunUntil(memberChangeRounds, knownEverywhere(func(x sagemember.Node) bool { return x.State == sagemember.Dead }))
 	return join, leave, death, nil
 }
 
--- a/internal/sagemeasure/retry.go
+++ b/internal/sagemeasure/retry.go
@@ -131,9 +131,9 @@
 	if !ok {
 		return
 	}
-	p := w.policies[q.router]
+	policy := w.policies[q.router]
 	if w.rule.useSageretry {
-		p.RecordAttempt(name)
+		policy.RecordAttempt(name)
 	}
 	q.tried = append(q.tried, name)
 	q.inFlight++
--- a/internal/sageworkload/load.go
+++ b/internal/sageworkload/load.go
@@ -17,14 +17,14 @@
 
 // Shape of the load.
 const (
-	turns        = 8
-	contexts     = 4
-	contextWords = 120
-	messageWords = 12
-	answerTokens = 24
-	repeatEvery  = 3
-	maxPause     = 40 * time.Millisecond
-	patience     = 15 * time.Second
+	turnsPerChat   = 8
+	numContexts    = 4
+	contextWords   = 120
+	messageWords   = 12
+	answerTokens   = 24
+	duplicateEvery = 3
+	maxPause       = 40 * time.Millisecond
+	requestTimeout = 15 * time.Second
 )
 
 // Load sends requests until an instant. Its exported fields are set before Run.
@@ -45,13 +45,13 @@
 
 // Run sends requests until l.Until, waits for the last answers and returns the counts.
 func (l *Load) Run(ctx context.Context) Tally {
-	l.counter.runs = make(map[string]*bookingEnd)
+	l.counter.bookings = make(map[string]*bookingOutcomes)
 	var wg sync.WaitGroup
 	for i := range l.ChatCallers {
-		wg.Go(func() { l.chats(ctx, rand.New(rand.NewSource(l.Seed+int64(i)))) })
+		wg.Go(func() { l.runChats(ctx, rand.New(rand.NewSource(l.Seed+int64(i)))) })
 	}
 	for i := range l.BookingCallers {
-		wg.Go(func() { l.bookings(ctx, rand.New(rand.NewSource(l.Seed-int64(i)-1))) })
+		wg.Go(func() { l.runBookings(ctx, rand.New(rand.NewSource(l.Seed-int64(i)-1))) })
 	}
 	wg.Wait()
 	return l.counter.tally
@@ -61,10 +61,12 @@
 	return &sagecaller.Caller{Entries: l.Entries, Key: l.Key, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
 }
 
-func (l *Load) going(ctx context.Context) bool { return ctx.Err() == nil && time.Now().Before(l.Until) }
+func (l *Load) running(ctx context.Context) bool {
+	return ctx.Err() == nil && time.Now().Before(l.Until)
+}
 
-// words returns n words that depend on the seed of rng only.
-func words(rng *rand.Rand, n int) string {
+// randomWords returns n words that depend on the seed of rng only.
+func randomWords(rng *rand.Rand, n int) string {
 	s := ""
 	for range n {
 		s += fmt.Sprintf("w%d ", rng.Intn(1000))
@@ -73,23 +75,23 @@
 }
 
 // chats plays one caller: a chat of some turns, each with the whole history, then the next chat.
-func (l *Load) chats(ctx context.Context, rng *rand.Rand) {
+func (l *Load) runChats(ctx context.Context, rng *rand.Rand) {
 	c := l.caller()
-	for l.going(ctx) {
-		shared := rng.Intn(contexts)
-		system := words(rand.New(rand.NewSource(int64(shared))), contextWords)
+	for l.running(ctx) {
+		shared := rng.Intn(numContexts)
+		system := randomWords(rand.New(rand.NewSource(int64(shared))), contextWords)
 		chat := fmt.Sprintf("chat-%x", rng.Uint64())
 		history := []sagestandin.Message{{Role: "system", Content: system}}
-		for turn := 0; turn < turns && l.going(ctx); turn++ {
-			history = append(history, sagestandin.Message{Role: "user", Content: words(rng, messageWords)})
+		for turn := 0; turn < turnsPerChat && l.running(ctx); turn++ {
+			history = append(history, sagestandin.Message{Role: "user", Content: randomWords(rng, messageWords)})
 			req := &sagestandin.ChatRequest{Model: l.Model, Messages: history, Stream: turn%2 == 0, MaxTokens: answerTokens}
-			e := c.Chat(ctx, req, sagecaller.Options{
+			end := c.Chat(ctx, req, sagecaller.Options{
 				ChatID: chat, Context: fmt.Sprintf("context-%d", shared),
-				Priority: sagewire.Priority(rng.Intn(sagewire.NumPriorities)), Deadline: time.Now().Add(patience),
+				Priority: sagewire.Priority(rng.Intn(sagewire.NumPriorities)), Deadline: time.Now().Add(requestTimeout),
 			})
-			l.counter.add(e)
-			if e.Outcome != sagewire.Complete {
-				l.comeBack(ctx, e)
+			l.counter.add(end)
+			if end.Outcome != sagewire.Complete {
+				l.waitForRetry(ctx, end)
 				continue
 			}
 			history = append(history, sagestandin.Message{Role: "assistant", Content: "noted"})
@@ -99,38 +101,38 @@
 }
 
 // comeBack waits as a refusal asks, at most as long as the load goes on.
-func (l *Load) comeBack(ctx context.Context, e sagecaller.Result) {
-	at := time.Now().Add(maxPause)
-	if e.Refusal != nil && e.Refusal.RetryAt.After(at) {
-		at = e.Refusal.RetryAt
+func (l *Load) waitForRetry(ctx context.Context, e sagecaller.Result) {
+	retryAt := time.Now().Add(maxPause)
+	if e.Refusal != nil && e.Refusal.RetryAt.After(retryAt) {
+		retryAt = e.Refusal.RetryAt
 	}
-	if at.After(l.Until) {
-		at = l.Until
+	if retryAt.After(l.Until) {
+		retryAt = l.Until
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Until(at)):
+	case <-time.After(time.Until(retryAt)):
 	}
 }
 
 // bookings plays one caller that books, and sends every few bookings twice at once through two
 // connections.
-func (l *Load) bookings(ctx context.Context, rng *rand.Rand) {
-	first, second := l.caller(), l.caller()
-	for n := 0; l.going(ctx); n++ {
+func (l *Load) runBookings(ctx context.Context, rng *rand.Rand) {
+	caller, duplicateCaller := l.caller(), l.caller()
+	for n := 0; l.running(ctx); n++ {
 		key := uuid.Must(uuid.NewV7()).String()
-		body := []byte(fmt.Sprintf(`{"item":%q,"n":%d}`, words(rng, 2), n))
-		book := func(c *sagecaller.Caller, chat string) {
-			e := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{ChatID: chat, IdempotencyKey: key, Deadline: time.Now().Add(patience)})
-			l.counter.addBooking(key, e)
-			if e.Outcome != sagewire.Complete && e.Outcome != sagewire.AlreadyRun {
-				l.comeBack(ctx, e)
+		body := []byte(fmt.Sprintf(`{"item":%q,"n":%d}`, randomWords(rng, 2), n))
+		sendBooking := func(c *sagecaller.Caller, chat string) {
+			end := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{ChatID: chat, IdempotencyKey: key, Deadline: time.Now().Add(requestTimeout)})
+			l.counter.addBooking(key, end)
+			if end.Outcome != sagewire.Complete && end.Outcome != sagewire.AlreadyRun {
+				l.waitForRetry(ctx, end)
 			}
 		}
 		var wg sync.WaitGroup
-		wg.Go(func() { book(first, key) })
-		if n%repeatEvery == 0 {
-			wg.Go(func() { book(second, key+"-repeat") })
+		wg.Go(func() { sendBooking(caller, key) })
+		if n%duplicateEvery == 0 {
+			wg.Go(func() { sendBooking(duplicateCaller, key+"-repeat") })
 		}
 		wg.Wait()
 		time.Sleep(time.Duration(rng.Int63n(int64(maxPause))))
@@ -152,18 +154,18 @@
 func (l *Load) Audit(executions map[string]int) Audit {
 	l.counter.mu.Lock()
 	defer l.counter.mu.Unlock()
-	a := Audit{Bookings: len(l.counter.runs)}
-	for key, b := range l.counter.runs {
+	audit := Audit{Bookings: len(l.counter.bookings)}
+	for key, outcomes := range l.counter.bookings {
 		n := executions[key]
 		if n > 1 {
-			a.ExecutedTwice++
+			audit.ExecutedTwice++
 		}
-		if n > 0 && b.notRun > 0 && b.complete+b.unknown+b.already == 0 {
-			a.FalseNotRun++
+		if n > 0 && outcomes.notRun > 0 && outcomes.complete+outcomes.unknown+outcomes.alreadyRun == 0 {
+			audit.FalseNotRun++
 		}
-		if n == 0 && b.complete > 0 {
-			a.FalseComplete++
+		if n == 0 && outcomes.complete > 0 {
+			audit.FalseComplete++
 		}
 	}
-	return a
+	return audit
 }
--- a/internal/sageworkload/tally.go
+++ b/internal/sageworkload/tally.go
@@ -32,11 +32,11 @@
 	switch {
 	case e.Err != nil:
 		t.Lost++
-		t.problem("lost by way of " + e.Entry + ": " + e.Err.Error())
+		t.addProblem("lost by way of " + e.Entry + ": " + e.Err.Error())
 		return
 	case e.Mismatch != "":
 		t.WrongAnswers++
-		t.problem("wrong answer by way of " + e.Entry + ": " + e.Mismatch)
+		t.addProblem("wrong answer by way of " + e.Entry + ": " + e.Mismatch)
 		return
 	}
 	switch e.Outcome {
@@ -52,13 +52,13 @@
 		t.AlreadyRun++
 	default:
 		t.WrongAnswers++
-		t.problem("outcome " + string(e.Outcome))
+		t.addProblem("outcome " + string(e.Outcome))
 	}
 }
 
-func (t *Tally) problem(s string) {
+func (t *Tally) addProblem(problem string) {
 	if len(t.Problems) < maxProblems {
-		t.Problems = append(t.Problems, s)
+		t.Problems = append(t.Problems, problem)
 	}
 }
 
@@ -75,12 +75,12 @@
 	mu    sync.Mutex
 	tally Tally
 	// runs counts by key how often a caller was told that a booking completed.
-	runs map[string]*bookingEnd
+	bookings map[string]*bookingOutcomes
 }
 
-// bookingEnd is what callers were told about one key.
-type bookingEnd struct {
-	complete, notRun, unknown, already int
+// bookingOutcomes is what callers were told about one key.
+type bookingOutcomes struct {
+	complete, notRun, unknown, alreadyRun int
 }
 
 func (c *counter) add(e sagecaller.Result) {
@@ -93,21 +93,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Add(e)
-	b := c.runs[key]
-	if b == nil {
-		b = new(bookingEnd)
-		c.runs[key] = b
+	outcomes := c.bookings[key]
+	if outcomes == nil {
+		outcomes = new(bookingOutcomes)
+		c.bookings[key] = outcomes
 	}
 	switch {
 	case e.Err != nil:
-		b.unknown++
+		outcomes.unknown++
 	case e.Outcome == sagewire.Complete:
-		b.complete++
+		outcomes.complete++
 	case e.Outcome == sagewire.NotRun:
-		b.notRun++
+		outcomes.notRun++
 	case e.Outcome == sagewire.AlreadyRun:
-		b.already++
+		outcomes.alreadyRun++
 	default:
-		b.unknown++
+		outcomes.unknown++
 	}
 }
