--- a/internal/sageworkload/doc.go
+++ b/internal/sageworkload/doc.go
@@ -1,9 +1,9 @@
-// Package sageworkload is a load of mixed requests: chats that return with a growing history and a
-// shared context, and bookings with idempotency keys, some of them sent twice. It checks every end
-// and counts them in a [Tally].
+// Package sageworkload generates a mixed load: chats that send their growing history and a shared
+// context with every turn, and bookings with idempotency keys, some of which are sent twice
+// concurrently. It checks the result of every request and counts the results in a [Tally].
 //
 // # Usage
 //
-//	load := &sageworkload.Load{Entries: entries, Key: key, Chats: 16, Bookers: 4, Seed: 1, Until: until}
+//	load := &sageworkload.Load{Entries: entries, Key: key, ChatCallers: 16, BookingCallers: 4, Seed: 1, Until: until}
 //	tally := load.Run(ctx)
 package sageworkload
--- a/internal/sageworkload/load.go
+++ b/internal/sageworkload/load.go
@@ -22,19 +22,20 @@
 	contextWords   = 120
 	messageWords   = 12
 	answerTokens   = 24
-	duplicateEvery = 3
-	maxPause       = 40 * time.Millisecond
+	duplicateEvery = 3                     // every third booking is sent twice
+	maxPause       = 40 * time.Millisecond // between the requests of a caller
 	requestTimeout = 15 * time.Second
 )
 
-// Load sends requests until an instant. Its exported fields are set before Run.
+// Load sends requests until a fixed time. Its exported fields must be set before Run.
 type Load struct {
-	// Entries are the addresses to ask first where to connect.
+	// Entries are the addresses that callers ask which router to connect to.
 	Entries []string
+	// Key is the API key of the client account.
 	Key     string
 	Model   string
 	Service string
-	// Chats and Bookers are how many callers of each kind work side by side.
+	// ChatCallers and BookingCallers are the numbers of concurrent callers of each kind.
 	ChatCallers    int
 	BookingCallers int
 	Seed           int64
@@ -43,7 +44,7 @@
 	counter counter
 }
 
-// Run sends requests until l.Until, waits for the last answers and returns the counts.
+// Run sends requests until l.Until, waits for the outstanding responses and returns the counts.
 func (l *Load) Run(ctx context.Context) Tally {
 	l.counter.bookings = make(map[string]*bookingOutcomes)
 	var wg sync.WaitGroup
@@ -65,7 +66,7 @@
 	return ctx.Err() == nil && time.Now().Before(l.Until)
 }
 
-// randomWords returns n words that depend on the seed of rng only.
+// randomWords returns n words drawn from rng.
 func randomWords(rng *rand.Rand, n int) string {
 	s := ""
 	for range n {
@@ -74,7 +75,8 @@
 	return s
 }
 
-// chats plays one caller: a chat of some turns, each with the whole history, then the next chat.
+// runChats simulates one chat caller. Every turn sends the whole history; after turnsPerChat turns a
+// new chat begins.
 func (l *Load) runChats(ctx context.Context, rng *rand.Rand) {
 	c := l.caller()
 	for l.running(ctx) {
@@ -85,13 +87,13 @@
 		for turn := 0; turn < turnsPerChat && l.running(ctx); turn++ {
 			history = append(history, sagestandin.Message{Role: "user", Content: randomWords(rng, messageWords)})
 			req := &sagestandin.ChatRequest{Model: l.Model, Messages: history, Stream: turn%2 == 0, MaxTokens: answerTokens}
-			end := c.Chat(ctx, req, sagecaller.Options{
+			result := c.Chat(ctx, req, sagecaller.Options{
 				ChatID: chat, Context: fmt.Sprintf("context-%d", shared),
 				Priority: sagewire.Priority(rng.Intn(sagewire.NumPriorities)), Deadline: time.Now().Add(requestTimeout),
 			})
-			l.counter.add(end)
-			if end.Outcome != sagewire.Complete {
-				l.waitForRetry(ctx, end)
+			l.counter.add(result)
+			if result.Outcome != sagewire.Complete {
+				l.waitForRetry(ctx, result)
 				continue
 			}
 			history = append(history, sagestandin.Message{Role: "assistant", Content: "noted"})
@@ -100,11 +102,11 @@
 	}
 }
 
-// comeBack waits as a refusal asks, at most as long as the load goes on.
-func (l *Load) waitForRetry(ctx context.Context, e sagecaller.Result) {
+// waitForRetry waits until the retry time named by a refusal, but no longer than l.Until.
+func (l *Load) waitForRetry(ctx context.Context, result sagecaller.Result) {
 	retryAt := time.Now().Add(maxPause)
-	if e.Refusal != nil && e.Refusal.RetryAt.After(retryAt) {
-		retryAt = e.Refusal.RetryAt
+	if result.Refusal != nil && result.Refusal.RetryAt.After(retryAt) {
+		retryAt = result.Refusal.RetryAt
 	}
 	if retryAt.After(l.Until) {
 		retryAt = l.Until
@@ -115,18 +117,18 @@
 	}
 }
 
-// bookings plays one caller that books, and sends every few bookings twice at once through two
-// connections.
+// runBookings simulates one booking caller. Every duplicateEvery-th booking is sent twice concurrently,
+// over two connections.
 func (l *Load) runBookings(ctx context.Context, rng *rand.Rand) {
 	caller, duplicateCaller := l.caller(), l.caller()
 	for n := 0; l.running(ctx); n++ {
 		key := uuid.Must(uuid.NewV7()).String()
 		body := []byte(fmt.Sprintf(`{"item":%q,"n":%d}`, randomWords(rng, 2), n))
 		sendBooking := func(c *sagecaller.Caller, chat string) {
-			end := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{ChatID: chat, IdempotencyKey: key, Deadline: time.Now().Add(requestTimeout)})
-			l.counter.addBooking(key, end)
-			if end.Outcome != sagewire.Complete && end.Outcome != sagewire.AlreadyRun {
-				l.waitForRetry(ctx, end)
+			result := c.Service(ctx, http.MethodPost, l.Service+"/bookings", body, sagecaller.Options{ChatID: chat, IdempotencyKey: key, Deadline: time.Now().Add(requestTimeout)})
+			l.counter.addBooking(key, result)
+			if result.Outcome != sagewire.Complete && result.Outcome != sagewire.AlreadyRun {
+				l.waitForRetry(ctx, result)
 			}
 		}
 		var wg sync.WaitGroup
@@ -139,18 +141,19 @@
 	}
 }
 
-// Audit compares what callers were told about bookings with how often the applications ran them.
+// Audit compares the outcomes that callers received for bookings with the executions that the
+// applications counted.
 type Audit struct {
 	Bookings int `json:"bookings"`
-	// ExecutedTwice counts keys that ran more than once.
+	// ExecutedTwice counts keys that were executed more than once.
 	ExecutedTwice int `json:"executed_twice"`
-	// FalseNotRun counts keys of which every caller was told "not run" and which ran.
+	// FalseNotRun counts keys that were executed although every caller received "not run".
 	FalseNotRun int `json:"false_not_run"`
-	// FalseComplete counts keys told complete that never ran.
+	// FalseComplete counts keys that were never executed although a caller received "complete".
 	FalseComplete int `json:"false_complete"`
 }
 
-// Audit compares the ends of the bookings with the executions by key.
+// Audit compares the outcomes of the bookings with the number of executions of each key.
 func (l *Load) Audit(executions map[string]int) Audit {
 	l.counter.mu.Lock()
 	defer l.counter.mu.Unlock()
--- a/internal/sageworkload/tally.go
+++ b/internal/sageworkload/tally.go
@@ -7,43 +7,43 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Tally counts the ends of requests.
+// Tally counts the results of requests.
 type Tally struct {
 	Requests   int `json:"requests"`
 	Complete   int `json:"complete"`
 	NotRun     int `json:"not_run"`
 	Unknown    int `json:"unknown"`
 	AlreadyRun int `json:"already_run"`
-	// Lost counts requests that ended without any outcome told.
+	// Lost counts requests that ended without an outcome.
 	Lost int `json:"lost"`
-	// Wrong counts answers that were not those of their request.
+	// WrongAnswers counts responses that don't match their request, and invalid outcomes.
 	WrongAnswers int      `json:"wrong"`
 	PromptTokens int      `json:"prompt_tokens"`
 	CachedTokens int      `json:"cached_tokens"`
 	Problems     []string `json:"problems,omitempty"`
 }
 
-// maxProblems bounds the problems that are kept in words.
+// maxProblems is the maximum number of problem descriptions that a Tally keeps.
 const maxProblems = 10
 
-// Add counts one end.
-func (t *Tally) Add(e sagecaller.Result) {
+// Add counts one result.
+func (t *Tally) Add(result sagecaller.Result) {
 	t.Requests++
 	switch {
-	case e.Err != nil:
+	case result.Err != nil:
 		t.Lost++
-		t.addProblem("lost by way of " + e.Entry + ": " + e.Err.Error())
+		t.addProblem("no outcome through entry " + result.Entry + ": " + result.Err.Error())
 		return
-	case e.Mismatch != "":
+	case result.Mismatch != "":
 		t.WrongAnswers++
-		t.addProblem("wrong answer by way of " + e.Entry + ": " + e.Mismatch)
+		t.addProblem("wrong answer through entry " + result.Entry + ": " + result.Mismatch)
 		return
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case sagewire.Complete:
 		t.Complete++
-		t.PromptTokens += e.PromptTokens
-		t.CachedTokens += e.CachedTokens
+		t.PromptTokens += result.PromptTokens
+		t.CachedTokens += result.CachedTokens
 	case sagewire.NotRun:
 		t.NotRun++
 	case sagewire.Unknown:
@@ -52,7 +52,7 @@
 		t.AlreadyRun++
 	default:
 		t.WrongAnswers++
-		t.addProblem("outcome " + string(e.Outcome))
+		t.addProblem("invalid outcome " + string(result.Outcome))
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// CacheReuse returns cached prompt tokens as a part of all prompt tokens.
+// CacheReuse returns the fraction of prompt tokens that were cached, or 0 if there were none.
 func (t *Tally) CacheReuse() float64 {
 	if t.PromptTokens == 0 {
 		return 0
@@ -70,42 +70,42 @@
 	return float64(t.CachedTokens) / float64(t.PromptTokens)
 }
 
-// counter is a tally shared by the workers of a load.
+// counter is a Tally shared by the callers of a load.
 type counter struct {
 	mu    sync.Mutex
 	tally Tally
-	// runs counts by key how often a caller was told that a booking completed.
+	// bookings holds the outcomes that callers received, by idempotency key.
 	bookings map[string]*bookingOutcomes
 }
 
-// bookingOutcomes is what callers were told about one key.
+// bookingOutcomes counts the outcomes that callers received for one idempotency key.
 type bookingOutcomes struct {
 	complete, notRun, unknown, alreadyRun int
 }
 
-func (c *counter) add(e sagecaller.Result) {
+func (c *counter) add(result sagecaller.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Add(e)
+	c.tally.Add(result)
 }
 
-func (c *counter) addBooking(key string, e sagecaller.Result) {
+func (c *counter) addBooking(key string, result sagecaller.Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Add(e)
+	c.tally.Add(result)
 	outcomes := c.bookings[key]
 	if outcomes == nil {
 		outcomes = new(bookingOutcomes)
 		c.bookings[key] = outcomes
 	}
 	switch {
-	case e.Err != nil:
+	case result.Err != nil:
 		outcomes.unknown++
-	case e.Outcome == sagewire.Complete:
+	case result.Outcome == sagewire.Complete:
 		outcomes.complete++
-	case e.Outcome == sagewire.NotRun:
+	case result.Outcome == sagewire.NotRun:
 		outcomes.notRun++
-	case e.Outcome == sagewire.AlreadyRun:
+	case result.Outcome == sagewire.AlreadyRun:
 		outcomes.alreadyRun++
 	default:
 		outcomes.unknown++
