--- a/internal/sagemeasure/allotment.go
+++ b/internal/sagemeasure/allotment.go
@@ -8,41 +8,42 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// How routers and homes talk about allotments in a replay.
+// Timing of the allotment protocol in a replay.
 const (
 	requestInterval = 250 * time.Millisecond
 	hopDelay        = 5 * time.Millisecond
 )
 
-// allotmentRule says how the allotments of a replay are used.
+// allotmentRule says how a replay uses allotments.
 type allotmentRule struct {
-	// multiple bounds what a home grants in all, as a multiple of the mean load that it knows of.
+	// meanMultiple limits the total that a coordinator grants, as a multiple of the mean load known to
+	// it.
 	meanMultiple float64
 	// headroom is the number of units beyond those in use that a router holds in advance.
 	headroom int
-	// onDemand lets a router without an unused unit ask the home for one when it needs it.
+	// onDemand lets a router without a free unit request one from the coordinator when it needs it.
 	onDemand bool
 }
 
-// allotments runs the real ledgers and holdings of [sageload] in a replay. Each engine has a home
-// among the routers.
+// allotments runs the ledgers and allotments of [sageload] in a replay. Each engine has one of the
+// routers as its coordinator.
 type allotments struct {
 	p            *replay
 	rule         allotmentRule
 	coordinators []int
 	ledgers      []*sageload.Ledger
 	ramps        []sageload.Ramp
-	// holdings and left are by router and engine; left is what the home last said that it could
-	// still grant.
+	// byRouter and grantable are indexed by router and engine. grantable is the number of units that
+	// the coordinator could still grant at its last response.
 	byRouter  [][]*sageload.Allotment
 	grantable [][]int
-	// asked counts the asks on demand.
+	// onDemandRequests counts the requests for units made on demand.
 	onDemandRequests int
 }
 
 func routerName(i int) string { return fmt.Sprint("router-", i) }
 
-// allot starts the allotments of all engines.
+// startAllotments starts the allotments of all engines.
 func (p *replay) startAllotments(rule allotmentRule) {
 	n := len(p.routers)
 	a := &allotments{p: p, rule: rule, ramps: make([]sageload.Ramp, len(p.engines))}
@@ -69,11 +70,12 @@
 	}
 }
 
+// randomPhase returns a random offset within a period d, so that periodic events don't run in step.
 func (p *replay) randomPhase(d time.Duration) time.Duration {
 	return time.Duration(p.rand.Int64N(int64(d)))
 }
 
-// probe lets the home of an engine read its last report.
+// readReport lets the coordinator of an engine read the engine's last report.
 func (a *allotments) readReport(i int, e *engine) {
 	if !e.up {
 		return
@@ -89,7 +91,8 @@
 	})
 }
 
-// bound returns the multiple of the mean that the home of engine i may grant by what it knows.
+// grantBound returns the total that the coordinator of engine i may grant: the multiple of the mean
+// load of the engines whose load it knows.
 func (a *allotments) grantBound(i, engineCapacity int) int {
 	coordinator := a.p.routers[a.coordinators[i]]
 	totalLoad, totalCapacity := 1, 0
@@ -123,7 +126,7 @@
 	})
 }
 
-// acquire takes a unit for a job. The connection to the engine tells its boot first.
+// acquire takes a unit for a job. The connection to the engine first reports the engine's boot.
 func (a *allotments) acquire(j *job, i int) bool {
 	h, now := a.byRouter[j.router.id][i], a.p.instant()
 	h.ObserveBoot(fmt.Sprint(a.p.engines[i].generation))
@@ -140,13 +143,13 @@
 	}
 	a.onDemandRequests++
 	h.ApplyGrant(a.ledgers[i].HandleRequest(now, w))
-	h.ObserveBoot(fmt.Sprint(a.p.engines[i].generation)) // the home may not know of a restart yet
+	h.ObserveBoot(fmt.Sprint(a.p.engines[i].generation)) // the coordinator may not know of a restart yet
 	return h.Acquire(now)
 }
 
 func (a *allotments) release(j *job, i int) { a.byRouter[j.router.id][i].Release() }
 
-// free returns the units that the router can hope for.
+// freeUnits returns the units that the router has free or may still get on demand.
 func (a *allotments) freeUnits(r, i int) int {
 	n := a.byRouter[r][i].Free(a.p.instant())
 	if a.rule.onDemand {
--- a/internal/sagemeasure/allotment_test.go
+++ b/internal/sagemeasure/allotment_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Story: homes grant 1.5 x mean in all and routers keep two units of each engine in advance. Units
-// held idle count against the grants but not in the mean; the mean falls with each refusal and the
-// grants fall with the mean, until requests wait two seconds for a unit of idle engines and some are
-// refused then. Asked for on demand, the same bound refuses nothing.
-func TestAdvanceAllotmentsOfMeanRefuseRequests(t *testing.T) {
+// Guards against refusals at idle engines: coordinators grant 1.5 x mean in total while routers hold
+// two units of each engine in advance. Idle units count against the grants but not in the mean, so each
+// refusal lowers the mean and with it the grants, until requests wait two seconds for a unit and some
+// are refused. Units granted on demand under the same bound cause no refusals.
+func TestStandingAllotmentsOfMeanCollapse(t *testing.T) {
 	s := smallSite
 	s.routers = 8
 	run := func(rule allotmentRule) *replay {
--- a/internal/sagemeasure/alternatives.go
+++ b/internal/sagemeasure/alternatives.go
@@ -1,8 +1,8 @@
 package sagemeasure
 
-// PlacementAlternatives measures the ways that were weighed for placement under the same churn: how a returning chat
-// finds its engine, how a hot context widens, which multiples of the mean bound the load, and how
-// fresh the view of the load is.
+// PlacementAlternatives compares alternatives for placement under the same churn: how a returning chat
+// finds its engine, how a hot context is spread over more engines, which multiples of the mean limit
+// the load, and how current the view of the load is.
 func PlacementAlternatives(seed uint64) ([]Sample, error) {
 	variants := []variant{
 		{name: "place: hash only", policy: widthByLoad(1.35, 1.1)},
--- a/internal/sagemeasure/churn.go
+++ b/internal/sagemeasure/churn.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// The parts of a replay: caches fill, then figures count.
+// Phases of a replay: the caches fill, the figures are measured, the remaining requests finish.
 const (
 	warmUp      = 120 * time.Second
 	measureTime = 240 * time.Second
 	drainTime   = 30 * time.Second
 )
 
-// Churn measures cache reuse, cached prompt tokens / prompt tokens, while engines join, leave and
-// flap, routers are replaced, and each router learns of a change up to four seconds late.
+// Churn measures cache reuse, cached prompt tokens / prompt tokens, while engines join, leave and flap,
+// routers are replaced, and each router observes a change up to maxChangeDelay late.
 func Churn(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
@@ -40,9 +40,9 @@
 	return p
 }
 
-// churn arranges what happens to engines and routers. Every 20 seconds an engine flaps: it crashes
-// and is back, cold, five seconds later. Every 60 seconds an engine leaves for 45 seconds as planned
-// and returns cold. Every 30 seconds a router is replaced by one that remembers nothing.
+// scheduleChurn schedules the faults. Every 20 s an engine crashes and returns 5 s later with an empty
+// cache. Every 60 s an engine leaves for 45 s as planned and returns with an empty cache. Every 30 s a
+// router is replaced by one without state.
 func (p *replay) scheduleChurn() {
 	n := len(p.engines)
 	p.every(warmUp/2, 20*time.Second, func() {
@@ -60,6 +60,7 @@
 	p.every(warmUp/2, 30*time.Second, func() { p.startRouter(p.routers[p.rand.IntN(len(p.routers))]) })
 }
 
+// flap crashes engine i and starts it again after downTime.
 func (p *replay) flap(i int, downTime time.Duration) {
 	e := p.engines[i]
 	p.announce(i, false)
@@ -70,8 +71,8 @@
 	})
 }
 
-// leave drains an engine: no router sends it new work after changeDelay, and it stops when the last
-// request is done.
+// leave drains engine i: no router sends it new requests after maxChangeDelay. It stops 5 s before the
+// end of awayTime and then starts again.
 func (p *replay) leave(i int, awayTime time.Duration) {
 	e := p.engines[i]
 	e.leaving = true
--- a/internal/sagemeasure/claims.go
+++ b/internal/sagemeasure/claims.go
@@ -13,7 +13,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// The load of the claims measure: 36,000 requests a second of which one in 50 is a booking.
+// Load of the claims measurement: one in 50 of 36,000 requests per second is a booking.
 const (
 	bookingsPerSecond        = 720
 	numAccounts              = 32_000
@@ -27,20 +27,21 @@
 	claimLossRate            = 0.1
 )
 
-// claimMethod is one way of committing claims.
+// claimMethod is one method of committing claims.
 type claimMethod struct {
-	name   string
-	rate   int
-	rules  sageclaim.Rules
-	window time.Duration
-	// alone gives each claim an object of its own.
+	name        string
+	rate        int
+	rules       sageclaim.Rules
+	batchWindow time.Duration
+	// ownObject gives each claim an object of its own.
 	ownObject bool
-	// loss is the part of updates whose answer is lost, half of them before their effect.
+	// lossRate is the fraction of updates whose response is lost, half of them before the update takes
+	// effect.
 	lossRate   float64
 	noReadBack bool
 }
 
-// slowStore adds the time that a platform takes, and loses answers.
+// slowStore adds the latency of a platform's store and loses responses.
 type slowStore struct {
 	sageobject.Store
 	mu       sync.Mutex
@@ -48,7 +49,8 @@
 	lossRate float64
 }
 
-func (s *slowStore) draw() (delay time.Duration, lossDraw float64) {
+// drawDelay returns the delay of a call and a random number that decides whether its response is lost.
+func (s *slowStore) drawDelay() (delay time.Duration, lossDraw float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return storeMinDelay + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
@@ -56,14 +58,14 @@
 
 // Get implements [sageobject.Store].
 func (s *slowStore) Get(ctx context.Context, key string) (sageobject.Object, error) {
-	delay, _ := s.draw()
+	delay, _ := s.drawDelay()
 	time.Sleep(delay)
 	return s.Store.Get(ctx, key)
 }
 
 // Put implements [sageobject.Store].
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
-	delay, lossDraw := s.draw()
+	delay, lossDraw := s.drawDelay()
 	time.Sleep(delay)
 	if lossDraw < s.lossRate/2 {
 		return 0, sageobject.ErrUnknown
@@ -75,8 +77,8 @@
 	return v, err
 }
 
-// Claims measures ways of committing claims by the real committer, in real time and with a store
-// that answers in 2 to 6 ms. Its figures of time vary a little from run to run, also with one seed.
+// Claims compares methods of committing claims through the committer, in real time and with a store
+// that responds in 2 to 6 ms. Latencies vary a little from run to run, even with the same seed.
 func Claims(seed uint64) ([]Sample, error) {
 	rules := func(bucket time.Duration, shards int) sageclaim.Rules {
 		return sageclaim.Rules{Bucket: bucket, Shards: shards, Retention: time.Hour, MaxAhead: time.Minute}
@@ -84,7 +86,7 @@
 	methods := []claimMethod{
 		{name: "one write a claim", rate: bookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
 		{name: "one write a claim, today", rate: currentBookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
-		{name: "group, today", rate: currentBookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond},
+		{name: "group, today", rate: currentBookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond},
 	}
 	for _, layout := range []struct {
 		window time.Duration
@@ -98,12 +100,12 @@
 	} {
 		methods = append(methods, claimMethod{
 			name: fmt.Sprintf("group, %v, %d shards, bucket %v", layout.window, layout.shards, layout.bucket),
-			rate: bookingsPerSecond, rules: rules(layout.bucket, layout.shards), window: layout.window,
+			rate: bookingsPerSecond, rules: rules(layout.bucket, layout.shards), batchWindow: layout.window,
 		})
 	}
 	methods = append(methods,
-		claimMethod{name: "10% lost, read back", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate},
-		claimMethod{name: "10% lost, taken as unknown", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, lossRate: claimLossRate, noReadBack: true},
+		claimMethod{name: "10% lost, read back", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond, lossRate: claimLossRate},
+		claimMethod{name: "10% lost, taken as unknown", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond, lossRate: claimLossRate, noReadBack: true},
 	)
 	var out []Sample
 	for _, m := range methods {
@@ -116,7 +118,7 @@
 	return out, nil
 }
 
-// claimResults is what one way brought.
+// claimResults collects the results of one method.
 type claimResults struct {
 	mu          sync.Mutex
 	latenciesMs []float64
@@ -124,19 +126,19 @@
 	failed      int
 }
 
-func (w *claimMethod) run(seed uint64) ([]Sample, error) {
+func (m *claimMethod) run(seed uint64) ([]Sample, error) {
 	rng := rand.New(rand.NewSource(int64(seed)))
 	mem := &sageobject.Memory{}
 	c := &sageclaim.Committer{
-		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), lossRate: w.lossRate},
-		BatchWindow: w.window, NoReadBack: w.noReadBack, MaxCachedObjects: 1 << 16,
+		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), lossRate: m.lossRate},
+		BatchWindow: m.batchWindow, NoReadBack: m.noReadBack, MaxCachedObjects: 1 << 16,
 	}
 	var t claimResults
 	var wg sync.WaitGroup
 	start := time.Now()
 	n := 0
 	for next := start; ; n++ {
-		next = next.Add(time.Duration(rng.ExpFloat64() / float64(w.rate) * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / float64(m.rate) * float64(time.Second)))
 		if next.Sub(start) > claimsDuration {
 			break
 		}
@@ -150,27 +152,29 @@
 		for i := range b.ids {
 			b.ids[i] = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 		}
-		wg.Go(func() { w.commitBooking(c, &t, &b) })
+		wg.Go(func() { m.commitBooking(c, &t, &b) })
 	}
 	wg.Wait()
 	c.Wait()
-	return w.samples(c, mem, &t, n)
+	return m.samples(c, mem, &t, n)
 }
 
-// booking is one booking; its texts are random, as they compress like real ones only then.
+// booking is one booking. Its fields are random because constant texts would compress better than real
+// ones.
 type booking struct {
 	key, account, fingerprint string
 	ids                       [2]string
 }
 
-// book claims, runs and finishes one booking; a claim refused for the store is sent once more.
-func (w *claimMethod) commitBooking(c *sageclaim.Committer, t *claimResults, b *booking) {
+// commitBooking claims, runs and finishes one booking. A claim that the store fails is sent once more,
+// under a new claim ID.
+func (m *claimMethod) commitBooking(c *sageclaim.Committer, t *claimResults, b *booking) {
 	key, err := sageclaim.ParseKey(b.key)
 	if err != nil {
 		return
 	}
-	object := w.rules.ObjectKey(b.account, key)
-	if w.ownObject {
+	object := m.rules.ObjectKey(b.account, key)
+	if m.ownObject {
 		object += "/" + b.key
 	}
 	start := time.Now()
@@ -185,7 +189,8 @@
 			continue
 		}
 		if rec.ClaimID != e.ClaimID {
-			// Only this booking uses the key, and it did not run.
+			// Only this booking uses the key: its own first claim took effect although the response was
+			// lost, and the booking doesn't run.
 			t.update(func() { t.refused++ })
 			return
 		}
@@ -203,13 +208,14 @@
 	t.update(func() { t.failed++ })
 }
 
+// update runs f with the results locked.
 func (t *claimResults) update(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-func (w *claimMethod) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimResults, n int) ([]Sample, error) {
+func (m *claimMethod) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimResults, n int) ([]Sample, error) {
 	metas, err := mem.List(context.Background(), sageclaim.Prefix)
 	if err != nil {
 		return nil, fmt.Errorf("list claims: %w", err)
@@ -236,13 +242,13 @@
 		{Metric: "kept a booking", Unit: "B", Value: float64(total) / float64(n)},
 		{Metric: "largest object", Unit: "KB", Value: float64(largest) / 1000},
 	}
-	if w.lossRate > 0 {
+	if m.lossRate > 0 {
 		samples = append(samples,
 			Sample{Metric: "bookings refused for nothing", Unit: "in 1000", Value: 1000 * float64(t.refused+t.failed) / float64(n)},
 			Sample{Metric: "store calls a booking", Value: float64(s.Puts+s.Gets) / float64(n)})
 	}
 	for i := range samples {
-		samples[i].Scenario, samples[i].Policy = fmt.Sprintf("%d bookings/s", w.rate), w.name
+		samples[i].Scenario, samples[i].Policy = fmt.Sprintf("%d bookings/s", m.rate), m.name
 	}
 	return samples, nil
 }
--- a/internal/sagemeasure/clock.go
+++ b/internal/sagemeasure/clock.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// epoch is the instant at which virtual time starts.
+// epoch is the start of virtual time.
 var epoch = time.Date(2026, 11, 1, 8, 0, 0, 0, time.UTC)
 
-// clock is virtual time: it jumps from one event to the next.
+// clock is a virtual clock that advances from one event to the next.
 type clock struct {
 	now    time.Duration
-	events events
+	events eventHeap
 	serial int
 }
 
@@ -22,16 +22,17 @@
 	run    func()
 }
 
-// instant returns the virtual time as the decision packages take it.
+// instant returns the virtual time as a [time.Time], as the decision packages need it.
 func (c *clock) instant() time.Time { return epoch.Add(c.now) }
 
-// after runs do when d has passed. Events of the same instant run in the order they were made.
+// after schedules do to run after d. Events of the same time run in the order in which they were
+// scheduled.
 func (c *clock) after(d time.Duration, do func()) {
 	c.serial++
 	heap.Push(&c.events, event{at: c.now + max(d, 0), serial: c.serial, run: do})
 }
 
-// every runs do at each multiple of d after the first one.
+// every runs do after first and then every d.
 func (c *clock) every(first, d time.Duration, do func()) {
 	c.after(first, func() {
 		do()
@@ -49,8 +50,8 @@
 	c.now = end
 }
 
-// order returns jobs by the time and number of their request: a map's own order would differ
-// between runs of one seed.
+// sortJobs returns the jobs in the order of their request numbers. The iteration order of the map would
+// make runs with the same seed differ.
 func (*clock) sortJobs(jobs map[*job]bool) []*job {
 	sorted := make([]*job, 0, len(jobs))
 	for j := range jobs {
@@ -60,21 +61,22 @@
 	return sorted
 }
 
-type events []event
+// eventHeap is a heap of events by time, then by order of scheduling.
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
+func (e eventHeap) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
+func (e eventHeap) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].serial < e[j].serial
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements [heap.Interface].
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
 
 // Pop implements [heap.Interface].
-func (e *events) Pop() any {
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	old[len(old)-1].run = nil
--- a/internal/sagemeasure/cold.go
+++ b/internal/sagemeasure/cold.go
@@ -8,8 +8,8 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// Shape of the cold measure. Engines restart without notice and bear little at first; routers
-// restart, are cut off from each other, and change their minds about homes at different times.
+// Parameters of the cold-start measurement. Engines restart without notice and have little capacity at
+// first. Routers restart, are partitioned, and observe a change of the coordinator at different times.
 const (
 	coldDuration          = 3 * time.Minute
 	coldWarmUp            = 30 * time.Second
@@ -18,9 +18,9 @@
 	coldRoundInterval     = time.Second
 	coldReportLag         = time.Second
 	coldHopDelay          = 5 * time.Millisecond
-	coldRestartInterval   = 15 * time.Second // between restarts of engines
-	coldFaultInterval     = 40 * time.Second // between faults of routers
-	coldMaxDetectDelay    = 3 * time.Second  // until a router believes what happened to another
+	coldRestartInterval   = 15 * time.Second // between engine restarts
+	coldFaultInterval     = 40 * time.Second // between router faults
+	coldMaxDetectDelay    = 3 * time.Second  // until a router observes a fault of another
 	coldPartitionDuration = 8 * time.Second
 )
 
@@ -28,7 +28,7 @@
 var coldLimits = sageload.Limits{GrantDuration: 4 * time.Second, PromiseDuration: 4 * time.Second,
 	RequestLifetime: coldMaxService, ReportLag: coldReportLag, MaxClockDrift: 0.005}
 
-// coldScenario is a user's fleet at a load, as a part of what its warm engines bear.
+// coldScenario is a user's fleet under a load, which is a fraction of the capacity of its warm engines.
 type coldScenario struct {
 	name             string
 	routers, engines int
@@ -36,7 +36,7 @@
 	fault            coldFaultKind
 }
 
-// coldFaultKind is what happens to routers in a scenario; engines restart in every one.
+// coldFaultKind is the fault that routers have in a scenario; engines restart in every scenario.
 type coldFaultKind int
 
 const (
@@ -48,9 +48,9 @@
 // coldPolicy decides whether and where a router sends a request.
 type coldPolicy struct {
 	name string
-	// pick returns an engine or -1; took is called when the request is sent.
-	pick func(w *coldSimulation, r *coldRouter) int
-	// hard says that the policy claims to keep the bound.
+	// pick returns the index of an engine, or -1 if the request is refused.
+	pick func(sim *coldSimulation, r *coldRouter) int
+	// enforcesBound says that the policy must keep the load within the capacity of each engine.
 	enforcesBound bool
 }
 
@@ -61,8 +61,8 @@
 	{name: "power of two choices", pick: pickTwoChoices},
 }
 
-// ColdStart measures how far engines are loaded beyond what they bear, above all just after a start, and
-// what the bound costs in refusals and unused capacity.
+// ColdStart measures how far the load of engines exceeds their capacity, above all just after a start,
+// and what the bound costs in refusals and unused capacity.
 func ColdStart(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, sc := range []coldScenario{
@@ -72,15 +72,15 @@
 		{"haller, 130% load, routers well", 9, 18, 1.3, coldNoFault},
 	} {
 		for _, p := range coldPolicies {
-			w := newColdSimulation(sc, p, seed)
-			w.runUntil(coldDuration)
-			out = append(out, w.samples()...)
+			sim := newColdSimulation(sc, p, seed)
+			sim.runUntil(coldDuration)
+			out = append(out, sim.samples()...)
 		}
 	}
 	return out, nil
 }
 
-// coldSimulation is one run.
+// coldSimulation is one run of a scenario under a policy.
 type coldSimulation struct {
 	clock
 
@@ -90,7 +90,7 @@
 	engines       []*coldEngine
 	routers       []*coldRouter
 	roster        []sageload.Member
-	partitionSide []int // of the partition, by router
+	partitionSide []int // side of the partition, by router
 
 	requests, refused    int
 	worstCold, worstAny  float64
@@ -113,62 +113,62 @@
 }
 
 func newColdSimulation(sc coldScenario, p coldPolicy, seed uint64) *coldSimulation {
-	w := &coldSimulation{rand: rand.New(rand.NewPCG(seed, 11)), scenario: sc, policy: p, partitionSide: make([]int, sc.routers)}
+	sim := &coldSimulation{rand: rand.New(rand.NewPCG(seed, 11)), scenario: sc, policy: p, partitionSide: make([]int, sc.routers)}
 	for i := range sc.engines {
-		w.engines = append(w.engines, &coldEngine{name: fmt.Sprint("engine-", i), completed: 1000})
+		sim.engines = append(sim.engines, &coldEngine{name: fmt.Sprint("engine-", i), completed: 1000})
 	}
 	for i := range sc.routers {
-		w.roster = append(w.roster, sageload.Member{Name: routerName(i)})
+		sim.roster = append(sim.roster, sageload.Member{Name: routerName(i)})
 	}
 	for i := range sc.routers {
-		r := &coldRouter{id: i, sim: w}
+		r := &coldRouter{id: i, sim: sim}
 		r.start(true)
-		w.routers = append(w.routers, r)
-		w.every(w.randomPhase(coldRoundInterval), coldRoundInterval, r.runRound)
+		sim.routers = append(sim.routers, r)
+		sim.every(sim.randomPhase(coldRoundInterval), coldRoundInterval, r.runRound)
 	}
 	rate := sc.load * float64(sc.engines*engineSlots) / coldMeanService.Seconds()
-	w.scheduleArrival(rate)
-	w.after(coldWarmUp, func() { w.every(0, 100*time.Millisecond, w.sampleUse) })
-	w.after(coldWarmUp, func() { w.every(coldRestartInterval, coldRestartInterval, w.restartEngine) })
+	sim.scheduleArrival(rate)
+	sim.after(coldWarmUp, func() { sim.every(0, 100*time.Millisecond, sim.sampleUse) })
+	sim.after(coldWarmUp, func() { sim.every(coldRestartInterval, coldRestartInterval, sim.restartEngine) })
 	switch sc.fault {
 	case coldRouterReplaced:
-		w.after(coldWarmUp, func() { w.every(coldFaultInterval, coldFaultInterval, w.replaceRouter) })
+		sim.after(coldWarmUp, func() { sim.every(coldFaultInterval, coldFaultInterval, sim.replaceRouter) })
 	case coldPartitioned:
-		w.after(coldWarmUp, func() { w.every(coldFaultInterval, coldFaultInterval, w.partition) })
+		sim.after(coldWarmUp, func() { sim.every(coldFaultInterval, coldFaultInterval, sim.partition) })
 	}
-	return w
+	return sim
 }
 
-func (w *coldSimulation) randomPhase(d time.Duration) time.Duration {
-	return time.Duration(w.rand.Int64N(int64(d)))
+func (sim *coldSimulation) randomPhase(d time.Duration) time.Duration {
+	return time.Duration(sim.rand.Int64N(int64(d)))
 }
 
-// arrive makes requests come as a Poisson process at routers chosen at random.
-func (w *coldSimulation) scheduleArrival(rate float64) {
-	w.after(time.Duration(w.rand.ExpFloat64()/rate*float64(time.Second)), func() {
-		w.handleRequest(w.routers[w.rand.IntN(len(w.routers))])
-		w.scheduleArrival(rate)
+// scheduleArrival generates requests as a Poisson process, each at a random router.
+func (sim *coldSimulation) scheduleArrival(rate float64) {
+	sim.after(time.Duration(sim.rand.ExpFloat64()/rate*float64(time.Second)), func() {
+		sim.handleRequest(sim.routers[sim.rand.IntN(len(sim.routers))])
+		sim.scheduleArrival(rate)
 	})
 }
 
-func (w *coldSimulation) handleRequest(r *coldRouter) {
-	counted := w.now >= coldWarmUp
+func (sim *coldSimulation) handleRequest(r *coldRouter) {
+	counted := sim.now >= coldWarmUp
 	if counted {
-		w.requests++
+		sim.requests++
 	}
-	i := w.policy.pick(w, r)
+	i := sim.policy.pick(sim, r)
 	if i < 0 {
 		if counted {
-			w.refused++
+			sim.refused++
 		}
 		return
 	}
-	e, boot, incarnation := w.engines[i], w.engines[i].boot, r.incarnation
+	e, boot, incarnation := sim.engines[i], sim.engines[i].boot, r.incarnation
 	e.inFlight++
 	r.ownInFlight[i]++
-	w.observeLoad(e)
-	d := min(time.Duration(w.rand.ExpFloat64()*float64(coldMeanService)), coldMaxService)
-	w.after(d, func() {
+	sim.observeLoad(e)
+	d := min(time.Duration(sim.rand.ExpFloat64()*float64(coldMeanService)), coldMaxService)
+	sim.after(d, func() {
 		if e.boot == boot {
 			e.inFlight--
 			e.completed++
@@ -180,70 +180,71 @@
 	})
 }
 
-// look compares an engine's load with what it bears at this moment.
-func (w *coldSimulation) observeLoad(e *coldEngine) {
-	if w.now < coldWarmUp {
+// observeLoad records the load of an engine relative to its present capacity.
+func (sim *coldSimulation) observeLoad(e *coldEngine) {
+	if sim.now < coldWarmUp {
 		return
 	}
 	ratio := float64(e.inFlight) / float64(e.capacity())
-	w.worstAny = max(w.worstAny, ratio)
+	sim.worstAny = max(sim.worstAny, ratio)
 	if e.capacity() < engineSlots {
-		w.worstCold = max(w.worstCold, ratio)
+		sim.worstCold = max(sim.worstCold, ratio)
 	}
 }
 
-func (w *coldSimulation) sampleUse() {
-	for _, e := range w.engines {
-		w.usedSum += float64(min(e.inFlight, e.capacity()))
-		w.capacitySum += float64(e.capacity())
+// sampleUse adds the load and the capacity of all engines to the sums.
+func (sim *coldSimulation) sampleUse() {
+	for _, e := range sim.engines {
+		sim.usedSum += float64(min(e.inFlight, e.capacity()))
+		sim.capacitySum += float64(e.capacity())
 	}
 }
 
-// restart restarts an engine cold; its requests are lost with it.
-func (w *coldSimulation) restartEngine() {
-	e := w.engines[w.rand.IntN(len(w.engines))]
+// restartEngine restarts a random engine, which loses its requests and starts cold.
+func (sim *coldSimulation) restartEngine() {
+	e := sim.engines[sim.rand.IntN(len(sim.engines))]
 	e.boot++
 	e.inFlight, e.completed = 0, 0
 }
 
-// replace replaces the VM of a router, whose requests run on at the engines.
-func (w *coldSimulation) replaceRouter() {
-	r := w.routers[w.rand.IntN(len(w.routers))]
+// replaceRouter replaces the VM of a random router. The requests that it sent continue at the engines.
+func (sim *coldSimulation) replaceRouter() {
+	r := sim.routers[sim.rand.IntN(len(sim.routers))]
 	r.start(false)
-	for _, o := range w.routers {
-		w.after(w.randomPhase(coldMaxDetectDelay), func() { o.live[r.id] = false })
-		w.after(coldMaxDetectDelay+w.randomPhase(coldMaxDetectDelay), func() { o.live[r.id] = true })
+	for _, o := range sim.routers {
+		sim.after(sim.randomPhase(coldMaxDetectDelay), func() { o.live[r.id] = false })
+		sim.after(coldMaxDetectDelay+sim.randomPhase(coldMaxDetectDelay), func() { o.live[r.id] = true })
 	}
 }
 
-// split cuts the routers into two sides for a while.
-func (w *coldSimulation) partition() {
-	for i := range w.partitionSide {
-		w.partitionSide[i] = w.rand.IntN(2)
+// partition splits the routers into two sides for coldPartitionDuration.
+func (sim *coldSimulation) partition() {
+	for i := range sim.partitionSide {
+		sim.partitionSide[i] = sim.rand.IntN(2)
 	}
-	for i, a := range w.routers {
-		for k := range w.routers {
-			if w.partitionSide[i] != w.partitionSide[k] {
-				w.after(w.randomPhase(coldMaxDetectDelay), func() { a.live[k] = false })
-				w.after(coldPartitionDuration+w.randomPhase(coldMaxDetectDelay), func() { a.live[k] = true })
+	for i, a := range sim.routers {
+		for k := range sim.routers {
+			if sim.partitionSide[i] != sim.partitionSide[k] {
+				sim.after(sim.randomPhase(coldMaxDetectDelay), func() { a.live[k] = false })
+				sim.after(coldPartitionDuration+sim.randomPhase(coldMaxDetectDelay), func() { a.live[k] = true })
 			}
 		}
 	}
-	w.after(coldPartitionDuration, func() { clear(w.partitionSide) })
+	sim.after(coldPartitionDuration, func() { clear(sim.partitionSide) })
 }
 
-func (w *coldSimulation) samples() []Sample {
+func (sim *coldSimulation) samples() []Sample {
 	s := []Sample{
-		{Metric: "greatest load of a starting engine / what it bears", Value: w.worstCold},
-		{Metric: "greatest load of any engine / what it bears", Value: w.worstAny},
-		{Metric: "refused", Unit: "%", Value: 100 * float64(w.refused) / float64(w.requests)},
-		{Metric: "use of what engines bear", Unit: "%", Value: 100 * w.usedSum / w.capacitySum},
+		{Metric: "greatest load of a starting engine / what it bears", Value: sim.worstCold},
+		{Metric: "greatest load of any engine / what it bears", Value: sim.worstAny},
+		{Metric: "refused", Unit: "%", Value: 100 * float64(sim.refused) / float64(sim.requests)},
+		{Metric: "use of what engines bear", Unit: "%", Value: 100 * sim.usedSum / sim.capacitySum},
 	}
-	if w.policy.enforcesBound {
+	if sim.policy.enforcesBound {
 		s[0].Target, s[1].Target = &Target{AtMost, 1}, &Target{AtMost, 1}
 	}
 	for i := range s {
-		s[i].Scenario, s[i].Policy = w.scenario.name, w.policy.name
+		s[i].Scenario, s[i].Policy = sim.scenario.name, sim.policy.name
 	}
 	return s
 }
--- a/internal/sagemeasure/coldrouter.go
+++ b/internal/sagemeasure/coldrouter.go
@@ -7,7 +7,8 @@
 	"sagestand.example/sagestand/pkg/sageload"
 )
 
-// coldRouter is one router of the cold measure with the real holdings, ledgers and ramps.
+// coldRouter is one router of the cold-start measurement, with the allotments, ledgers and ramps of
+// [sageload].
 type coldRouter struct {
 	id          int
 	incarnation int
@@ -20,44 +21,46 @@
 	ramps             []sageload.Ramp
 	shortfall         []int
 	lastUrgentRequest []time.Duration
-	// seen is the last report that reached this router, for the baselines.
+	// lastReports holds the last report received from each engine, for the baselines.
 	lastReports []sageload.Report
 }
 
-// Floor of the allotments of an engine, and the work after which it is set aside.
+// coldFloor is the sum of the guaranteed shares of an engine, coldWarmAfter the number of completed
+// requests after which it is reserved.
 const (
-	coldFloor     = 1
-	coldWarmAfter = 100
+	coldFloor             = 1
+	coldWarmAfterRequests = 100
 )
 
-// start starts the router's process anew; first says that it has no predecessor.
+// start starts the router's process with empty state; first says that no process ran on this node
+// before.
 func (r *coldRouter) start(first bool) {
-	w := r.sim
+	sim := r.sim
 	r.incarnation++
-	n := w.scenario.engines
+	n := sim.scenario.engines
 	r.ownInFlight, r.shortfall, r.lastUrgentRequest = make([]int, n), make([]int, n), make([]time.Duration, n)
 	r.ramps, r.lastReports = make([]sageload.Ramp, n), make([]sageload.Report, n)
 	r.allotments, r.ledgers, r.live = nil, nil, nil
-	now, holder := w.instant(), fmt.Sprintf("%s.%d", routerName(r.id), r.incarnation)
+	now, holder := sim.instant(), fmt.Sprintf("%s.%d", routerName(r.id), r.incarnation)
 	var names []string
-	for _, m := range w.roster {
+	for _, m := range sim.roster {
 		names = append(names, m.Name)
 		r.live = append(r.live, true)
 	}
-	for i, e := range w.engines {
+	for i, e := range sim.engines {
 		h := &sageload.Allotment{Upstream: e.name, Holder: holder, Node: routerName(r.id), Voter: true, Limits: coldLimits,
-			Guaranteed: sageload.GuaranteedShare(e.name, routerName(r.id), w.roster, coldFloor)}
+			Guaranteed: sageload.GuaranteedShare(e.name, routerName(r.id), sim.roster, coldFloor)}
 		if !first {
 			h.AbstainUntil = now.Add(coldLimits.PromiseDuration + coldLimits.PromiseDuration/10)
 			h.GuaranteedFrom = now.Add(coldLimits.RequestLifetime + coldLimits.RequestLifetime/10)
 		}
 		r.allotments = append(r.allotments, h)
-		r.ledgers = append(r.ledgers, &sageload.Ledger{Coordinator: holder, Voters: names, Limits: coldLimits, Floor: coldFloor, WarmAfterRequests: coldWarmAfter})
+		r.ledgers = append(r.ledgers, &sageload.Ledger{Coordinator: holder, Voters: names, Limits: coldLimits, Floor: coldFloor, WarmAfterRequests: coldWarmAfterRequests})
 		r.ramps[i] = sageload.Ramp{InitialCap: 1, CompletionsPerUnit: completionsPerUnit}
 	}
 }
 
-// round is one second of the router's control work.
+// runRound performs the control work that the router does every second.
 func (r *coldRouter) runRound() {
 	for i := range r.sim.engines {
 		r.readReport(i)
@@ -65,22 +68,23 @@
 	}
 }
 
-// probe reads a report that is as old as reports get, as home and for the baselines.
+// readReport reads an engine's report, which arrives after coldReportLag. The coordinator and the
+// baselines use it.
 func (r *coldRouter) readReport(i int) {
-	w, e, incarnation := r.sim, r.sim.engines[i], r.incarnation
-	report, sent := e.report(), w.instant()
-	w.after(coldReportLag, func() {
+	sim, e, incarnation := r.sim, r.sim.engines[i], r.incarnation
+	report, sent := e.report(), sim.instant()
+	sim.after(coldReportLag, func() {
 		if r.incarnation != incarnation || e.bootID() != report.BootID {
-			return // the connection broke with the engine's process
+			return // the connection was lost when the engine's process ended
 		}
 		r.lastReports[i] = report
 		if r.coordinator(i) == r.id {
-			r.ledgers[i].RecordReport(w.instant(), sent.Add(coldReportLag), report, r.ramps[i].Observe(report))
+			r.ledgers[i].RecordReport(sim.instant(), sent.Add(coldReportLag), report, r.ramps[i].Observe(report))
 		}
 	})
 }
 
-// home returns who this router takes for the engine's home.
+// coordinator returns the index of the router that this router considers the engine's coordinator.
 func (r *coldRouter) coordinator(i int) int {
 	best, index := "", -1
 	var live []sageload.Member
@@ -98,30 +102,31 @@
 	return index
 }
 
-// ask asks the home for units: what is in use, what was missed and one to spare.
+// requestUnits requests units from the coordinator: those in use, those that were lacking, and one in
+// reserve.
 func (r *coldRouter) requestUnits(i int) {
-	w, h, incarnation := r.sim, r.allotments[i], r.incarnation
-	to := w.routers[r.coordinator(i)]
+	sim, h, incarnation := r.sim, r.allotments[i], r.incarnation
+	to := sim.routers[r.coordinator(i)]
 	units := h.InUse() + r.shortfall[i] + 1
-	want, ok := h.Request(w.instant(), routerName(to.id), units)
+	want, ok := h.Request(sim.instant(), routerName(to.id), units)
 	r.shortfall[i] = 0
 	if !ok {
 		return
 	}
-	w.after(coldHopDelay, func() {
-		if w.partitionSide[r.id] != w.partitionSide[to.id] {
+	sim.after(coldHopDelay, func() {
+		if sim.partitionSide[r.id] != sim.partitionSide[to.id] {
 			return
 		}
-		g := to.ledgers[i].HandleRequest(w.instant(), want)
-		w.after(coldHopDelay, func() {
-			if r.incarnation == incarnation && w.partitionSide[r.id] == w.partitionSide[to.id] {
+		g := to.ledgers[i].HandleRequest(sim.instant(), want)
+		sim.after(coldHopDelay, func() {
+			if r.incarnation == incarnation && sim.partitionSide[r.id] == sim.partitionSide[to.id] {
 				h.ApplyGrant(g)
 			}
 		})
 	})
 }
 
-// hurry asks at once for a lacking unit, at most every 50 ms.
+// requestUnitsEarly requests a lacking unit immediately, at most every 50 ms.
 func (r *coldRouter) requestUnitsEarly(i int) {
 	r.shortfall[i]++
 	if r.sim.now-r.lastUrgentRequest[i] >= 50*time.Millisecond {
@@ -130,17 +135,18 @@
 	}
 }
 
-// pickAllotted takes the engine with more unused units of two, else any with one.
-func pickAllotted(w *coldSimulation, r *coldRouter) int {
-	now, n := w.instant(), len(w.engines)
-	a, b := w.rand.IntN(n), w.rand.IntN(n)
+// pickAllotted takes the engine with more free units out of two random ones, or else any engine with a
+// free unit.
+func pickAllotted(sim *coldSimulation, r *coldRouter) int {
+	now, n := sim.instant(), len(sim.engines)
+	a, b := sim.rand.IntN(n), sim.rand.IntN(n)
 	if r.allotments[b].Free(now) > r.allotments[a].Free(now) {
 		a = b
 	}
 	for k := range n {
 		i := (a + k) % n
 		h := r.allotments[i]
-		h.ObserveBoot(w.engines[i].bootID()) // the connection names its boot
+		h.ObserveBoot(sim.engines[i].bootID()) // the connection reports the engine's boot
 		if h.Acquire(now) {
 			return i
 		}
@@ -151,10 +157,10 @@
 	return -1
 }
 
-// pickStaticShare has for each router a fixed part of the slots of every warm engine.
-func pickStaticShare(w *coldSimulation, r *coldRouter) int {
-	n, share := len(w.engines), max(engineSlots/len(w.routers), 1)
-	first := w.rand.IntN(n)
+// pickStaticShare gives each router a fixed share of the slots of every engine.
+func pickStaticShare(sim *coldSimulation, r *coldRouter) int {
+	n, share := len(sim.engines), max(engineSlots/len(sim.routers), 1)
+	first := sim.rand.IntN(n)
 	for k := range n {
 		if i := (first + k) % n; r.ownInFlight[i] < share {
 			return i
@@ -163,10 +169,10 @@
 	return -1
 }
 
-// pickLeastLoaded takes the engine with the least load by reports and own requests.
-func pickLeastLoaded(w *coldSimulation, r *coldRouter) int {
-	best := w.rand.IntN(len(w.engines))
-	for i := range w.engines {
+// pickLeastLoaded takes the engine with the least load by reports and the router's own requests.
+func pickLeastLoaded(sim *coldSimulation, r *coldRouter) int {
+	best := sim.rand.IntN(len(sim.engines))
+	for i := range sim.engines {
 		if r.load(i) < r.load(best) {
 			best = i
 		}
@@ -174,20 +180,21 @@
 	return r.unlessFull(best)
 }
 
-func pickTwoChoices(w *coldSimulation, r *coldRouter) int {
-	a, b := w.rand.IntN(len(w.engines)), w.rand.IntN(len(w.engines))
+// pickTwoChoices takes the less loaded engine of two random ones.
+func pickTwoChoices(sim *coldSimulation, r *coldRouter) int {
+	a, b := sim.rand.IntN(len(sim.engines)), sim.rand.IntN(len(sim.engines))
 	if r.load(b) < r.load(a) {
 		a = b
 	}
 	return r.unlessFull(a)
 }
 
-// load is the estimated load of an engine relative to what it said it bears.
+// load returns the estimated load of an engine relative to its reported capacity.
 func (r *coldRouter) load(i int) float64 {
 	return float64(max(r.lastReports[i].InFlight, r.ownInFlight[i])) / float64(max(r.lastReports[i].Capacity, 1))
 }
 
-// within refuses an engine that seems full.
+// unlessFull returns i, or -1 if the engine is at its reported capacity.
 func (r *coldRouter) unlessFull(i int) int {
 	if r.lastReports[i].Capacity > 0 && r.load(i) >= 1 {
 		return -1
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -9,7 +9,7 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// valueOf returns a sample's figure by its metric.
+// valueOf returns the value of the sample with the given metric.
 func valueOf(t *testing.T, samples []Sample, metric string) float64 {
 	t.Helper()
 	for _, s := range samples {
@@ -21,8 +21,9 @@
 	return 0
 }
 
-// The store goes out right after an exit was accepted; only the acceptor holds it. A user of any
-// other node would go on being sent there if the exchange didn't carry it.
+// The store becomes unreachable right after an exit was accepted, so only the accepting node has the
+// ticket. Without the exchange between nodes, all others would go on sending requests to the data
+// centre.
 func TestInForceWithoutStore(t *testing.T) {
 	f, err := newConfigFleet(1, 20, 4, false)
 	require.NoError(t, err)
@@ -30,11 +31,11 @@
 	s, err := f.measureInForce(true)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, valueOf(t, s, "in force, max"), float64(inForceTargetSeconds))
-	assert.Greater(t, valueOf(t, s, "in force, max"), 1.0, "it takes more than one exchange")
+	assert.Greater(t, valueOf(t, s, "in force, max"), 1.0, "propagation takes more than one exchange")
 }
 
-// A far region is cut off, and a data centre in it is taken out. Its nodes can't hear of that; under
-// the default rule they stop instead of sending work there.
+// A region is cut off, and one of its data centres is taken out of service. Its nodes can't receive the
+// ticket; under the default rule they stop serving instead of sending work there.
 func TestIsolationOfFarRegion(t *testing.T) {
 	for _, fault := range isolationFaults() {
 		if fault.name != "far region cut off, exit" {
@@ -49,5 +50,5 @@
 		}
 		return
 	}
-	t.Fatal("no such trouble")
+	t.Fatal("fault case not found")
 }
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -13,31 +13,31 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// Periods of a watcher, as the service "config" has them, in rounds of a second.
+// Periods of a watcher, in rounds of one second, as in the daemon's service "config".
 const (
 	confirmRounds = 2
 	watchRounds   = 15
 )
 
-// watchersPerDataCentre is the number of nodes of a data centre that watch the store.
+// watchersPerDataCentre is the number of nodes per data centre that watch the store.
 const watchersPerDataCentre = 2
 
-// configFleet is a member fleet whose nodes also exchange configuration, and the store behind them.
+// configFleet is a MemberFleet whose nodes also exchange configuration, with the store behind them.
 type configFleet struct {
 	*MemberFleet
 	nodes    []*configNode
 	store    sageobject.Memory
 	acceptor sageticket.Acceptor
-	// tables lets the nodes find each other through their member tables; else each knows all others
-	// from the start, which is far quicker to run.
+	// useTables lets the nodes find each other through their member tables. Otherwise each node knows
+	// all others from the start, which runs much faster.
 	useTables bool
-	// allVariants lets every node watch the store: the baseline.
+	// allWatch lets every node watch the store, as a baseline.
 	allWatch bool
-	// reaches says whether a node reaches the store.
+	// reachesStore reports whether a node can reach the store.
 	reachesStore func(n *configNode) bool
 	round        int
 	lastTicket   uint64
-	// calls counts the calls to the store, waiting watches among them.
+	// storeCalls counts the calls to the store, including waiting watches.
 	storeCalls int64
 }
 
@@ -46,8 +46,8 @@
 	*MemberNode
 	index        int
 	replica      *sagesync.Replica
-	sectionBytes int64 // what its part of the exchanges carried
-	watcher      bool  // as of its last look at who is live
+	sectionBytes int64 // bytes of the configuration section in its exchanges
+	watcher      bool  // as of the last check, see roleRounds
 	peers        []sagegossip.Peer
 }
 
@@ -57,30 +57,32 @@
 	node *configNode
 }
 
+// Digest implements [sagegossip.Section].
 func (c *countingSection) Digest() []byte {
 	d := c.Section.Digest()
 	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
+// Delta implements [sagegossip.Section].
 func (c *countingSection) Delta(digest []byte, budget int) []byte {
 	d := c.Section.Delta(digest, budget)
 	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
-// roleRounds is how often a node looks at who is live.
+// roleRounds is the interval at which a node checks whether it is a watcher.
 const roleRounds = 5
 
-// convergeRounds lets the nodes of a new fleet meet each other.
+// convergeRounds is the number of rounds in which the nodes of a new fleet find each other.
 const convergeRounds = 60
 
-// newConfigFleet returns a fleet of n nodes in so many data centres that have met each other.
+// newConfigFleet returns a fleet of n nodes whose nodes all hold the first ticket.
 func newConfigFleet(seed uint64, n, dataCentres int, tables bool) (*configFleet, error) {
 	f := &configFleet{MemberFleet: NewMemberFleet(seed), useTables: tables, reachesStore: func(*configNode) bool { return true }}
 	f.acceptor = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
 	if err := f.AddNodes(n, dataCentres, sagemember.DefaultLimits()); err != nil {
-		return nil, fmt.Errorf("config fleet: %w", err)
+		return nil, fmt.Errorf("create config fleet: %w", err)
 	}
 	for i, m := range f.Nodes {
 		c := &configNode{MemberNode: m, index: i, replica: &sagesync.Replica{Now: func() time.Time { return f.Now }}}
@@ -105,8 +107,8 @@
 	return f, nil
 }
 
-// accept submits a change of a data centre through a node that reaches the store. The acceptor has
-// it at once; the watchers have it with the next step.
+// submitTicket submits a change of a data centre through a node that reaches the store. That node
+// applies it immediately; the watchers read it in the next step.
 func (f *configFleet) submitTicket(n *configNode, dataCentre string, inService bool) error {
 	f.lastTicket++
 	t := &sageconfig.Ticket{Number: f.lastTicket, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
@@ -114,12 +116,12 @@
 		DataCentre: &sageconfig.DataCentre{InService: inService},
 	}}}
 	if _, err := f.acceptor.Submit(context.Background(), t); err != nil {
-		return fmt.Errorf("accept: %w", err)
+		return fmt.Errorf("submit ticket: %w", err)
 	}
 	return f.readStore(n)
 }
 
-// read brings a node up to date from the store.
+// readStore updates a node's replica from the store.
 func (f *configFleet) readStore(n *configNode) error {
 	h, _, err := sageticket.ReadHead(context.Background(), &f.store)
 	if err != nil {
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// watches says whether n watches the store, by its own view of who is live.
+// isWatching reports whether n watches the store, by its own view of which nodes are live.
 func (f *configFleet) isWatching(n *configNode) bool {
 	if f.allWatch || (f.round+n.index)%roleRounds != 0 {
 		return f.allWatch || n.watcher
@@ -158,7 +160,8 @@
 	return n.watcher
 }
 
-// step lets a second pass: watchers that reach the store learn from it, then the nodes exchange.
+// step advances the fleet by one second: watchers that reach the store read it, then the nodes
+// exchange.
 func (f *configFleet) step() {
 	f.round++
 	for _, n := range f.nodes {
@@ -176,12 +179,12 @@
 			continue
 		}
 		before := n.replica.Current().Revision
-		// The store of the fleet never fails; a failed read would show as a node that stays behind.
+		// This store doesn't fail; a failed read would show up as a node that stays behind.
 		if (f.round+n.index)%confirmRounds == 0 || before < f.lastTicket {
 			_ = f.readStore(n)
 		}
 		if n.replica.Current().Revision > before {
-			f.storeCalls++ // the watch returned and is set again
+			f.storeCalls++ // the watch returned and is renewed
 		}
 	}
 	if f.useTables {
@@ -192,13 +195,13 @@
 	for _, i := range f.Rand.Perm(len(f.nodes)) {
 		n := f.nodes[i]
 		if addr, ok := n.chooser.Next(n.peers, nil); ok {
-			// A failed exchange is what the fake link is for.
+			// Failed exchanges are part of the simulation.
 			_ = n.Engine.Exchange(context.Background(), n.MemberNode, addr)
 		}
 	}
 }
 
-// feedStarved lets a node that doesn't watch ask the store when its evidence has grown old.
+// readIfStale lets a node that doesn't watch read the store once its evidence of freshness is old.
 func (f *configFleet) readIfStale(n *configNode) {
 	stale := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
 	if !stale || (f.round+n.index)%confirmRounds != 0 {
@@ -206,12 +209,12 @@
 	}
 	f.storeCalls++
 	if f.reachesStore(n) {
-		// A failed read would show as a node that stays behind.
+		// A failed read would show up as a node that stays behind.
 		_ = f.readStore(n)
 	}
 }
 
-// others lists all nodes but one.
+// otherPeers returns all nodes but m.
 func (f *configFleet) otherPeers(m *MemberNode) []sagegossip.Peer {
 	var peers []sagegossip.Peer
 	for _, o := range f.Nodes {
@@ -222,7 +225,7 @@
 	return peers
 }
 
-// behind returns how many nodes don't hold a revision yet.
+// nodesBehind returns the number of nodes that don't hold the revision yet.
 func (f *configFleet) nodesBehind(revision uint64) int {
 	count := 0
 	for _, n := range f.nodes {
@@ -233,7 +236,7 @@
 	return count
 }
 
-// bytesOut sums what the configuration's part of the exchanges carried.
+// sectionBytes returns the total bytes of the configuration section in all exchanges.
 func (f *configFleet) sectionBytes() int64 {
 	sum := int64(0)
 	for _, n := range f.nodes {
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -7,10 +7,10 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// QuorumContact measures how old a node's latest contact to most of the roster gets while all is well, by
-// the heartbeats of the real member tables and by the digests of the configuration. The rule "quorum" needs it to stay below the freshness period, or nodes
-// would stop serving in an outage of the store for no reason. The roster is one node of each data
-// centre.
+// QuorumContact measures how old a node's latest contact with a majority of the roster becomes in
+// normal operation, by the heartbeats of the member tables and by the digests of the configuration. The
+// rule "quorum" needs this age to stay below the freshness period; otherwise nodes would stop serving
+// during a store outage without need. The roster has one node of each data centre.
 func QuorumContact(seed uint64) ([]Sample, error) {
 	const rounds = 60
 	var out []Sample
@@ -59,7 +59,7 @@
 	}
 }
 
-// contact returns the latest instant at which n had contact to most of a roster.
+// lastQuorumContact returns the latest time at which n had contact with a majority of the roster.
 func (n *configNode) lastQuorumContact(now time.Time, roster []*configNode) time.Time {
 	latest := map[string]time.Time{n.Table.Self.Address: now}
 	for _, m := range n.Table.Live() {
--- a/internal/sagemeasure/doc.go
+++ b/internal/sagemeasure/doc.go
@@ -1,11 +1,12 @@
-// Package sagemeasure runs the project's measurements: the real decision packages over small fake
-// upstreams, in virtual time and from a seed, so that a figure can be made again on any machine. Only
-// [Claims] runs in real time: what it measures is how a committer's goroutines meet a store's delays.
+// Package sagemeasure runs the project's measurements: the decision packages against simulated
+// upstreams, in virtual time and from a seed, so that a figure can be reproduced on any machine. Only
+// [Claims] runs in real time, because it measures how a committer's goroutines interact with the delays
+// of a store.
 //
-// A measure is a [Func]: it runs one seed and returns samples. [Run] runs it with several seeds and
-// folds the samples into a [Report] with a row for each scenario, policy and metric: the figure of
-// each seed, their median and their range. A sample may name the limit it is meant to keep; its row
-// then says whether every seed kept it.
+// A measurement is a [Func]: it runs one seed and returns samples. [Run] runs it with several seeds and
+// aggregates the samples into a [Report] with a row for each scenario, policy and metric: the value of
+// each seed, the median and the range. A sample may have a target; its row then says whether every seed
+// met it.
 //
 // # Usage
 //
--- a/internal/sagemeasure/exit.go
+++ b/internal/sagemeasure/exit.go
@@ -6,18 +6,19 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// When a data centre leaves and returns in an exit replay. The ticket is in force at each router
-// within changeDelay.
+// Times at which a data centre leaves and returns in an exit replay. Each router applies the ticket
+// within maxChangeDelay.
 const (
 	exitAt   = warmUp + 40*time.Second
 	returnAt = warmUp + 130*time.Second
 	exitEnd  = warmUp + measureTime
-	// exitUtilisation makes the engines that stay busy: a policy that wastes their caches runs out of slots.
+	// exitUtilisation keeps the remaining engines busy, so that a policy that wastes their caches runs
+	// out of slots.
 	exitUtilisation = 0.9
 )
 
-// DataCentreExit measures service while a data centre is taken out and brought back. Its engines come back
-// cold.
+// DataCentreExit measures the service while a data centre is taken out of service and returned. Its
+// engines return with empty caches.
 func DataCentreExit(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
@@ -37,7 +38,7 @@
 	return out, nil
 }
 
-// exit takes a data centre out of service and back.
+// scheduleExit takes a data centre out of service at exitAt and returns it at returnAt.
 func (p *replay) scheduleExit(dataCentre int) {
 	p.after(exitAt, func() {
 		p.inService[dataCentre] = false
@@ -55,7 +56,8 @@
 	})
 }
 
-// announceAll tells each router of a change that touches all engines of a data centre at once.
+// announceDataCentre sends each router a change that affects all engines of a data centre at the same
+// time.
 func (p *replay) announceDataCentre(dataCentre int, candidate bool) {
 	for _, r := range p.routers {
 		delay := time.Duration(p.rand.Int64N(int64(maxChangeDelay)))
@@ -67,6 +69,7 @@
 	}
 }
 
+// exitSamples returns the figures of a replay with an exit.
 func (p *replay) exitSamples(v variant) []Sample {
 	var out []Sample
 	for c := range sagewire.Priority(sagewire.NumPriorities) {
@@ -90,7 +93,8 @@
 		late)
 }
 
-// worstSecond returns the least part of a second's urgent requests that completed within deadline.
+// worstUrgentSecond returns the smallest fraction of urgent requests of one second that completed
+// within their deadline.
 func (p *replay) worstUrgentSecond() float64 {
 	worst := 1.0
 	for t := exitAt; t < exitEnd; t += time.Second {
@@ -101,6 +105,7 @@
 	return worst
 }
 
+// urgentInSecond returns the number of urgent requests that arrive in the second after t.
 func (p *replay) urgentInSecond(t time.Duration) int {
 	n := 0
 	for i := range p.trace {
@@ -111,9 +116,9 @@
 	return n
 }
 
-// settle returns how long after an instant it takes until the mean time of an answer, over five
-// seconds, is at most 1.15 times what it was in the 40 seconds before the exit, and stays so for five
-// seconds more; the whole time if it never does.
+// settleTime returns the seconds after from until the mean response time over five seconds is at most
+// 1.15 times that before the exit, and stays so for another five seconds. It returns the whole interval
+// if that doesn't happen.
 func (p *replay) settleTime(from, until time.Duration) float64 {
 	const window = 5 * time.Second
 	limit := 1.15 * p.meanResponseTime(warmUp, exitAt)
@@ -125,11 +130,12 @@
 	return (until - from).Seconds()
 }
 
-// meanTime returns the mean seconds from arrival to the end of the answer of completed requests.
+// meanResponseTime returns the mean time from arrival to the end of the response of the completed
+// requests, in seconds.
 func (p *replay) meanResponseTime(from, to time.Duration) float64 {
 	n, sum := 0, 0.0
 	for i := range p.trace {
-		if q, r := &p.trace[i], &p.results[i]; r.done && q.at >= from && q.at < to {
+		if q, r := &p.trace[i], &p.results[i]; r.completed && q.at >= from && q.at < to {
 			n++
 			sum += (r.endedAt - q.at).Seconds()
 		}
@@ -137,22 +143,23 @@
 	return sum / float64(max(n, 1))
 }
 
-// lateWork counts requests that arrived more than changeDelay after the exit and began in that data
-// centre before its return.
+// lateRequests counts requests that arrived more than maxChangeDelay after the exit and nevertheless
+// started in the data centre before its return.
 func (p *replay) lateRequests(dataCentre int) int {
 	n := 0
 	for i := range p.trace {
 		q, r := &p.trace[i], &p.results[i]
-		if r.done && r.engine.dataCentre == dataCentre && q.at > exitAt+maxChangeDelay && r.started < returnAt {
+		if r.completed && r.engine.dataCentre == dataCentre && q.at > exitAt+maxChangeDelay && r.started < returnAt {
 			n++
 		}
 	}
 	return n
 }
 
-// returnedLoad looks at the load of engines that have come back cold, against what they bear.
+// returnedLoad records the worst load of engines that returned cold, relative to their capacity.
 type returnedLoad struct{ worst float64 }
 
+// watchReturnedEngines observes the engines of the returned data centre until they are warm.
 func (p *replay) watchReturnedEngines() *returnedLoad {
 	w := new(returnedLoad)
 	p.every(returnAt, 100*time.Millisecond, func() {
--- a/internal/sagemeasure/fakeupstream.go
+++ b/internal/sagemeasure/fakeupstream.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// prefillTokensPerSecond is the number of uncached prompt tokens that a fake engine reads in a second,
-// tokenGap the time between two tokens of an answer.
+// Speed of a simulated engine: uncached prompt tokens read per second, and the time between two output
+// tokens.
 const (
 	prefillTokensPerSecond = 8000
 	tokenInterval          = 20 * time.Millisecond
 )
 
-// engine is a fake model engine in virtual time: slots run side by side, the rest waits by priority,
-// and a prompt prefix that is in its cache costs nothing.
+// engine simulates a model engine in virtual time. It runs as many requests as it has slots; the others
+// wait by priority. A prompt prefix that is in the cache costs no time.
 type engine struct {
 	name       string
 	dataCentre int
@@ -25,7 +25,7 @@
 	running    int
 	waiting    [3][]*job
 	cache      *prefixCache
-	// ended is called with false for a job that the engine lost.
+	// onEnd is called when a job ends; ok is false for a job that the engine lost.
 	onEnd      func(j *job, ok bool)
 	clock      *clock
 	jobs       map[*job]bool
@@ -35,17 +35,17 @@
 // job is one request at an engine.
 type job struct {
 	*request
-	router  *router
-	engine  *engine
-	tried   []int
-	started time.Duration
-	cached  int
+	router       *router
+	engine       *engine
+	tried        []int
+	started      time.Duration
+	cachedTokens int
 }
 
 func (e *engine) inFlight() int { return len(e.jobs) }
 
-// An engine that has just started bears coldStart requests at once, and one more for each rampWork
-// that it has completed.
+// An engine that has just started has the capacity initialCapacity, which grows by one for every
+// completionsPerUnit completed requests.
 const (
 	initialCapacity    = 4
 	completionsPerUnit = 2
@@ -53,16 +53,19 @@
 
 func (e *engine) capacity() int { return capacityAfter(e.completed) }
 
+// capacityAfter returns the capacity of an engine that has completed so many requests.
 func capacityAfter(completed int) int {
 	return min(engineSlots, initialCapacity+completed/completionsPerUnit)
 }
 
+// submit queues a job and starts it if a slot is free.
 func (e *engine) submit(j *job) {
 	e.jobs[j] = true
 	e.waiting[j.priority] = append(e.waiting[j.priority], j)
 	e.startWaiting()
 }
 
+// startWaiting starts waiting jobs in the free slots, the most urgent first.
 func (e *engine) startWaiting() {
 	for p := range e.waiting {
 		for len(e.waiting[p]) > 0 && e.running < e.slots {
@@ -76,29 +79,29 @@
 func (e *engine) start(j *job) {
 	e.running++
 	j.started = e.clock.now
-	j.cached = e.cache.cached(j.request)
-	prefill := time.Duration(j.prompt()-j.cached) * time.Second / prefillTokensPerSecond
+	j.cachedTokens = e.cache.cached(j.request)
+	prefill := time.Duration(j.promptTokens()-j.cachedTokens) * time.Second / prefillTokensPerSecond
 	e.clock.after(prefill, func() {
 		if e.jobs[j] {
-			e.cache.store(j.request, j.history+j.fresh)
+			e.cache.store(j.request, j.historyTokens+j.newTokens)
 		}
 	})
-	e.clock.after(prefill+time.Duration(j.output)*tokenInterval, func() { e.finish(j) })
+	e.clock.after(prefill+time.Duration(j.outputTokens)*tokenInterval, func() { e.finish(j) })
 }
 
 func (e *engine) finish(j *job) {
 	if !e.jobs[j] {
-		return // lost with the process that ran it
+		return // lost when the engine crashed
 	}
 	delete(e.jobs, j)
 	e.running--
 	e.completed++
-	e.cache.store(j.request, j.history+j.fresh+j.output)
+	e.cache.store(j.request, j.historyTokens+j.newTokens+j.outputTokens)
 	e.onEnd(j, true)
 	e.startWaiting()
 }
 
-// crash loses the cache and all jobs.
+// crash stops the engine, which loses its cache and all jobs.
 func (e *engine) crash() {
 	var lost []*job
 	for _, j := range e.clock.sortJobs(e.jobs) {
@@ -114,8 +117,8 @@
 	}
 }
 
-// prefixCache is a cache of prompt prefixes that forgets what was used longest ago. A chat's own part
-// is worth something only on top of its context.
+// prefixCache is a cache of prompt prefixes that evicts the least recently used entry. The entry of a
+// chat is usable only together with that of its context.
 type prefixCache struct {
 	capacity int
 	used     int
@@ -123,6 +126,7 @@
 	entries  map[uint64]*list.Element
 }
 
+// prefix is an entry of a prefixCache.
 type prefix struct {
 	key    uint64
 	tokens int
@@ -132,7 +136,7 @@
 	return &prefixCache{capacity: capacity, recent: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// cached returns how many prompt tokens of r the cache holds. It doesn't count as a use.
+// cached returns the number of prompt tokens of r that the cache holds. It doesn't count as a use.
 func (c *prefixCache) cached(r *request) int {
 	n := 0
 	if r.context != 0 {
@@ -142,15 +146,17 @@
 		n = r.contextTokens
 	}
 	if e := c.entries[r.chat]; e != nil {
-		n += min(e.Value.(*prefix).tokens, r.history)
+		n += min(e.Value.(*prefix).tokens, r.historyTokens)
 	}
 	return n
 }
 
+// store adds the prompt of r, with chatTokens tokens of its chat, and evicts entries beyond the
+// capacity.
 func (c *prefixCache) store(r *request, chatTokens int) {
 	c.put(r.chat, chatTokens)
 	if r.context != 0 {
-		c.put(r.context, r.contextTokens) // last, so that it outlives the chats on top of it
+		c.put(r.context, r.contextTokens) // last, so that it is evicted after the chats that need it
 	}
 	for c.used > c.capacity {
 		e := c.recent.Front()
--- a/internal/sagemeasure/inforce.go
+++ b/internal/sagemeasure/inforce.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// inForceTicketsPerCase is the number of tickets of each case.
+// inForceTicketsPerCase is the number of tickets submitted in each case.
 const inForceTicketsPerCase = 6
 
-// inForceMaxRounds is how many rounds a ticket is waited for.
+// inForceMaxRounds is the number of rounds after which a ticket that some node lacks fails the
+// measurement.
 const inForceMaxRounds = 90
 
-// inForceTargetSeconds is the time in which an accepted ticket must be in force everywhere, in seconds.
+// inForceTargetSeconds is the time within which an accepted ticket must be in force at every node.
 const inForceTargetSeconds = 16
 
-// InForce measures the time from acceptance to in force at every node, in rounds of a second in which
-// each node begins one exchange, with exchanges lost and with the store out right after acceptance,
-// and what it costs.
+// InForce measures the time from the acceptance of a ticket until it is in force at every node, and the
+// cost of the exchange. Each node begins one exchange per round of one second. Exchanges are lost at
+// several rates, with and without an outage of the store right after the acceptance.
 func InForce(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, size := range []struct{ nodes, dataCentres int }{{8, 4}, {50, 9}, {150, 9}, {400, 9}} {
@@ -56,7 +57,7 @@
 	return out, nil
 }
 
-// inForce accepts tickets one after another and notes when each node has each.
+// measureInForce submits tickets one after another and records how long each node takes to hold each.
 func (f *configFleet) measureInForce(outage bool) ([]Sample, error) {
 	var delays []float64
 	for i := range inForceTicketsPerCase {
@@ -77,7 +78,7 @@
 			}
 		}
 		if behind := f.nodesBehind(f.lastTicket); behind > 0 {
-			return nil, fmt.Errorf("ticket %d lacks at %d nodes after %d rounds: %w", f.lastTicket, behind, inForceMaxRounds, ErrIncomplete)
+			return nil, fmt.Errorf("ticket %d is missing on %d nodes after %d rounds: %w", f.lastTicket, behind, inForceMaxRounds, ErrIncomplete)
 		}
 	}
 	f.reachesStore = func(*configNode) bool { return true }
@@ -90,7 +91,7 @@
 	}, nil
 }
 
-// cost measures a quiet minute, with few watchers and with all nodes watching.
+// measureCost measures a minute without changes, with few watchers and with every node watching.
 func (f *configFleet) measureCost() []Sample {
 	const rounds = 60
 	var out []Sample
@@ -124,7 +125,7 @@
 	return out
 }
 
-// oldestEvidence returns the greatest age of a node's evidence of freshness.
+// oldestEvidence returns the greatest age of any node's evidence of freshness.
 func (f *configFleet) oldestEvidence() time.Duration {
 	oldest := time.Duration(0)
 	for _, n := range f.nodes {
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -8,37 +8,40 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// The fleet of the isolation measure: three regions of three data centres with two nodes each. Data
-// centre d stands in region d/3; the store stands in region 0.
+// Fleet of the isolation measurement: three regions of three data centres with two nodes each. Data
+// centre d is in region d/3, the store in region 0.
 const (
 	isoDataCentres = 9
 	isoRegions     = 3
 	isoNodes       = 18
 	isoRounds      = 300
 	isoExitRound   = 30
-	// isoGraceRounds is what "a few seconds" allows after an accepted exit, in rounds.
+	// isoGraceRounds is the time after an accepted exit in which nodes may still send work to the data
+	// centre.
 	isoGraceRounds = 8
-	// isoBookingShare is the part of the requests that may not be repeated.
+	// isoBookingShare is the fraction of requests that aren't idempotent.
 	isoBookingShare = 0.3
 )
 
-// isolationFault is a failure that lasts for the whole measure: who reaches whom, and who the store.
+// isolationFault is a fault that lasts for the whole measurement: which nodes reach each other, and
+// which the store.
 type isolationFault struct {
 	name         string
 	reachable    func(a, b *configNode) bool
 	reachesStore func(n *configNode) bool
-	// exit is the data centre that operators take out, or -1, and by which node.
+	// exitDataCentre is the data centre that operators take out of service through exitNode, or -1.
 	exitDataCentre, exitNode int
 }
 
+// region returns the region of a node.
 func region(n *configNode) int { return n.index % isoDataCentres / isoRegions }
 
 func anyLink(_, _ *configNode) bool { return true }
 
 func sameRegion(a, b *configNode) bool { return region(a) == region(b) }
 
-// isolationFaults lists the cases. The exit is in a region that is cut off from the store, where it matters
-// most: nodes there go on sending work to it if they don't know.
+// isolationFaults returns the cases. The exit is in a region that is cut off from the store: nodes
+// there go on sending work to the data centre if they don't know of the exit.
 func isolationFaults() []isolationFault {
 	cutOff := func(n *configNode) bool { return n.index == 8 }
 	return []isolationFault{
@@ -61,8 +64,8 @@
 	}
 }
 
-// Isolation measures what each rule for isolated nodes costs in service, and how much work it lets go
-// to a data centre that operators took out.
+// Isolation measures how much service each rule for isolated nodes costs, and how much work still goes
+// to a data centre that operators took out of service.
 func Isolation(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, t := range isolationFaults() {
@@ -80,8 +83,8 @@
 	return out, nil
 }
 
-// measureIsolation runs one trouble under one rule. Each node gets the same load each round, and spreads it
-// over the data centres that are in service by its own state and that it reaches.
+// measureIsolation runs one fault under one rule. Each node gets the same load per round and spreads it
+// over the data centres that it reaches and that are in service by its own state.
 func measureIsolation(seed uint64, t isolationFault, rule sagesync.Rule) ([]Sample, error) {
 	f, err := newConfigFleet(seed, isoNodes, isoDataCentres, true)
 	if err != nil {
@@ -137,6 +140,7 @@
 	return out, nil
 }
 
+// servedShare returns the fraction of the requests that a node serves at a service level.
 func servedShare(m sagesync.ServiceLevel) float64 {
 	switch m {
 	case sagesync.ServeAll:
@@ -147,8 +151,8 @@
 	return 0
 }
 
-// load returns the part of n's work that goes to each data centre it uses, and 1 if one of these is
-// out although it may receive nothing any more.
+// workShare returns the fraction of n's work that each data centre gets. exitedShare is 1 if n still
+// uses the data centre that must no longer receive work, otherwise 0.
 func (n *configNode) workShare(f *configFleet, t isolationFault, afterExit bool) (share, exitedShare float64) {
 	usedDataCentres := 0
 	for _, o := range f.nodes[:isoDataCentres] {
@@ -167,8 +171,9 @@
 	return 1 / float64(usedDataCentres), exitedShare
 }
 
-// noteQuorum tells the replica when the node last had contact to most of the roster, which is all
-// nodes of this fleet: its table remembers dead ones for longer than the measure runs.
+// recordQuorum sets the time of the replica's latest contact with a majority of the roster. The roster
+// is all nodes of the fleet, which works because the table keeps dead nodes for longer than the
+// measurement runs.
 func (n *configNode) recordQuorum(now time.Time) {
 	contacts := []time.Time{now}
 	for _, m := range n.Table.All() {
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -12,33 +12,34 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// errLost is how the fake link reports a lost message.
+// errLost is the error of an exchange whose message or response was lost.
 var errLost = errors.New("message lost")
 
-// MemberFleet runs the real member tables and exchanges of many nodes over a fake link, one round a
-// second of virtual time.
+// MemberFleet runs the member tables and exchanges of many nodes over a simulated network, in rounds of
+// one second of virtual time.
 type MemberFleet struct {
 	Now  time.Time
 	Rand *rand.Rand
-	// Loss is the part of the exchanges that fail, half of them after the peer took the message.
+	// LossRate is the fraction of exchanges that fail, half of them after the peer handled the message.
 	LossRate float64
-	// Cut says which direction of which link is broken.
+	// LinkDown reports whether the link is broken in the direction from one node to the other.
 	LinkDown func(from, to *MemberNode) bool
 	Nodes    []*MemberNode
-	// Bytes counts what all messages carried; Exchanges counts the meetings begun.
+	// MessageBytes is the total size of all messages, Exchanges the number of exchanges begun.
 	MessageBytes int64
 	Exchanges    int64
-	// DirectEvictions is the baseline: how often a node would have been dropped by a node whose last
-	// directFailures calls to it failed.
+	// BaselineEvictions counts the evictions of the baseline, which evicts a node after
+	// baselineFailures consecutive failed calls.
 	BaselineEvictions int64
 
 	consecutiveFailures map[[2]string]int
 }
 
-// baselineFailures is how many failed calls in a row the baseline takes for death.
+// baselineFailures is the number of consecutive failed calls after which the baseline considers a node
+// dead.
 const baselineFailures = 3
 
-// MemberNode is one process of the fleet.
+// MemberNode is one process of a MemberFleet.
 type MemberNode struct {
 	Table   *sagemember.Table
 	Engine  *sagegossip.Engine
@@ -56,7 +57,8 @@
 	}
 }
 
-// Add starts n nodes over data centres in turn; the first node of the fleet is their hint.
+// AddNodes starts n nodes, assigned to the data centres in turn. The first node of the fleet is the
+// seed of the others.
 func (f *MemberFleet) AddNodes(n, dataCentres int, limits sagemember.Limits) error {
 	for range n {
 		i := len(f.Nodes)
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// Start starts a process at an address; one that ran there before is stopped.
+// StartNode starts a process at an address and stops any process that runs there.
 func (f *MemberFleet) StartNode(addr, dataCentre string, limits sagemember.Limits) (*MemberNode, error) {
 	if previous := f.NodeAt(addr); previous != nil {
 		previous.Stopped = true
@@ -95,7 +97,7 @@
 	return n, nil
 }
 
-// At returns the running process at an address.
+// NodeAt returns the running process at an address, or nil.
 func (f *MemberFleet) NodeAt(addr string) *MemberNode {
 	for _, n := range f.Nodes {
 		if !n.Stopped && n.Table.Self.Address == addr {
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// Running returns the processes that run and are not paused.
+// Running returns the processes that are neither stopped nor paused.
 func (f *MemberFleet) Running() []*MemberNode {
 	var list []*MemberNode
 	for _, n := range f.Nodes {
@@ -116,7 +118,8 @@
 	return list
 }
 
-// Round lets a second pass: every running node ticks and meets one peer, in random order.
+// RunRound advances the fleet by one second: every running node ticks and begins one exchange, in
+// random order.
 func (f *MemberFleet) RunRound() {
 	f.Now = f.Now.Add(time.Second)
 	list := f.Running()
@@ -132,8 +135,8 @@
 	}
 }
 
-// noteDirect keeps the baseline's account of calls to nodes that run. A failed exchange is no error
-// here: it is what the fake link is for, and the table is told of it by the engine.
+// recordBaseline counts consecutive failed calls to running nodes for the baseline. The error isn't
+// returned: failed exchanges are part of the simulation, and the engine reports them to the table.
 func (f *MemberFleet) recordBaseline(from *MemberNode, addr string, err error) {
 	link := [2]string{from.Table.Self.Address, addr}
 	if to := f.NodeAt(addr); err == nil || to == nil || to.Paused {
@@ -146,7 +149,7 @@
 	}
 }
 
-// Rounds lets rounds pass until done says so, at most limit, and returns how many did.
+// RunUntil runs rounds until done returns true, at most limit, and returns the number of rounds run.
 func (f *MemberFleet) RunUntil(limit int, done func() bool) int {
 	for i := range limit {
 		if done() {
@@ -157,7 +160,7 @@
 	return limit
 }
 
-// carry counts a message and says whether it arrives.
+// deliver counts a message and reports whether it arrives.
 func (f *MemberFleet) deliver(from, to *MemberNode, parts []sagegossip.Part) bool {
 	for _, p := range parts {
 		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partOverheadBytes)
@@ -168,10 +171,10 @@
 	return f.LinkDown == nil || !f.LinkDown(from, to)
 }
 
-// partOverheadBytes is what the protobuf encoding adds to a part.
+// partOverheadBytes is the size that the protobuf encoding adds to a part.
 const partOverheadBytes = 8
 
-// Meet implements [sagegossip.Transport] for the node that calls.
+// Meet implements [sagegossip.Transport].
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.NodeAt(addr)
 	lossDraw := f.Rand.Float64()
@@ -188,7 +191,7 @@
 	return deltas, own, nil
 }
 
-// Push implements [sagegossip.Transport] for the node that calls.
+// Push implements [sagegossip.Transport].
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
 	to := n.fleet.NodeAt(addr)
 	if !n.fleet.deliver(n, to, deltas) {
@@ -200,7 +203,8 @@
 	return nil
 }
 
-// Agreed says whether every running node counts exactly the running and paused nodes as live.
+// Converged reports whether the live nodes of every running node are exactly the running and the paused
+// nodes.
 func (f *MemberFleet) Converged() bool {
 	running := make(map[uint64]bool)
 	for _, n := range f.Nodes {
@@ -222,7 +226,7 @@
 	return true
 }
 
-// Evictions sums how often a node took another for dead.
+// Evictions returns the number of times that a node considered another dead.
 func (f *MemberFleet) Evictions() int64 {
 	sum := int64(0)
 	for _, n := range f.Nodes {
--- a/internal/sagemeasure/membership.go
+++ b/internal/sagemeasure/membership.go
@@ -6,24 +6,25 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// Sizes of the measure of the membership.
+// Parameters of the membership measurement.
 const (
-	memberBootRounds      = 60  // rounds at most until all nodes know each other
+	memberBootRounds      = 60  // maximum rounds until all nodes know each other
 	memberSteadyRounds    = 60  // rounds of steady state
-	memberChangeRounds    = 120 // rounds at most until a change is known everywhere
+	memberChangeRounds    = 120 // maximum rounds until a change is known everywhere
 	memberLinkRounds      = 300 // rounds with a broken link
 	controlBytesPerSecond = 19_000
 )
 
-// memberSize is a fleet to measure.
+// memberSize is the size of a fleet and the loss rates to measure it with.
 type memberSize struct {
 	nodes, dataCentres int
 	losses             []float64
 }
 
-// Membership measures the member table and its exchange: bytes a node spends, rounds of one second
-// until a join, a leave and a death are known everywhere, and nodes wrongly taken for dead, at several
-// sizes and losses; and the latter with broken links under three policies.
+// Membership measures the member table and its exchange at several fleet sizes and loss rates: the
+// bytes that a node sends and receives, the rounds until a join, a leave and a death are known
+// everywhere, and the nodes wrongly considered dead. The last is also measured with broken links, under
+// three policies.
 func Membership(seed uint64) ([]Sample, error) {
 	var samples []Sample
 	losses := []float64{0, 0.01, 0.1, 0.3}
@@ -46,6 +47,7 @@
 	return samples, nil
 }
 
+// measureMembership measures one fleet size at one loss rate.
 func measureMembership(seed uint64, size memberSize, loss float64) ([]Sample, error) {
 	f := NewMemberFleet(seed)
 	f.LossRate = loss
@@ -75,7 +77,8 @@
 	}, nil
 }
 
-// change lets a node join, leave and die, and returns the rounds until each was known everywhere.
+// measureChanges lets a node join, leave and die, and returns the rounds until each change is known
+// everywhere.
 func (f *MemberFleet) measureChanges() (join, leave, death int, err error) {
 	n, err := f.StartNode("10.9.9.9:7000", "dc0", sagemember.DefaultLimits())
 	if err != nil {
@@ -100,13 +103,13 @@
 	return join, leave, death, nil
 }
 
-// knows says whether what the node knows of an incarnation satisfies ok.
+// knows reports whether the node knows an incarnation and its entry satisfies ok.
 func (n *MemberNode) knows(id uint64, ok func(sagemember.Node) bool) bool {
 	x, known := n.Table.Node(id)
 	return known && ok(x)
 }
 
-// brokenLink is a scenario in which every node runs and some link is broken.
+// brokenLink is a scenario in which every node runs and some links are broken.
 type brokenLink struct {
 	name     string
 	nodes    int
@@ -134,7 +137,7 @@
 	{name: "24 nodes, 45% lost", nodes: 24, lossRate: 0.45},
 }
 
-// run counts the nodes wrongly taken for dead under the table's own rule, under the rule without the
+// run counts the nodes wrongly considered dead under the table's rule, under the same rule without the
 // indirect check, and under the baseline.
 func (l *brokenLink) run(seed uint64) ([]Sample, error) {
 	const metric = "nodes wrongly taken for dead in 300 s"
--- a/internal/sagemeasure/registry.go
+++ b/internal/sagemeasure/registry.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// registry holds every measure by the name under which sagebench runs it.
+// registry holds the measurements by the names under which sagebench runs them.
 var registry = map[string]Func{
 	"churn":      Churn,
 	"claims":     Claims,
@@ -22,10 +22,10 @@
 	"weigh":      PlacementAlternatives,
 }
 
-// Names returns the names of all measures in order.
+// Names returns the names of all measurements in alphabetical order.
 func Names() []string { return slices.Sorted(maps.Keys(registry)) }
 
-// Lookup returns the measure of that name.
+// Lookup returns the measurement with the given name.
 func Lookup(name string) (Func, bool) {
 	f, ok := registry[name]
 	return f, ok
--- a/internal/sagemeasure/replay.go
+++ b/internal/sagemeasure/replay.go
@@ -10,16 +10,17 @@
 	"sagestand.example/sagestand/pkg/sageplace"
 )
 
-// How late the routers of a replay learn what happens.
+// Timing of a replay, and how its requests reach the routers.
 const (
 	maxReportAge   = 3 * time.Second
-	maxChangeDelay = 4 * time.Second // the greatest time until a router knows of a change
+	maxChangeDelay = 4 * time.Second // maximum time until a router observes a change
 	maxAttempts    = 4
 	tokenTTL       = 30 * time.Minute
-	// A request for which only a unit is lacking waits for it, as in the daemon.
+	// A request that only lacks an allotment unit waits for one, as in the daemon.
 	unitWait          = 2 * time.Second
 	unitRetryInterval = 50 * time.Millisecond
-	// strayRate is the part of requests that reach another router than the chat's own.
+	// strayRate is the fraction of requests that reach a router other than the one that serves the
+	// chat.
 	strayRate = 0.1
 )
 
@@ -35,26 +36,27 @@
 	tokens  map[uint64]string
 	signer  sageplace.TokenSigner
 	results []result
-	// inService says which data centres operators have in service.
+	// inService reports which data centres operators have in service.
 	inService []bool
-	// allotments is nil for variants that go by estimates alone.
+	// allotments is nil for variants without allotments.
 	allotments *allotments
 }
 
-// loadFeed says how routers learn of loads: how often, and after which delay at most. The least delay is a
-// tenth of it.
-type loadFeed struct{ every, delay time.Duration }
+// loadFeed describes how routers receive the loads of engines: the period of the reports and their
+// maximum delay. The minimum delay is a tenth of the maximum.
+type loadFeed struct{ period, maxDelay time.Duration }
 
 var (
-	// reportFeed are the engines' own, which lag.
+	// reportFeed are the engines' own reports, which lag.
 	reportFeed = loadFeed{500 * time.Millisecond, 900 * time.Millisecond}
-	// countFeed are what routers tell each other of their requests in flight when they ask the home of
-	// an engine for allotments.
+	// countFeed are the counts of requests in flight that routers send to the coordinator of an engine
+	// with their requests for allotments.
 	countFeed = loadFeed{250 * time.Millisecond, 250 * time.Millisecond}
 )
 
+// newReplay returns a replay whose events are scheduled but not run.
 func newReplay(s site, v variant, trace []request, seed uint64) *replay {
-	if v.loadFeed.every == 0 {
+	if v.loadFeed.period == 0 {
 		v.loadFeed = reportFeed
 	}
 	p := &replay{
@@ -83,7 +85,7 @@
 		p.startRouter(r)
 	}
 	for i, e := range p.engines {
-		p.every(p.randomPhase(v.loadFeed.every), v.loadFeed.every, func() { p.sendReports(i, e) })
+		p.every(p.randomPhase(v.loadFeed.period), v.loadFeed.period, func() { p.sendReports(i, e) })
 	}
 	if v.allotments != nil {
 		p.startAllotments(*v.allotments)
@@ -95,6 +97,7 @@
 	return p
 }
 
+// arrive sends a request to the router of its chat or, for a fraction strayRate, to a random router.
 func (p *replay) arrive(q *request) {
 	n := q.chat % uint64(len(p.routers))
 	if p.rand.Float64() < strayRate {
@@ -103,8 +106,8 @@
 	p.dispatch(&job{request: q, router: p.routers[n]})
 }
 
-// dispatch asks the decision code until an engine takes the job. An engine whose allotment is used up
-// is passed over for this dispatch; only one that is down counts as a try.
+// dispatch asks the placement policy for engines until one takes the job. An engine without a free unit
+// is skipped for this dispatch; only an engine that is down counts as an attempt.
 func (p *replay) dispatch(j *job) {
 	skipped := slices.Clone(j.tried)
 	for len(j.tried) < maxAttempts {
@@ -132,8 +135,8 @@
 	p.results[j.number] = result{refusalReason: sageplace.ReasonAllAtBound, endedAt: p.now, attempts: len(j.tried)}
 }
 
-// waits reports whether the job should wait for a unit, as the daemon lets it: while an upstream has
-// room of which its router only lacks the allotment.
+// canWaitForUnit reports whether the job may wait for a unit: as in the daemon, it may while some
+// upstream has capacity and only the router's allotment is used up.
 func (p *replay) canWaitForUnit(j *job) bool {
 	r := j.router
 	if p.allotments == nil || p.now >= j.at+unitWait {
@@ -143,7 +146,7 @@
 	return c.Index >= 0
 }
 
-// query is what the router's policy is asked for a job.
+// placementQuery returns the query for a job, without the skipped engines.
 func (p *replay) placementQuery(j *job, skipped []int) *sageplace.Query {
 	r := j.router
 	q := &sageplace.Query{Context: j.context, Chat: j.chat, Location: p.location(j)}
@@ -158,7 +161,7 @@
 	return q
 }
 
-// choose returns the engine that the router's policy takes.
+// chooseEngine returns the index of the engine that the router's policy chooses, or -1 and the reason.
 func (p *replay) chooseEngine(j *job, skipped []int) (int, sageplace.Reason) {
 	r := j.router
 	c := r.policy.Choose(p.instant(), r.table, r.loads, p.placementQuery(j, skipped))
@@ -168,6 +171,8 @@
 	return r.tableEngines[c.Index], c.Reason
 }
 
+// location returns the engine that is expected to hold the chat's prefix, by the placement token or
+// else by the router's memory.
 func (p *replay) location(j *job) sageplace.Location {
 	if p.variant.token {
 		if location, ok := p.signer.Verify(p.tokens[j.chat], "", j.chatName, p.instant()); ok {
@@ -181,7 +186,8 @@
 	return sageplace.Location{}
 }
 
-// ended takes a job back from its engine; a lost one is sent to another engine, being idempotent.
+// jobEnded records the end of a job at its engine. A lost job is dispatched again, because it is
+// idempotent.
 func (p *replay) jobEnded(j *job, ok bool) {
 	r, i := j.router, slices.Index(p.engines, j.engine)
 	if p.allotments != nil {
@@ -194,7 +200,7 @@
 		return
 	}
 	p.results[j.number] = result{
-		done: true, endedAt: p.now, cached: j.cached, engine: j.engine, started: j.started, attempts: len(j.tried) + 1,
+		completed: true, endedAt: p.now, cachedTokens: j.cachedTokens, engine: j.engine, started: j.started, attempts: len(j.tried) + 1,
 	}
 	location := sageplace.Location{Upstream: sageplace.Key(j.engine.name), Generation: j.engine.generation}
 	if p.variant.token {
--- a/internal/sagemeasure/replay_test.go
+++ b/internal/sagemeasure/replay_test.go
@@ -9,7 +9,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// smallSite is a site that a test can replay in less than a second.
+// smallSite is a site whose replay takes less than a second.
 var smallSite = site{name: "small", dataCentres: 2, engines: 6, routers: 3, accounts: 4, contexts: 4, hotContextShare: 0.2, utilisation: 0.6}
 
 func runReplay(s site, v variant, seed uint64) *replay {
@@ -44,8 +44,8 @@
 	}
 }
 
-// The order of the policies is what the published tables rest on; a change of the decision code that
-// loses it must not pass unseen. In the first seconds homes have not granted anything yet.
+// The published tables rest on this order of the policies, so a change of the placement code must not
+// alter it unnoticed. The first seconds don't count because coordinators haven't granted anything yet.
 func TestPolicyBeatsBaselinesThroughFlaps(t *testing.T) {
 	const from = 20 * time.Second
 	p := runReplay(smallSite, sagestand, 1)
@@ -66,7 +66,7 @@
 	p.runUntil(time.Minute)
 	started := 0
 	for i := range trace {
-		if r := &p.results[i]; r.done && r.engine.dataCentre == 0 {
+		if r := &p.results[i]; r.completed && r.engine.dataCentre == 0 {
 			require.LessOrEqual(t, trace[i].at, 20*time.Second+maxChangeDelay)
 			started++
 		}
@@ -83,7 +83,7 @@
 		ended = append(ended, j.number)
 	}
 	for n, p := range []sagewire.Priority{sagewire.Normal, sagewire.Bulk, sagewire.Urgent} {
-		e.submit(&job{request: &request{number: n, chat: uint64(n + 1), fresh: 100, output: 10, priority: p}})
+		e.submit(&job{request: &request{number: n, chat: uint64(n + 1), newTokens: 100, outputTokens: 10, priority: p}})
 	}
 	c.runUntil(time.Minute)
 	require.Equal(t, []int{0, 2, 1}, ended)
@@ -91,11 +91,11 @@
 
 func TestPrefixCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newPrefixCache(1000)
-	a := &request{context: 1, contextTokens: 300, chat: 2, history: 400}
-	b := &request{context: 1, contextTokens: 300, chat: 3, history: 400}
+	a := &request{context: 1, contextTokens: 300, chat: 2, historyTokens: 400}
+	b := &request{context: 1, contextTokens: 300, chat: 3, historyTokens: 400}
 	c.store(a, 400)
 	require.Equal(t, 700, c.cached(a))
-	require.Equal(t, 300, c.cached(b), "the shared context alone")
+	require.Equal(t, 300, c.cached(b), "only the shared context")
 	c.store(b, 400)
 	require.Equal(t, 700, c.cached(b))
 	require.Equal(t, 300, c.cached(a), "1100 tokens don't fit")
--- a/internal/sagemeasure/report.go
+++ b/internal/sagemeasure/report.go
@@ -13,27 +13,27 @@
 
 // Errors of this package.
 var (
-	ErrNoSeeds       = errors.New("measure needs at least one seed")
-	ErrInvalidSample = errors.New("sample is not a finite number or has no name")
-	ErrIncomplete    = errors.New("a seed left out a figure that others gave")
+	ErrNoSeeds       = errors.New("at least one seed is required")
+	ErrInvalidSample = errors.New("sample has no metric name or its value is not finite")
+	ErrIncomplete    = errors.New("incomplete measurement")
 )
 
-// Comparison says on which side of its limit a figure must stay.
+// Comparison says on which side of its limit a value must stay.
 type Comparison string
 
-// The comparisons.
+// Comparisons of a [Target].
 const (
 	AtMost  Comparison = "at_most"
 	AtLeast Comparison = "at_least"
 )
 
-// Target is the limit that a figure is meant to keep.
+// Target is a limit that a value should meet.
 type Target struct {
 	Comparison Comparison `json:"comparison"`
 	Limit      float64    `json:"limit"`
 }
 
-// Met reports whether v keeps the limit.
+// Met reports whether v meets the target.
 func (t Target) Met(v float64) bool {
 	if t.Comparison == AtLeast {
 		return v >= t.Limit
@@ -41,45 +41,45 @@
 	return v <= t.Limit
 }
 
-// Sample is one figure of one seed.
+// Sample is one value measured with one seed.
 type Sample struct {
 	Scenario string
 	Policy   string
 	Metric   string
 	Unit     string
 	Value    float64
-	// Target is nil for a figure without a limit, such as that of a baseline.
+	// Target is nil for a value without a limit, such as that of a baseline.
 	Target *Target
 }
 
-// Func runs one measure with one seed. The same seed gives the same samples.
+// Func runs a measurement with one seed. The same seed gives the same samples, except for [Claims].
 type Func func(seed uint64) ([]Sample, error)
 
-// Row holds one figure over all seeds.
+// Row holds the values of one metric over all seeds.
 type Row struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
 	Metric   string `json:"metric"`
 	Unit     string `json:"unit"`
-	// Values has the figure of each seed in the order of Report.Seeds.
+	// Values holds one value per seed, in the order of Report.Seeds.
 	Values []float64 `json:"values"`
 	Median float64   `json:"median"`
 	Min    float64   `json:"min"`
 	Max    float64   `json:"max"`
 	Target *Target   `json:"target,omitempty"`
-	// Met is set for a row with a target: every seed kept it.
+	// Met is set if the row has a target, and says whether every seed met it.
 	Met *bool `json:"met,omitempty"`
 }
 
-// Report is the result of one measure.
+// Report is the result of one measurement.
 type Report struct {
 	Measure string   `json:"measure"`
 	Seeds   []uint64 `json:"seeds"`
 	Rows    []Row    `json:"rows"`
 }
 
-// Run runs f with n seeds from the first on and folds the samples into a report. Rows keep the order
-// in which the first seed gave them.
+// Run runs f with n consecutive seeds starting at first and aggregates the samples into a report. Rows
+// are in the order in which the first seed returned them.
 func Run(name string, f Func, first uint64, n int) (*Report, error) {
 	if n < 1 {
 		return nil, fmt.Errorf("%d seeds: %w", n, ErrNoSeeds)
@@ -104,9 +104,10 @@
 	return r, nil
 }
 
+// add appends a sample's value to its row.
 func (r *Report) add(s Sample) error {
 	if s.Metric == "" || math.IsNaN(s.Value) || math.IsInf(s.Value, 0) {
-		return fmt.Errorf("%s %s %q is %v: %w", s.Scenario, s.Policy, s.Metric, s.Value, ErrInvalidSample)
+		return fmt.Errorf("%s %s %q has value %v: %w", s.Scenario, s.Policy, s.Metric, s.Value, ErrInvalidSample)
 	}
 	for i := range r.Rows {
 		row := &r.Rows[i]
@@ -122,11 +123,12 @@
 	return nil
 }
 
+// aggregate computes the median, the range and the targets of all rows.
 func (r *Report) aggregate() error {
 	for i := range r.Rows {
 		row := &r.Rows[i]
 		if len(row.Values) != len(r.Seeds) {
-			return fmt.Errorf("%s %s %s has %d figures of %d seeds: %w",
+			return fmt.Errorf("%s %s %s has %d values for %d seeds: %w",
 				row.Scenario, row.Policy, row.Metric, len(row.Values), len(r.Seeds), ErrIncomplete)
 		}
 		v := append([]float64(nil), row.Values...)
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// Row returns the row of that name.
+// Row returns the row of a scenario, policy and metric.
 func (r *Report) Row(scenario, policy, metric string) (*Row, bool) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// WriteMarkdown writes the report as a table in Markdown.
+// WriteMarkdown writes the report as a Markdown table.
 func (r *Report) WriteMarkdown(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "| scenario | policy | metric | median | range over %d seeds | target |\n|---|---|---|---|---|---|\n", len(r.Seeds)); err != nil {
 		return fmt.Errorf("write report: %w", err)
@@ -194,5 +196,5 @@
 	return sign + " " + formatFigure(row.Target.Limit) + ": " + outcome
 }
 
-// formatFigure writes v with four significant digits.
+// formatFigure formats v with four significant digits.
 func formatFigure(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
--- a/internal/sagemeasure/report_test.go
+++ b/internal/sagemeasure/report_test.go
@@ -19,7 +19,7 @@
 	require.True(t, ok)
 	require.Equal(t, []float64{5, 1, 3, 9}, row.Values)
 	require.Equal(t, []float64{4, 1, 9}, []float64{row.Median, row.Min, row.Max})
-	require.False(t, *row.Met, "one seed above its limit is a missed target")
+	require.False(t, *row.Met, "one seed above the limit makes the target missed")
 	var b bytes.Buffer
 	require.NoError(t, r.WriteMarkdown(&b))
 	require.Contains(t, b.String(), "| s | p | m | 4 x | 1 to 9 | ≤ 8: missed |")
--- a/internal/sagemeasure/result.go
+++ b/internal/sagemeasure/result.go
@@ -7,33 +7,36 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// result is the end of one request of the trace.
+// result is the outcome of one request of the trace.
 type result struct {
-	done          bool
+	completed     bool
 	refusalReason sageplace.Reason
-	endedAt       time.Duration // when it ended
-	cached        int
+	endedAt       time.Duration
+	cachedTokens  int
 	engine        *engine
 	started       time.Duration
 	attempts      int
 }
 
-// reuse returns cached prompt tokens / prompt tokens of the requests from an instant on.
+// cacheReuse returns cached prompt tokens / prompt tokens of the completed requests that arrived at or
+// after from.
 func (p *replay) cacheReuse(from time.Duration) float64 { return p.cacheReuseBetween(from, p.now) }
 
+// cacheReuseBetween returns cached prompt tokens / prompt tokens of the completed requests that arrived
+// in [from, to).
 func (p *replay) cacheReuseBetween(from, to time.Duration) float64 {
 	cached, prompt := 0, 0
 	for i := range p.trace {
-		if q := &p.trace[i]; q.at >= from && q.at < to && p.results[i].done {
-			cached += p.results[i].cached
-			prompt += q.prompt()
+		if q := &p.trace[i]; q.at >= from && q.at < to && p.results[i].completed {
+			cached += p.results[i].cachedTokens
+			prompt += q.promptTokens()
 		}
 	}
 	return float64(cached) / float64(max(prompt, 1))
 }
 
-// inTime returns the part of the requests of a priority from an instant on that completed within
-// their deadline, and how many were refused.
+// withinDeadline returns the fraction of the requests of a priority that arrived in [from, to) and
+// completed within their deadline, and the number that were refused.
 func (p *replay) withinDeadline(from, to time.Duration, priority sagewire.Priority) (fraction float64, refused int) {
 	total, inTime := 0, 0
 	for i := range p.trace {
@@ -43,7 +46,7 @@
 		}
 		total++
 		switch {
-		case !res.done:
+		case !res.completed:
 			refused++
 		case res.endedAt <= q.deadline:
 			inTime++
@@ -52,13 +55,13 @@
 	return float64(inTime) / float64(max(total, 1)), refused
 }
 
-// refused returns the part of the requests from an instant on that were refused.
+// refusedShare returns the fraction of the requests that arrived at or after from and were refused.
 func (p *replay) refusedShare(from time.Duration) float64 {
 	total, refused := 0, 0
 	for i := range p.trace {
 		if p.trace[i].at >= from {
 			total++
-			if !p.results[i].done {
+			if !p.results[i].completed {
 				refused++
 			}
 		}
--- a/internal/sagemeasure/retry.go
+++ b/internal/sagemeasure/retry.go
@@ -9,26 +9,27 @@
 	"sagestand.example/sagestand/pkg/sageretry"
 )
 
-// Shape of the retry measure: routers before twelve upstreams, a third of which fail for a while.
+// Parameters of the retry measurement: routers send to twelve upstreams, some of which fail for two
+// minutes.
 const (
 	retryRouters           = 8
 	retryUpstreams         = 12
 	retryDuration          = 3 * time.Minute
 	retryFailFrom          = 30 * time.Second
 	retryFailUntil         = 150 * time.Second
-	retryRequestsPerSecond = 400.0 // requests a second of all routers
+	retryRequestsPerSecond = 400.0 // over all routers
 	retryMeanService       = 300 * time.Millisecond
 	retryDeadline          = 5 * time.Second
-	naiveRetries           = 3 // retries of the baseline
+	naiveRetries           = 3 // of the baseline
 	retryHedgeDelay        = 900 * time.Millisecond
 )
 
-// retryCase says how the failing upstreams fail.
+// retryCase describes the failure of upstreams.
 type retryCase struct {
 	name             string
-	failingUpstreams int           // upstreams that fail
-	failureDelay     time.Duration // until the failure shows
-	slowShare        float64       // part of answers that take ten times as long, without a failure
+	failingUpstreams int
+	failureDelay     time.Duration // until the failure is observed
+	slowShare        float64       // fraction of responses that take ten times as long
 }
 
 var retryCases = []retryCase{
@@ -38,11 +39,11 @@
 	{"some answers slow", 0, 0, 0.02},
 }
 
-// retryRule is one way to retry.
+// retryRule is one policy for retries.
 type retryRule struct {
 	name         string
-	useSageretry bool // budget and circuits of sageretry
-	// retries bounds the retries of one request without a budget.
+	useSageretry bool // use the budget and circuits of sageretry
+	// retries is the maximum number of retries per request without a budget.
 	retries int
 	hedge   bool
 }
@@ -54,20 +55,20 @@
 	{name: "budget, circuits and hedging", useSageretry: true, hedge: true},
 }
 
-// Retry measures what is sent for each request that is asked, and how many are answered, while
-// upstreams fail.
+// Retry measures the sends per request and the fraction of requests answered while upstreams fail.
 func Retry(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, c := range retryCases {
 		for _, rule := range retryRules {
-			w := newRetrySimulation(c, rule, seed)
-			w.runUntil(retryDuration)
-			out = append(out, w.samples()...)
+			sim := newRetrySimulation(c, rule, seed)
+			sim.runUntil(retryDuration)
+			out = append(out, sim.samples()...)
 		}
 	}
 	return out, nil
 }
 
+// retrySimulation is one run of a case under a rule.
 type retrySimulation struct {
 	clock
 
@@ -77,12 +78,12 @@
 	policies  []*sageretry.Policy
 
 	requests, sent, answered int
-	currentSecond            [2]int // asked and sent in the present second
+	currentSecond            [2]int // requests and sends
 	worstRatio               float64
 	latencies                []time.Duration
 }
 
-// retryRequest is a request until its first answer.
+// retryRequest is a request until its first response.
 type retryRequest struct {
 	router    int
 	arrivedAt time.Duration
@@ -92,152 +93,156 @@
 }
 
 func newRetrySimulation(c retryCase, rule retryRule, seed uint64) *retrySimulation {
-	w := &retrySimulation{rand: rand.New(rand.NewPCG(seed, 17)), retryCase: c, rule: rule}
+	sim := &retrySimulation{rand: rand.New(rand.NewPCG(seed, 17)), retryCase: c, rule: rule}
 	for i := range retryRouters {
-		w.policies = append(w.policies, &sageretry.Policy{Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
+		sim.policies = append(sim.policies, &sageretry.Policy{Rand: rand.New(rand.NewPCG(seed, uint64(i)))})
 	}
-	w.scheduleArrival()
-	w.after(retryFailFrom, func() { w.every(time.Second, time.Second, w.endSecond) })
-	return w
+	sim.scheduleArrival()
+	sim.after(retryFailFrom, func() { sim.every(time.Second, time.Second, sim.endSecond) })
+	return sim
 }
 
-func (w *retrySimulation) failing() bool { return w.now >= retryFailFrom && w.now < retryFailUntil }
+func (sim *retrySimulation) failing() bool {
+	return sim.now >= retryFailFrom && sim.now < retryFailUntil
+}
 
-func (w *retrySimulation) scheduleArrival() {
-	w.after(time.Duration(w.rand.ExpFloat64()/retryRequestsPerSecond*float64(time.Second)), func() {
-		q := &retryRequest{router: w.rand.IntN(retryRouters), arrivedAt: w.now}
-		if w.failing() {
-			w.requests++
-			w.currentSecond[0]++
+func (sim *retrySimulation) scheduleArrival() {
+	sim.after(time.Duration(sim.rand.ExpFloat64()/retryRequestsPerSecond*float64(time.Second)), func() {
+		q := &retryRequest{router: sim.rand.IntN(retryRouters), arrivedAt: sim.now}
+		if sim.failing() {
+			sim.requests++
+			sim.currentSecond[0]++
 		}
-		if w.rule.useSageretry {
-			w.policies[q.router].RecordFirstAttempt()
+		if sim.rule.useSageretry {
+			sim.policies[q.router].RecordFirstAttempt()
 		}
-		w.send(q)
-		if w.rule.hedge {
-			w.after(retryHedgeDelay, func() {
+		sim.send(q)
+		if sim.rule.hedge {
+			sim.after(retryHedgeDelay, func() {
 				if !q.done && q.inFlight == 1 {
-					w.retry(q)
+					sim.retry(q)
 				}
 			})
 		}
-		w.scheduleArrival()
+		sim.scheduleArrival()
 	})
 }
 
-// try sends the request to an upstream that it was not sent to yet.
-func (w *retrySimulation) send(q *retryRequest) {
-	name, i, ok := w.pick(q)
+// send sends the request to an upstream that it was not sent to yet.
+func (sim *retrySimulation) send(q *retryRequest) {
+	name, i, ok := sim.pick(q)
 	if !ok {
 		return
 	}
-	policy := w.policies[q.router]
-	if w.rule.useSageretry {
+	policy := sim.policies[q.router]
+	if sim.rule.useSageretry {
 		policy.RecordAttempt(name)
 	}
 	q.tried = append(q.tried, name)
 	q.inFlight++
-	if w.failing() {
-		w.sent++
-		w.currentSecond[1]++
+	if sim.failing() {
+		sim.sent++
+		sim.currentSecond[1]++
 	}
-	if w.failing() && i < w.retryCase.failingUpstreams {
-		w.after(w.retryCase.failureDelay, func() { w.fail(q, name) })
+	if sim.failing() && i < sim.retryCase.failingUpstreams {
+		sim.after(sim.retryCase.failureDelay, func() { sim.fail(q, name) })
 		return
 	}
-	d := time.Duration((0.5 + w.rand.Float64()) * float64(retryMeanService))
-	if w.rand.Float64() < w.retryCase.slowShare {
+	d := time.Duration((0.5 + sim.rand.Float64()) * float64(retryMeanService))
+	if sim.rand.Float64() < sim.retryCase.slowShare {
 		d *= 10
 	}
-	w.after(d, func() { w.complete(q, name) })
+	sim.after(d, func() { sim.complete(q, name) })
 }
 
-func (w *retrySimulation) pick(q *retryRequest) (name string, i int, ok bool) {
-	now, first := w.instant(), w.rand.IntN(retryUpstreams)
+// pick returns a random upstream that the request was not sent to and that the rule allows.
+func (sim *retrySimulation) pick(q *retryRequest) (name string, i int, ok bool) {
+	now, first := sim.instant(), sim.rand.IntN(retryUpstreams)
 	for k := range retryUpstreams {
 		i := (first + k) % retryUpstreams
 		name := fmt.Sprint("upstream-", i)
 		if slices.Contains(q.tried, name) {
 			continue
 		}
-		if !w.rule.useSageretry || w.policies[q.router].Allow(now, name, epoch.Add(q.arrivedAt+retryDeadline)) {
+		if !sim.rule.useSageretry || sim.policies[q.router].Allow(now, name, epoch.Add(q.arrivedAt+retryDeadline)) {
 			return name, i, true
 		}
 	}
 	return "", 0, false
 }
 
-func (w *retrySimulation) complete(q *retryRequest, name string) {
-	if w.rule.useSageretry {
-		w.policies[q.router].RecordSuccess(name)
+func (sim *retrySimulation) complete(q *retryRequest, name string) {
+	if sim.rule.useSageretry {
+		sim.policies[q.router].RecordSuccess(name)
 	}
 	q.inFlight--
-	if q.done || w.now-q.arrivedAt > retryDeadline {
+	if q.done || sim.now-q.arrivedAt > retryDeadline {
 		return
 	}
 	q.done = true
 	if q.arrivedAt >= retryFailFrom && q.arrivedAt < retryFailUntil {
-		w.answered++
-		w.latencies = append(w.latencies, w.now-q.arrivedAt)
+		sim.answered++
+		sim.latencies = append(sim.latencies, sim.now-q.arrivedAt)
 	}
 }
 
-func (w *retrySimulation) fail(q *retryRequest, name string) {
+func (sim *retrySimulation) fail(q *retryRequest, name string) {
 	q.inFlight--
-	if w.rule.useSageretry {
-		w.policies[q.router].RecordFailure(w.instant(), name)
+	if sim.rule.useSageretry {
+		sim.policies[q.router].RecordFailure(sim.instant(), name)
 	}
 	if q.done || q.inFlight > 0 {
 		return
 	}
-	w.retry(q)
+	sim.retry(q)
 }
 
-// again retries or hedges if the rule allows it.
-func (w *retrySimulation) retry(q *retryRequest) {
-	if !w.rule.useSageretry {
-		if len(q.tried) <= w.rule.retries {
-			w.send(q)
+// retry retries or hedges the request if the rule allows it.
+func (sim *retrySimulation) retry(q *retryRequest) {
+	if !sim.rule.useSageretry {
+		if len(q.tried) <= sim.rule.retries {
+			sim.send(q)
 		}
 		return
 	}
-	d := w.policies[q.router].Retry(w.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Untried: 1, Deadline: epoch.Add(q.arrivedAt + retryDeadline)})
+	d := sim.policies[q.router].Retry(sim.instant(), sageretry.Attempt{Idempotent: true, Tried: q.tried, Untried: 1, Deadline: epoch.Add(q.arrivedAt + retryDeadline)})
 	if d.OK {
-		w.after(d.At.Sub(w.instant()), func() {
+		sim.after(d.At.Sub(sim.instant()), func() {
 			if !q.done {
-				w.send(q)
+				sim.send(q)
 			}
 		})
 	}
 }
 
-func (w *retrySimulation) endSecond() {
-	if w.currentSecond[0] > 0 {
-		w.worstRatio = max(w.worstRatio, float64(w.currentSecond[1])/float64(w.currentSecond[0]))
+// endSecond updates the worst ratio of sends to requests and starts the counts of the next second.
+func (sim *retrySimulation) endSecond() {
+	if sim.currentSecond[0] > 0 {
+		sim.worstRatio = max(sim.worstRatio, float64(sim.currentSecond[1])/float64(sim.currentSecond[0]))
 	}
-	w.currentSecond = [2]int{}
+	sim.currentSecond = [2]int{}
 }
 
-func (w *retrySimulation) samples() []Sample {
+func (sim *retrySimulation) samples() []Sample {
 	s := []Sample{
-		{Metric: "sent / asked", Value: float64(w.sent) / float64(w.requests)},
-		{Metric: "sent / asked, worst second", Value: w.worstRatio},
-		{Metric: "answered", Unit: "%", Value: 100 * float64(w.answered) / float64(w.requests)},
-		{Metric: "p99", Unit: "ms", Value: w.p99()},
+		{Metric: "sent / asked", Value: float64(sim.sent) / float64(sim.requests)},
+		{Metric: "sent / asked, worst second", Value: sim.worstRatio},
+		{Metric: "answered", Unit: "%", Value: 100 * float64(sim.answered) / float64(sim.requests)},
+		{Metric: "p99", Unit: "ms", Value: sim.p99()},
 	}
-	if w.rule.useSageretry && !w.rule.hedge {
+	if sim.rule.useSageretry && !sim.rule.hedge {
 		s[0].Target = &Target{AtMost, 1 + sageretry.DefaultRatio}
 	}
 	for i := range s {
-		s[i].Scenario, s[i].Policy = w.retryCase.name, w.rule.name
+		s[i].Scenario, s[i].Policy = sim.retryCase.name, sim.rule.name
 	}
 	return s
 }
 
-func (w *retrySimulation) p99() float64 {
-	if len(w.latencies) == 0 {
+func (sim *retrySimulation) p99() float64 {
+	if len(sim.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(w.latencies)
-	return float64(w.latencies[len(w.latencies)*99/100]) / float64(time.Millisecond)
+	slices.Sort(sim.latencies)
+	return float64(sim.latencies[len(sim.latencies)*99/100]) / float64(time.Millisecond)
 }
--- a/internal/sagemeasure/router.go
+++ b/internal/sagemeasure/router.go
@@ -9,36 +9,36 @@
 	"sagestand.example/sagestand/pkg/sageplace"
 )
 
-// router is one entry VM: what it believes, and its decision code.
+// router is one router VM: its view of the engines, and its placement policy.
 type router struct {
 	id           int
 	candidates   []bool
 	table        *sageplace.Table
-	tableEngines []int // engine of each place in the table
+	tableEngines []int // index of the engine at each position of the table
 	loads        *sageplace.Loads
 	policy       sageplace.Policy
 	locations    *sageplace.PrefixLocations
 	ownInFlight  []int
 	lastReports  []loadReport
-	// estimatesOnly are the real ones of the daemon, one an engine.
+	// estimates are the daemon's load estimates, one per engine.
 	estimates []sageload.Estimate
 }
 
-// loadReport is an engine's word on its load.
+// loadReport is an engine's report on its load.
 type loadReport struct {
 	inFlight, completed int
 	generation          uint64
 	asOf                time.Duration
 }
 
-// boot gives a router a new process: it forgets what it remembered.
+// startRouter starts a new process for a router, without the state of the previous one.
 func (p *replay) startRouter(r *router) {
 	r.policy = p.variant.policy(p)
 	r.locations = sageplace.NewPrefixLocations(1 << 14)
 	p.rebuildTable(r)
 }
 
-// rebuild makes the router's table from what it believes of the engines.
+// rebuildTable builds the router's table from the engines that it considers candidates.
 func (p *replay) rebuildTable(r *router) {
 	var upstreams []sageplace.Upstream
 	r.tableEngines = r.tableEngines[:0]
@@ -53,7 +53,8 @@
 	r.loads.Refresh(func(i int) sageplace.Load { return p.estimatedLoad(r, r.tableEngines[i]) })
 }
 
-// load is the router's belief of an engine, by its last report and own requests since.
+// estimatedLoad returns the load of an engine as estimated by the router, from the last report and its
+// own requests since.
 func (p *replay) estimatedLoad(r *router, i int) sageplace.Load {
 	last, free := r.lastReports[i], engineSlots
 	if p.allotments != nil {
@@ -66,6 +67,7 @@
 	}
 }
 
+// sendReports sends an engine's report to all routers, each with its own delay.
 func (p *replay) sendReports(i int, e *engine) {
 	if !e.up {
 		return
@@ -73,11 +75,13 @@
 	rep := loadReport{inFlight: e.inFlight(), completed: e.completed, generation: e.generation, asOf: p.now}
 	e.lastReport = rep
 	for _, r := range p.routers {
-		delay := p.variant.loadFeed.delay/10 + time.Duration(p.rand.Int64N(int64(p.variant.loadFeed.delay*9/10)))
+		delay := p.variant.loadFeed.maxDelay/10 + time.Duration(p.rand.Int64N(int64(p.variant.loadFeed.maxDelay*9/10)))
 		p.after(delay, func() { p.receiveReport(r, i, rep) })
 	}
 }
 
+// receiveReport handles a report unless the router has a newer one. The load is updated again when the
+// report expires.
 func (p *replay) receiveReport(r *router, i int, rep loadReport) {
 	if rep.asOf < r.lastReports[i].asOf {
 		return
@@ -96,12 +100,12 @@
 	}
 }
 
-// see tells a router, after a delay of its own, that an engine is a candidate or none.
+// setCandidate tells a router, after delay, whether an engine is a candidate.
 func (p *replay) setCandidate(r *router, i int, candidate bool, delay time.Duration) {
 	p.after(delay, func() {
 		if r.candidates[i] != candidate {
 			r.candidates[i] = candidate
-			// A new one is unknown, and cold.
+			// The load of a new candidate is unknown, and the engine counts as cold.
 			r.lastReports[i], r.estimates[i] = loadReport{}, sageload.Estimate{MaxReportAge: maxReportAge}
 			for range r.ownInFlight[i] {
 				r.estimates[i].RecordDispatch()
@@ -111,14 +115,14 @@
 	})
 }
 
-// announce tells all routers, each after a delay up to changeDelay.
+// announce sends a change to all routers, each with a random delay up to maxChangeDelay.
 func (p *replay) announce(i int, candidate bool) {
 	for _, r := range p.routers {
 		p.setCandidate(r, i, candidate, time.Duration(p.rand.Int64N(int64(maxChangeDelay))))
 	}
 }
 
-// count corrects what the router knows of an engine by n own requests.
+// recordOwnRequests changes the router's count of its own requests at an engine by n, which is 1 or -1.
 func (p *replay) recordOwnRequests(r *router, i, n int) {
 	r.ownInFlight[i] += n
 	if n > 0 {
--- a/internal/sagemeasure/scaling.go
+++ b/internal/sagemeasure/scaling.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Scaling measures how cache reuse and skew go with the number of engines of one set, with haller's
-// kind of load: 18 engines and 8 routers, then more of both.
+// Scaling measures how cache reuse and skew change with the number of engines, under the load of the
+// site haller: 18 engines and 8 routers, then more of both.
 func Scaling(seed uint64) ([]Sample, error) {
 	const start, end = 60 * time.Second, 100 * time.Second
 	var out []Sample
--- a/internal/sagemeasure/skew.go
+++ b/internal/sagemeasure/skew.go
@@ -7,11 +7,11 @@
 	"sagestand.example/sagestand/pkg/sageplace"
 )
 
-// maxLoadMultiple is the multiple of the mean that no engine is to exceed.
+// maxLoadMultiple is the multiple of the mean load that no engine should exceed.
 const maxLoadMultiple = sageplace.DefaultLoadBound
 
-// Skew measures how unevenly the engines are loaded: Zipf accounts, at haller with a context that
-// three chats of ten share, while each 15 seconds a router loses sight of an engine for 10 seconds.
+// Skew measures how unevenly the engines are loaded. Accounts follow Zipf's law, and three of ten chats
+// at the site haller share one context. Every 15 s a router loses an engine from its view for 10 s.
 func Skew(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
@@ -34,7 +34,7 @@
 	return out, nil
 }
 
-// disagree makes the routers disagree about which engines exist.
+// scheduleDisagreement makes routers disagree about which engines are candidates.
 func (p *replay) scheduleDisagreement() {
 	p.every(warmUp/2, 15*time.Second, func() {
 		r, i := p.routers[p.rand.IntN(len(p.routers))], p.rand.IntN(len(p.engines))
@@ -43,7 +43,7 @@
 	})
 }
 
-// samples returns the figures of s; one of the project's own policies has the promised bound as target.
+// samples returns the figures of s. The project's own policies have maxLoadMultiple as target.
 func (s *skewSampler) samples(v variant) []Sample {
 	over := Sample{Metric: "samples over 1.5 x mean", Unit: "%", Value: 100 * float64(s.overSamples) / float64(max(1, len(s.maxOverMean)))}
 	if isSagestand(v) {
@@ -57,16 +57,17 @@
 	}
 }
 
-// skewSampler looks at the true loads of all usable engines at fixed times. Loads are compared by what
-// each engine bears: one in cold start is not idle because it may carry only four requests.
+// skewSampler samples the true loads of all usable engines. Loads are compared relative to each
+// engine's capacity, so that an engine in cold start, which may carry only four requests, doesn't count
+// as idle.
 type skewSampler struct {
 	maxOverMean []float64
 	p99OverMean []float64
-	// over counts the samples in which an engine carried more than ceil(promised x mean).
+	// overSamples counts the samples in which an engine carried more than ceil(maxLoadMultiple x mean).
 	overSamples int
 }
 
-// sampleSkew samples every 100 ms from an instant to another.
+// sampleSkew samples every 100 ms in [from, to).
 func (p *replay) sampleSkew(from, to time.Duration) *skewSampler {
 	s := new(skewSampler)
 	p.every(from, 100*time.Millisecond, func() {
@@ -104,7 +105,7 @@
 	}
 }
 
-// quantile returns the q-quantile of v, 0 if v is empty.
+// quantile returns the q-quantile of v, or 0 if v is empty.
 func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
--- a/internal/sagemeasure/surge.go
+++ b/internal/sagemeasure/surge.go
@@ -10,18 +10,18 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Shape of the surge measure: routers with equal parts of the slots, ten client accounts of equal
-// weight, one of which sends a multiple of what the whole fleet can serve for half of the time.
+// Parameters of the surge measurement: routers share the slots equally, and one of ten client accounts
+// of equal weight sends a multiple of what the whole fleet can serve from surgeStart on.
 const (
 	surgeRouters     = 8
-	surgeSlots       = 24 // of each router
+	surgeSlots       = 24 // per router
 	surgeAccounts    = 10
 	surgeDuration    = 3 * time.Minute
 	surgeStart       = time.Minute
 	surgeMeanService = 400 * time.Millisecond
 	surgeDeadline    = 3 * time.Second
-	surgeUtilisation = 0.6 // of the slots, by the nine others and the tenth before its surge
-	surgeMultiple    = 5   // the surge as a multiple of all slots
+	surgeUtilisation = 0.6 // of the slots, by all accounts without the surge
+	surgeMultiple    = 5   // rate of the surge as a multiple of what the fleet can serve
 	surgeMaxQueue    = 200
 )
 
@@ -31,7 +31,8 @@
 	newQueue func() surgeQueuer
 }
 
-// surgeQueuer offers requests and takes their ends; items are those of the scheduler.
+// surgeQueuer queues requests. Offer adds a request, Done ends one; both return the items whose state
+// changed.
 type surgeQueuer interface {
 	Offer(now time.Time, r sagefair.Request) (*sagefair.Item, []*sagefair.Item)
 	Done(now time.Time, it *sagefair.Item) []*sagefair.Item
@@ -46,10 +47,10 @@
 	{"first in first out", func() surgeQueuer { return &fifo{slots: surgeSlots} }},
 }
 
-// surgeCase says where the surge comes in and how it is marked.
+// surgeCase describes where the surge arrives and which priority it has.
 type surgeCase struct {
 	name     string
-	routers  int // that get the surge
+	routers  int // that receive the surge
 	priority sagewire.Priority
 }
 
@@ -59,7 +60,8 @@
 	{"surge marked urgent", surgeRouters, sagewire.Urgent},
 }
 
-// Surge measures what other accounts get while one surges, against the same run without a surge.
+// Surge measures the service of the other accounts while one account surges, relative to the same run
+// without a surge.
 func Surge(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, c := range surgeCases {
@@ -91,6 +93,7 @@
 	return s
 }
 
+// surgeSimulation is one run of a case with one way of queuing.
 type surgeSimulation struct {
 	clock
 
@@ -98,7 +101,7 @@
 	queues []surgeQueuer
 	jobs   map[*sagefair.Item]*surgeJob
 
-	goodput                      int // requests of others that ended within their deadline, during the surge
+	goodput                      int // requests of other accounts that completed within their deadline
 	latencies                    []time.Duration
 	surgeSlotTime, totalSlotTime time.Duration
 }
@@ -111,76 +114,76 @@
 }
 
 func newSurgeSimulation(q surgeQueuing, c surgeCase, multiple float64, seed uint64) *surgeSimulation {
-	w := &surgeSimulation{rand: rand.New(rand.NewPCG(seed, 13)), jobs: make(map[*sagefair.Item]*surgeJob)}
+	sim := &surgeSimulation{rand: rand.New(rand.NewPCG(seed, 13)), jobs: make(map[*sagefair.Item]*surgeJob)}
 	for range surgeRouters {
-		w.queues = append(w.queues, q.newQueue())
+		sim.queues = append(sim.queues, q.newQueue())
 	}
 	fleetRate := surgeRouters * surgeSlots / surgeMeanService.Seconds()
 	for a := range surgeAccounts {
 		source := rand.New(rand.NewPCG(seed, uint64(100+a)))
-		w.scheduleArrival(source, a, surgeUtilisation*fleetRate/surgeAccounts, surgeRouters, sagewire.Normal)
+		sim.scheduleArrival(source, a, surgeUtilisation*fleetRate/surgeAccounts, surgeRouters, sagewire.Normal)
 	}
 	if multiple > 0 {
 		source := rand.New(rand.NewPCG(seed, 99))
-		w.after(surgeStart, func() {
-			w.scheduleArrival(source, 0, multiple*fleetRate*float64(c.routers)/surgeRouters, c.routers, c.priority)
+		sim.after(surgeStart, func() {
+			sim.scheduleArrival(source, 0, multiple*fleetRate*float64(c.routers)/surgeRouters, c.routers, c.priority)
 		})
 	}
-	return w
+	return sim
 }
 
-// arrive makes the requests of one account come; each account draws from a source of its own, so
-// that the others' requests are the same with and without the surge.
-func (w *surgeSimulation) scheduleArrival(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
-	w.after(time.Duration(source.ExpFloat64()/rate*float64(time.Second)), func() {
-		j := &surgeJob{router: source.IntN(routers), account: account, arrivedAt: w.now,
+// scheduleArrival generates the requests of one account. Each account has its own random source, so
+// that the requests of the others are the same with and without the surge.
+func (sim *surgeSimulation) scheduleArrival(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
+	sim.after(time.Duration(source.ExpFloat64()/rate*float64(time.Second)), func() {
+		j := &surgeJob{router: source.IntN(routers), account: account, arrivedAt: sim.now,
 			service: time.Duration(source.ExpFloat64() * float64(surgeMeanService))}
-		w.offer(j, p)
-		w.scheduleArrival(source, account, rate, routers, p)
+		sim.offer(j, p)
+		sim.scheduleArrival(source, account, rate, routers, p)
 	})
 }
 
-func (w *surgeSimulation) offer(j *surgeJob, p sagewire.Priority) {
-	now := w.instant()
-	it, others := w.queues[j.router].Offer(now, sagefair.Request{
+func (sim *surgeSimulation) offer(j *surgeJob, p sagewire.Priority) {
+	now := sim.instant()
+	it, others := sim.queues[j.router].Offer(now, sagefair.Request{
 		Account: fmt.Sprint("account-", j.account), Weight: 1, Priority: p, Deadline: now.Add(surgeDeadline)})
-	w.jobs[it] = j
-	w.start(append(others, it))
+	sim.jobs[it] = j
+	sim.start(append(others, it))
 }
 
-// start runs the items that got their slot.
-func (w *surgeSimulation) start(items []*sagefair.Item) {
+// start runs the items that got a slot and drops those that were refused.
+func (sim *surgeSimulation) start(items []*sagefair.Item) {
 	for _, it := range items {
-		j := w.jobs[it]
+		j := sim.jobs[it]
 		switch it.State {
 		case sagefair.Refused:
-			delete(w.jobs, it)
+			delete(sim.jobs, it)
 		case sagefair.Running:
-			w.after(j.service, func() { w.finish(it, j) })
+			sim.after(j.service, func() { sim.finish(it, j) })
 		}
 	}
 }
 
-func (w *surgeSimulation) finish(it *sagefair.Item, j *surgeJob) {
-	delete(w.jobs, it)
-	if w.now >= surgeStart {
-		w.totalSlotTime += j.service
+func (sim *surgeSimulation) finish(it *sagefair.Item, j *surgeJob) {
+	delete(sim.jobs, it)
+	if sim.now >= surgeStart {
+		sim.totalSlotTime += j.service
 		if j.account == 0 {
-			w.surgeSlotTime += j.service
-		} else if latency := w.now - j.arrivedAt; latency <= surgeDeadline {
-			w.goodput++
-			w.latencies = append(w.latencies, latency)
+			sim.surgeSlotTime += j.service
+		} else if latency := sim.now - j.arrivedAt; latency <= surgeDeadline {
+			sim.goodput++
+			sim.latencies = append(sim.latencies, latency)
 		}
 	}
-	w.start(w.queues[j.router].Done(w.instant(), it))
+	sim.start(sim.queues[j.router].Done(sim.instant(), it))
 }
 
-func (w *surgeSimulation) p99() float64 {
-	slices.Sort(w.latencies)
-	return float64(w.latencies[len(w.latencies)*99/100]) / float64(time.Millisecond)
+func (sim *surgeSimulation) p99() float64 {
+	slices.Sort(sim.latencies)
+	return float64(sim.latencies[len(sim.latencies)*99/100]) / float64(time.Millisecond)
 }
 
-// fifo is the baseline: one bounded queue for all, first in first out.
+// fifo is the baseline: one bounded first-in, first-out queue for all accounts.
 type fifo struct {
 	slots, running int
 	queue          []*sagefair.Item
--- a/internal/sagemeasure/trace.go
+++ b/internal/sagemeasure/trace.go
@@ -11,31 +11,32 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// site is a size at which to measure.
+// site is a fleet size and its load.
 type site struct {
 	name        string
 	dataCentres int
 	engines     int
 	routers     int
 	accounts    int
-	// contexts is the number of shared contexts of each account.
+	// contexts is the number of shared contexts per account.
 	contexts int
-	// festival is the part of all chats that share one context, besides the Zipf order of the rest.
+	// hotContextShare is the fraction of all chats that share one context. The others choose theirs by
+	// Zipf's law.
 	hotContextShare float64
-	// use is the part of all slots that the trace keeps busy when nothing is cached but contexts.
+	// utilisation is the fraction of all slots that the trace keeps busy if only contexts are cached.
 	utilisation float64
 }
 
-// The users' sizes of today.
+// Present fleet sizes of the users.
 var (
 	trentvale = site{name: "trentvale", dataCentres: 4, engines: 12, routers: 8, accounts: 10, contexts: 8, hotContextShare: 0, utilisation: 0.55}
 	haller    = site{name: "haller", dataCentres: 3, engines: 18, routers: 8, accounts: 10, contexts: 8, hotContextShare: 0.3, utilisation: 0.55}
 )
 
-// What a fake engine has, and how long a request of the trace occupies it on average.
+// Properties of a simulated engine, and the mean time for which a request of the trace occupies a slot.
 const (
 	engineSlots       = 32
-	engineCacheTokens = 400_000 // tokens
+	engineCacheTokens = 400_000
 	meanService       = 2700 * time.Millisecond
 )
 
@@ -49,21 +50,23 @@
 	contextTokens int
 	chat          uint64
 	chatName      string
-	// history is the part of the prompt that the chat has sent before, fresh the part that is new.
-	history  int
-	fresh    int
-	output   int
-	priority sagewire.Priority
+	// historyTokens and newTokens are the numbers of prompt tokens that the chat has sent before and
+	// that are new.
+	historyTokens int
+	newTokens     int
+	outputTokens  int
+	priority      sagewire.Priority
 }
 
-func (r *request) prompt() int { return r.contextTokens + r.history + r.fresh }
+// promptTokens returns the number of prompt tokens.
+func (r *request) promptTokens() int { return r.contextTokens + r.historyTokens + r.newTokens }
 
-// deadlineAfter is the time from a request to its deadline by priority.
+// deadlineAfter is the time from arrival to deadline, by priority.
 var deadlineAfter = [sagewire.NumPriorities]time.Duration{10 * time.Second, 15 * time.Second, 60 * time.Second}
 
-// makeTrace returns the requests of a site until end. Chats begin as a Poisson process, take a
-// geometric number of turns and return after log-normal pauses. Accounts and their contexts are
-// drawn by Zipf's law.
+// makeTrace returns the requests of a site until end. Chats begin as a Poisson process, have a
+// geometric number of turns and return after log-normal pauses. Accounts and their contexts are drawn
+// by Zipf's law.
 func makeTrace(s site, seed uint64, end time.Duration) []request {
 	r := rand.New(rand.NewPCG(seed, 0x7261636574))
 	accounts, contexts := zipf(s.accounts, 1.1), zipf(s.contexts, 1)
@@ -74,7 +77,7 @@
 	const meanTurns = 5
 	perSecond := float64(s.engines) * engineSlots * s.utilisation / meanService.Seconds() / meanTurns
 	var trace []request
-	// The first chats begin before the trace so that it starts with chats of every age.
+	// Chats begin before the trace, so that it starts with chats of every age.
 	for t := -90.0; t < end.Seconds(); t += r.ExpFloat64() / perSecond {
 		account := drawRank(r, accounts)
 		context := account*s.contexts + drawRank(r, contexts)
@@ -96,13 +99,13 @@
 	return trace
 }
 
-// appendChat adds the turns of one chat that fall into the trace.
+// appendChat appends the turns of one chat that fall into the trace.
 func appendChat(trace []request, r *rand.Rand, turn request, t float64, end time.Duration, meanTurns float64) []request {
-	turn.fresh = 200 + r.IntN(1000)
+	turn.newTokens = 200 + r.IntN(1000)
 	for {
 		turn.at = time.Duration(t * float64(time.Second))
 		turn.deadline = turn.at + deadlineAfter[turn.priority]
-		turn.output = min(300, 20+int(r.ExpFloat64()*80))
+		turn.outputTokens = min(300, 20+int(r.ExpFloat64()*80))
 		if turn.at >= end {
 			return trace
 		}
@@ -112,8 +115,8 @@
 		if r.Float64() < 1/meanTurns {
 			return trace
 		}
-		turn.history += turn.fresh + turn.output
-		turn.fresh = 20 + r.IntN(200)
+		turn.historyTokens += turn.newTokens + turn.outputTokens
+		turn.newTokens = 20 + r.IntN(200)
 		t += 8 + 20*math.Exp(0.8*r.NormFloat64())
 	}
 }
@@ -141,6 +144,7 @@
 	return p
 }
 
+// drawRank draws a rank from a cumulative distribution.
 func drawRank(r *rand.Rand, cumulative []float64) int {
 	return min(sort.SearchFloat64s(cumulative, r.Float64()), len(cumulative)-1)
 }
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -12,60 +12,65 @@
 type variant struct {
 	name   string
 	policy func(p *replay) sageplace.Policy
-	// token lets placement tokens ride with the callers; memory lets each router remember the chats
-	// that it served.
+	// token lets callers send placement tokens; routerMemory lets each router remember the chats that
+	// it served.
 	token, routerMemory bool
-	// yield lets less urgent requests leave room for urgent ones.
+	// headroom makes less urgent requests leave capacity for urgent ones.
 	headroom bool
-	// allot, if set, bounds requests in flight by allotments of the engines' homes.
+	// allotments, if set, bounds the requests in flight by allotments that the engines' coordinators
+	// grant.
 	allotments *allotmentRule
-	// loadFeed is reports if it is zero.
+	// loadFeed is reportFeed if it is zero.
 	loadFeed loadFeed
 }
 
-// sagestand is what the daemon does: placement by the engines' lagging reports and own requests since,
-// under allotments of what each engine bears.
+// sagestand is what the daemon does: placement by the engines' lagging reports and the router's own
+// requests since, with allotments of each engine's capacity.
 var sagestand = variant{
 	name: "sagestand", token: true, headroom: true,
 	allotments: &allotmentRule{meanMultiple: unlimitedMultiple, headroom: 1, onDemand: true}, policy: widthByLoad(sageplace.LoadBounds(maxLoadMultiple)),
 }
 
-// unlimitedMultiple leaves the allotments of an engine at what it bears.
+// unlimitedMultiple leaves an engine's capacity as the only limit of its allotments.
 const unlimitedMultiple = 1e6
 
-// sagestandCounts is ours if homes told the routers' counts with each grant, which the daemon doesn't.
+// sagestandCounts is sagestand if coordinators also sent the routers' counts with each grant, which the
+// daemon doesn't do.
 var sagestandCounts = variant{name: "sagestand, counts", token: true, headroom: true, loadFeed: countFeed, allotments: sagestand.allotments, policy: sagestand.policy}
 
-// sagestandAllotted is oursCounts if homes also granted no more than 1.4 x mean, each unit on demand,
-// which the daemon doesn't.
+// sagestandAllotted is sagestandCounts if coordinators also granted at most 1.4 x mean, each unit on
+// demand, which the daemon doesn't do.
 var sagestandAllotted = variant{
 	name: "sagestand, mean allotted", token: true, headroom: true, loadFeed: countFeed,
 	allotments: &allotmentRule{meanMultiple: 1.4, onDemand: true}, policy: widthByLoad(1.4, 1.1),
 }
 
-// estimatesOnly is ours without allotments.
+// estimatesOnly is sagestand without allotments.
 var estimatesOnly = variant{name: "estimates alone", token: true, headroom: true, policy: sagestand.policy}
 
-// isSagestand reports whether v is one of the project's own ways, which have targets.
+// isSagestand reports whether v is one of the project's own variants, which have targets.
 func isSagestand(v variant) bool {
 	return v.name == sagestand.name || v.name == sagestandCounts.name || v.name == sagestandAllotted.name
 }
 
-// firstVersion is the bounded order alone, which the project began with.
+// firstVersion is bounded placement in hash order alone, the project's first policy.
 var firstVersion = variant{name: "first version", policy: noWidening(1.25, 1.25)}
 
+// widthByLoad returns a policy that widens a hot context by load.
 func widthByLoad(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByLoad(1024)}
 	}
 }
 
+// widthByShare returns a policy that widens a hot context by its share of the router's own requests.
 func widthByShare(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByShare(1024)}
 	}
 }
 
+// noWidening returns a policy that keeps each context on one engine.
 func noWidening(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
 		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: uncachedBound}
@@ -82,17 +87,18 @@
 	{name: "plain hash", policy: func(*replay) sageplace.Policy { return sageplace.PlainHash{} }},
 }
 
-// oracleBound is the bound of the oracle, the same as ours.
+// oracleBound is the load bound of the oracle, the same as that of sagestand.
 var oracleBound, _ = sageplace.LoadBounds(maxLoadMultiple)
 
-// oraclePolicy is the oracle: it sees the true caches and loads of all engines without lag, and sends each
-// request to the one under the bound that holds most of its prompt, the least loaded of these.
+// oraclePolicy is an upper bound for the other policies: it knows the true caches and loads of all
+// engines without lag. Of the engines below the bound it chooses the one that holds most of the prompt,
+// and among equals the least loaded.
 type oraclePolicy struct{ p *replay }
 
 // Choose implements [sageplace.Policy].
 func (s *oraclePolicy) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
 	p := s.p
-	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, history: 1 << 20}
+	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, historyTokens: 1 << 20}
 	totalLoad, totalCapacity := 1, 0
 	for _, e := range p.engines {
 		if p.usable(e) {
@@ -116,15 +122,16 @@
 	return sageplace.Choice{Index: best, Reason: sageplace.ReasonHashOrder}
 }
 
-// usable reports whether an engine is a candidate in truth.
+// usable reports whether an engine is in fact a candidate.
 func (p *replay) usable(e *engine) bool { return e.up && !e.leaving && p.inService[e.dataCentre] }
 
-// loadLimit returns ceil(multiple x mean) for an engine that bears that much of the whole capacity.
+// loadLimit returns ceil(multiple x mean) for an engine with a part engineCapacity of the total
+// capacity.
 func loadLimit(multiple float64, totalLoad, totalCapacity, engineCapacity int) int {
 	return int(math.Ceil(multiple * float64(totalLoad) * float64(engineCapacity) / float64(max(totalCapacity, 1))))
 }
 
-// allVariants returns every policy that a table compares.
+// allVariants returns all variants that the tables compare.
 func allVariants() []variant {
 	return slices.Concat([]variant{oracle, sagestand, sagestandCounts, sagestandAllotted, estimatesOnly, firstVersion}, baselines)
 }
