--- a/internal/sagemeasure/coldrouter.go
+++ b/internal/sagemeasure/coldrouter.go
@@ -25,8 +25,8 @@
 	lastReports []sageload.Report
 }
 
-// coldFloor is the sum of the guaranteed shares of an engine, coldWarmAfter the number of completed
-// requests after which it is reserved.
+// coldFloor is the sum of the guaranteed shares of an engine, coldWarmAfterRequests the number of
+// completed requests after which it is reserved.
 const (
 	coldFloor             = 1
 	coldWarmAfterRequests = 100
--- a/internal/sagemeasure/exit.go
+++ b/internal/sagemeasure/exit.go
@@ -117,8 +117,8 @@
 }
 
 // settleTime returns the seconds after from until the mean response time over five seconds is at most
-// 1.15 times that before the exit, and stays so for another five seconds. It returns the whole interval
-// if that doesn't happen.
+// 1.15 times that of the 40 s before the exit, and stays so for another five seconds. It returns the
+// whole interval if that doesn't happen.
 func (p *replay) settleTime(from, until time.Duration) float64 {
 	const window = 5 * time.Second
 	limit := 1.15 * p.meanResponseTime(warmUp, exitAt)
--- a/internal/sagemeasure/retry.go
+++ b/internal/sagemeasure/retry.go
@@ -29,7 +29,7 @@
 	name             string
 	failingUpstreams int
 	failureDelay     time.Duration // until the failure is observed
-	slowShare        float64       // fraction of responses that take ten times as long
+	slowShare        float64       // fraction of responses that take ten times as long but succeed
 }
 
 var retryCases = []retryCase{
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -90,7 +90,7 @@
 // oracleBound is the load bound of the oracle, the same as that of sagestand.
 var oracleBound, _ = sageplace.LoadBounds(maxLoadMultiple)
 
-// oraclePolicy is an upper bound for the other policies: it knows the true caches and loads of all
+// oraclePolicy is the reference for the other policies: it knows the true caches and loads of all
 // engines without lag. Of the engines below the bound it chooses the one that holds most of the prompt,
 // and among equals the least loaded.
 type oraclePolicy struct{ p *replay }
