--- a/internal/sagemeasure/churn.go
+++ b/internal/sagemeasure/churn.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// The parts of a replay: caches fill, then figures count.
+// Phases of a replay: the caches fill, the figures are measured, the remaining requests finish.
 const (
-	warmUp  = 120 * time.Second
-	measure = 240 * time.Second
-	tail    = 30 * time.Second
+	warmUp      = 120 * time.Second
+	measureTime = 240 * time.Second
+	drainTime   = 30 * time.Second
 )
 
-// Churn measures cache reuse, cached prompt tokens / prompt tokens, while engines join, leave and
-// flap, routers are replaced, and each router learns of a change up to four seconds late.
+// Churn measures cache reuse, cached prompt tokens / prompt tokens, while engines join, leave and flap,
+// routers are replaced, and each router observes a change up to maxChangeDelay late.
 func Churn(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, s := range []site{trentvale, haller} {
-		trace := makeTrace(s, seed, warmUp+measure)
+		trace := makeTrace(s, seed, warmUp+measureTime)
 		best := 0.0
-		for _, v := range all() {
+		for _, v := range allVariants() {
 			p := runChurn(s, v, trace, seed)
-			reuse := p.reuse(warmUp)
+			reuse := p.cacheReuse(warmUp)
 			if v.name == oracle.name {
 				best = reuse
 			}
 			out = append(out, Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse", Value: reuse})
-			of := Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse of oracle's", Value: reuse / best}
-			if own(v) {
-				of.Target = &Target{AtLeast, 0.95}
+			relative := Sample{Scenario: s.name, Policy: v.name, Metric: "cache reuse of oracle's", Value: reuse / best}
+			if isSagestand(v) {
+				relative.Target = &Target{AtLeast, 0.95}
 			}
-			out = append(out, of)
+			out = append(out, relative)
 		}
 	}
 	return out, nil
@@ -35,15 +35,15 @@
 
 func runChurn(s site, v variant, trace []request, seed uint64) *replay {
 	p := newReplay(s, v, trace, seed)
-	p.churn()
-	p.runUntil(warmUp + measure + tail)
+	p.scheduleChurn()
+	p.runUntil(warmUp + measureTime + drainTime)
 	return p
 }
 
-// churn arranges what happens to engines and routers. Every 20 seconds an engine flaps: it crashes
-// and is back, cold, five seconds later. Every 60 seconds an engine leaves for 45 seconds as planned
-// and returns cold. Every 30 seconds a router is replaced by one that remembers nothing.
-func (p *replay) churn() {
+// scheduleChurn schedules the faults. Every 20 s an engine crashes and returns 5 s later with an empty
+// cache. Every 60 s an engine leaves for 45 s as planned and returns with an empty cache. Every 30 s a
+// router is replaced by one without state.
+func (p *replay) scheduleChurn() {
 	n := len(p.engines)
 	p.every(warmUp/2, 20*time.Second, func() {
 		i := p.rand.IntN(n)
@@ -57,27 +57,28 @@
 			p.leave(i, 45*time.Second)
 		}
 	})
-	p.every(warmUp/2, 30*time.Second, func() { p.boot(p.routers[p.rand.IntN(len(p.routers))]) })
+	p.every(warmUp/2, 30*time.Second, func() { p.startRouter(p.routers[p.rand.IntN(len(p.routers))]) })
 }
 
-func (p *replay) flap(i int, back time.Duration) {
+// flap crashes engine i and starts it again after downTime.
+func (p *replay) flap(i int, downTime time.Duration) {
 	e := p.engines[i]
 	p.announce(i, false)
 	e.crash()
-	p.after(back, func() {
+	p.after(downTime, func() {
 		e.up = true
 		p.announce(i, true)
 	})
 }
 
-// leave drains an engine: no router sends it new work after changeDelay, and it stops when the last
-// request is done.
-func (p *replay) leave(i int, back time.Duration) {
+// leave drains engine i: no router sends it new requests after maxChangeDelay. It stops 5 s before the
+// end of awayTime and then starts again.
+func (p *replay) leave(i int, awayTime time.Duration) {
 	e := p.engines[i]
 	e.leaving = true
 	p.announce(i, false)
-	p.after(back-5*time.Second, func() { e.crash() })
-	p.after(back, func() {
+	p.after(awayTime-5*time.Second, func() { e.crash() })
+	p.after(awayTime, func() {
 		e.up, e.leaving = true, false
 		p.announce(i, true)
 	})
--- a/internal/sagemeasure/claims.go
+++ b/internal/sagemeasure/claims.go
@@ -13,80 +13,82 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// The load of the claims measure: 36,000 requests a second of which one in 50 is a booking.
+// Load of the claims measurement: one in 50 of 36,000 requests per second is a booking.
 const (
-	bookingRate  = 720
-	accounts     = 32_000
-	todayRate    = 5
-	claimsFor    = 1500 * time.Millisecond
-	bookingTakes = 300 * time.Millisecond
-	storeTakes   = 2 * time.Millisecond
-	storeJitter  = 4 * time.Millisecond
-	clockSpread  = time.Second
-	repeatAfter  = 100 * time.Millisecond
-	lossRate     = 0.1
+	bookingsPerSecond        = 720
+	numAccounts              = 32_000
+	currentBookingsPerSecond = 5
+	claimsDuration           = 1500 * time.Millisecond
+	bookingTime              = 300 * time.Millisecond
+	storeMinDelay            = 2 * time.Millisecond
+	storeJitter              = 4 * time.Millisecond
+	maxClockOffset           = time.Second
+	claimRetryDelay          = 100 * time.Millisecond
+	claimLossRate            = 0.1
 )
 
-// claimWay is one way of committing claims.
-type claimWay struct {
-	name   string
-	rate   int
-	rules  sageclaim.Rules
-	window time.Duration
-	// alone gives each claim an object of its own.
-	alone bool
-	// loss is the part of updates whose answer is lost, half of them before their effect.
-	loss       float64
+// claimMethod is one method of committing claims.
+type claimMethod struct {
+	name        string
+	rate        int
+	rules       sageclaim.Rules
+	batchWindow time.Duration
+	// ownObject gives each claim an object of its own.
+	ownObject bool
+	// lossRate is the fraction of updates whose response is lost, half of them before the update takes
+	// effect.
+	lossRate   float64
 	noReadBack bool
 }
 
-// slowStore adds the time that a platform takes, and loses answers.
+// slowStore adds the latency of a platform's store and loses responses.
 type slowStore struct {
 	sageobject.Store
-	mu   sync.Mutex
-	rng  *rand.Rand
-	loss float64
+	mu       sync.Mutex
+	rng      *rand.Rand
+	lossRate float64
 }
 
-func (s *slowStore) draw() (takes time.Duration, lost float64) {
+// drawDelay returns the delay of a call and a random number that decides whether its response is lost.
+func (s *slowStore) drawDelay() (delay time.Duration, lossDraw float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return storeTakes + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
+	return storeMinDelay + time.Duration(s.rng.Int63n(int64(storeJitter))), s.rng.Float64()
 }
 
 // Get implements [sageobject.Store].
 func (s *slowStore) Get(ctx context.Context, key string) (sageobject.Object, error) {
-	takes, _ := s.draw()
-	time.Sleep(takes)
+	delay, _ := s.drawDelay()
+	time.Sleep(delay)
 	return s.Store.Get(ctx, key)
 }
 
 // Put implements [sageobject.Store].
 func (s *slowStore) Put(ctx context.Context, key string, value []byte, want int64) (int64, error) {
-	takes, lost := s.draw()
-	time.Sleep(takes)
-	if lost < s.loss/2 {
+	delay, lossDraw := s.drawDelay()
+	time.Sleep(delay)
+	if lossDraw < s.lossRate/2 {
 		return 0, sageobject.ErrUnknown
 	}
 	v, err := s.Store.Put(ctx, key, value, want)
-	if err == nil && lost < s.loss {
+	if err == nil && lossDraw < s.lossRate {
 		return 0, sageobject.ErrUnknown
 	}
 	return v, err
 }
 
-// Claims measures ways of committing claims by the real committer, in real time and with a store
-// that answers in 2 to 6 ms. Its figures of time vary a little from run to run, also with one seed.
+// Claims compares methods of committing claims through the committer, in real time and with a store
+// that responds in 2 to 6 ms. Latencies vary a little from run to run, even with the same seed.
 func Claims(seed uint64) ([]Sample, error) {
 	rules := func(bucket time.Duration, shards int) sageclaim.Rules {
 		return sageclaim.Rules{Bucket: bucket, Shards: shards, Retention: time.Hour, MaxAhead: time.Minute}
 	}
-	ways := []claimWay{
-		{name: "one write a claim", rate: bookingRate, alone: true, rules: rules(2*time.Second, 4)},
-		{name: "one write a claim, today", rate: todayRate, alone: true, rules: rules(2*time.Second, 4)},
-		{name: "group, today", rate: todayRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond},
+	methods := []claimMethod{
+		{name: "one write a claim", rate: bookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
+		{name: "one write a claim, today", rate: currentBookingsPerSecond, ownObject: true, rules: rules(2*time.Second, 4)},
+		{name: "group, today", rate: currentBookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond},
 	}
-	for _, l := range []struct {
+	for _, layout := range []struct {
 		window time.Duration
 		shards int
 		bucket time.Duration
@@ -96,84 +98,86 @@
 		{50 * time.Millisecond, 2, 2 * time.Second}, {50 * time.Millisecond, 4, 2 * time.Second},
 		{50 * time.Millisecond, 2, 10 * time.Second}, {100 * time.Millisecond, 2, 2 * time.Second},
 	} {
-		ways = append(ways, claimWay{
-			name: fmt.Sprintf("group, %v, %d shards, bucket %v", l.window, l.shards, l.bucket),
-			rate: bookingRate, rules: rules(l.bucket, l.shards), window: l.window,
+		methods = append(methods, claimMethod{
+			name: fmt.Sprintf("group, %v, %d shards, bucket %v", layout.window, layout.shards, layout.bucket),
+			rate: bookingsPerSecond, rules: rules(layout.bucket, layout.shards), batchWindow: layout.window,
 		})
 	}
-	ways = append(ways,
-		claimWay{name: "10% lost, read back", rate: bookingRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, loss: lossRate},
-		claimWay{name: "10% lost, taken as unknown", rate: bookingRate, rules: rules(2*time.Second, 2), window: 50 * time.Millisecond, loss: lossRate, noReadBack: true},
+	methods = append(methods,
+		claimMethod{name: "10% lost, read back", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond, lossRate: claimLossRate},
+		claimMethod{name: "10% lost, taken as unknown", rate: bookingsPerSecond, rules: rules(2*time.Second, 2), batchWindow: 50 * time.Millisecond, lossRate: claimLossRate, noReadBack: true},
 	)
 	var out []Sample
-	for _, w := range ways {
-		samples, err := w.run(seed)
+	for _, m := range methods {
+		samples, err := m.run(seed)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", w.name, err)
+			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
 		out = append(out, samples...)
 	}
 	return out, nil
 }
 
-// claimTally is what one way brought.
-type claimTally struct {
-	mu      sync.Mutex
-	took    []float64
-	refused int
-	failed  int
+// claimResults collects the results of one method.
+type claimResults struct {
+	mu          sync.Mutex
+	latenciesMs []float64
+	refused     int
+	failed      int
 }
 
-func (w *claimWay) run(seed uint64) ([]Sample, error) {
+func (m *claimMethod) run(seed uint64) ([]Sample, error) {
 	rng := rand.New(rand.NewSource(int64(seed)))
 	mem := &sageobject.Memory{}
 	c := &sageclaim.Committer{
-		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), loss: w.loss},
-		BatchWindow: w.window, NoReadBack: w.noReadBack, MaxCachedObjects: 1 << 16,
+		Store:       &slowStore{Store: mem, rng: rand.New(rand.NewSource(int64(seed) + 1)), lossRate: m.lossRate},
+		BatchWindow: m.batchWindow, NoReadBack: m.noReadBack, MaxCachedObjects: 1 << 16,
 	}
-	var t claimTally
+	var t claimResults
 	var wg sync.WaitGroup
 	start := time.Now()
 	n := 0
 	for next := start; ; n++ {
-		next = next.Add(time.Duration(rng.ExpFloat64() / float64(w.rate) * float64(time.Second)))
-		if next.Sub(start) > claimsFor {
+		next = next.Add(time.Duration(rng.ExpFloat64() / float64(m.rate) * float64(time.Second)))
+		if next.Sub(start) > claimsDuration {
 			break
 		}
 		time.Sleep(time.Until(next))
-		created := time.Now().Add(time.Duration((rng.Float64()*2 - 1) * float64(clockSpread)))
+		created := time.Now().Add(time.Duration((rng.Float64()*2 - 1) * float64(maxClockOffset)))
 		b := booking{
 			key:         fmt.Sprintf("%d-%016x%04x", created.UnixMilli(), rng.Uint64(), rng.Intn(1<<16)),
-			account:     fmt.Sprintf("account-%d", rng.Intn(accounts)),
+			account:     fmt.Sprintf("account-%d", rng.Intn(numAccounts)),
 			fingerprint: fmt.Sprintf("%016x", rng.Uint64()),
 		}
 		for i := range b.ids {
 			b.ids[i] = fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64())
 		}
-		wg.Go(func() { w.book(c, &t, &b) })
+		wg.Go(func() { m.commitBooking(c, &t, &b) })
 	}
 	wg.Wait()
 	c.Wait()
-	return w.samples(c, mem, &t, n)
+	return m.samples(c, mem, &t, n)
 }
 
-// booking is one booking; its texts are random, as they compress like real ones only then.
+// booking is one booking. Its fields are random because constant texts would compress better than real
+// ones.
 type booking struct {
 	key, account, fingerprint string
 	ids                       [2]string
 }
 
-// book claims, runs and finishes one booking; a claim refused for the store is sent once more.
-func (w *claimWay) book(c *sageclaim.Committer, t *claimTally, b *booking) {
+// commitBooking claims, runs and finishes one booking. A claim that the store fails is sent once more,
+// under a new claim ID.
+func (m *claimMethod) commitBooking(c *sageclaim.Committer, t *claimResults, b *booking) {
 	key, err := sageclaim.ParseKey(b.key)
 	if err != nil {
 		return
 	}
-	object := w.rules.ObjectKey(b.account, key)
-	if w.alone {
+	object := m.rules.ObjectKey(b.account, key)
+	if m.ownObject {
 		object += "/" + b.key
 	}
-	begin := time.Now()
+	start := time.Now()
 	for _, id := range b.ids {
 		e := sageclaim.Entry{
 			Op: sageclaim.OpClaim, Account: b.account, Key: key.Text, ClaimID: id,
@@ -181,17 +185,18 @@
 		}
 		rec, err := c.Commit(context.Background(), object, e)
 		if err != nil {
-			time.Sleep(repeatAfter)
+			time.Sleep(claimRetryDelay)
 			continue
 		}
 		if rec.ClaimID != e.ClaimID {
-			// Only this booking uses the key, and it did not run.
-			t.note(func() { t.refused++ })
+			// Only this booking uses the key: its own first claim took effect although the response was
+			// lost, and the booking doesn't run.
+			t.update(func() { t.refused++ })
 			return
 		}
-		took := time.Since(begin)
-		t.note(func() { t.took = append(t.took, float64(took)/float64(time.Millisecond)) })
-		time.Sleep(bookingTakes)
+		latency := time.Since(start)
+		t.update(func() { t.latenciesMs = append(t.latenciesMs, float64(latency)/float64(time.Millisecond)) })
+		time.Sleep(bookingTime)
 		e.Op, e.Outcome, e.Status, e.Fingerprint, e.Deadline = sageclaim.OpFinish, sagewire.Complete, 201, "", time.Time{}
 		for range 5 {
 			if _, err := c.Commit(context.Background(), object, e); err == nil {
@@ -200,34 +205,35 @@
 		}
 		return
 	}
-	t.note(func() { t.failed++ })
+	t.update(func() { t.failed++ })
 }
 
-func (t *claimTally) note(f func()) {
+// update runs f with the results locked.
+func (t *claimResults) update(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-func (w *claimWay) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimTally, n int) ([]Sample, error) {
+func (m *claimMethod) samples(c *sageclaim.Committer, mem *sageobject.Memory, t *claimResults, n int) ([]Sample, error) {
 	metas, err := mem.List(context.Background(), sageclaim.Prefix)
 	if err != nil {
 		return nil, fmt.Errorf("list claims: %w", err)
 	}
 	largest, total := 0, 0
-	for _, m := range metas {
-		o, err := mem.Get(context.Background(), m.Key)
+	for _, meta := range metas {
+		o, err := mem.Get(context.Background(), meta.Key)
 		if err != nil {
 			return nil, fmt.Errorf("read claims: %w", err)
 		}
 		largest, total = max(largest, len(o.Value)), total+len(o.Value)
 	}
-	sort.Float64s(t.took)
-	quantile := func(q float64) float64 { return t.took[int(q*float64(len(t.took)-1))] }
-	seconds := claimsFor.Seconds()
+	sort.Float64s(t.latenciesMs)
+	quantile := func(q float64) float64 { return t.latenciesMs[int(q*float64(len(t.latenciesMs)-1))] }
+	seconds := claimsDuration.Seconds()
 	s := c.Stats()
 	samples := []Sample{
-		{Metric: "claims", Unit: "/s", Value: float64(len(t.took)) / seconds},
+		{Metric: "claims", Unit: "/s", Value: float64(len(t.latenciesMs)) / seconds},
 		{Metric: "added latency, median", Unit: "ms", Value: quantile(0.5)},
 		{Metric: "added latency, 99 in 100", Unit: "ms", Value: quantile(0.99)},
 		{Metric: "store writes", Unit: "/s", Value: float64(s.Puts) / seconds},
@@ -236,13 +242,13 @@
 		{Metric: "kept a booking", Unit: "B", Value: float64(total) / float64(n)},
 		{Metric: "largest object", Unit: "KB", Value: float64(largest) / 1000},
 	}
-	if w.loss > 0 {
+	if m.lossRate > 0 {
 		samples = append(samples,
 			Sample{Metric: "bookings refused for nothing", Unit: "in 1000", Value: 1000 * float64(t.refused+t.failed) / float64(n)},
 			Sample{Metric: "store calls a booking", Value: float64(s.Puts+s.Gets) / float64(n)})
 	}
 	for i := range samples {
-		samples[i].Scenario, samples[i].Policy = fmt.Sprintf("%d bookings/s", w.rate), w.name
+		samples[i].Scenario, samples[i].Policy = fmt.Sprintf("%d bookings/s", m.rate), m.name
 	}
 	return samples, nil
 }
--- a/internal/sagemeasure/config_test.go
+++ b/internal/sagemeasure/config_test.go
@@ -9,8 +9,8 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// value returns a sample's figure by its metric.
-func value(t *testing.T, samples []Sample, metric string) float64 {
+// valueOf returns the value of the sample with the given metric.
+func valueOf(t *testing.T, samples []Sample, metric string) float64 {
 	t.Helper()
 	for _, s := range samples {
 		if s.Metric == metric {
@@ -21,33 +21,34 @@
 	return 0
 }
 
-// The store goes out right after an exit was accepted; only the acceptor holds it. A user of any
-// other node would go on being sent there if the exchange didn't carry it.
+// The store becomes unreachable right after an exit was accepted, so only the accepting node has the
+// ticket. Without the exchange between nodes, all others would go on sending requests to the data
+// centre.
 func TestInForceWithoutStore(t *testing.T) {
 	f, err := newConfigFleet(1, 20, 4, false)
 	require.NoError(t, err)
 	f.LossRate = 0.3
-	s, err := f.inForce(true)
+	s, err := f.measureInForce(true)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, value(t, s, "in force, max"), float64(inForceTarget))
-	assert.Greater(t, value(t, s, "in force, max"), 1.0, "it takes more than one exchange")
+	assert.LessOrEqual(t, valueOf(t, s, "in force, max"), float64(inForceTargetSeconds))
+	assert.Greater(t, valueOf(t, s, "in force, max"), 1.0, "propagation takes more than one exchange")
 }
 
-// A far region is cut off, and a data centre in it is taken out. Its nodes can't hear of that; under
-// the default rule they stop instead of sending work there.
-func TestIsolatedFarRegion(t *testing.T) {
-	for _, tr := range troubles() {
-		if tr.name != "far region cut off, exit" {
+// A region is cut off, and one of its data centres is taken out of service. Its nodes can't receive the
+// ticket; under the default rule they stop serving instead of sending work there.
+func TestIsolationOfFarRegion(t *testing.T) {
+	for _, fault := range isolationFaults() {
+		if fault.name != "far region cut off, exit" {
 			continue
 		}
-		for way, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
-			s, err := isolate(1, tr, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+		for policy, sends := range map[sagesync.IsolationPolicy]bool{sagesync.IsolatedServe: true, sagesync.IsolatedQuorum: false} {
+			s, err := measureIsolation(1, fault, sagesync.Rule{Isolated: policy, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			require.NoError(t, err)
-			assert.Equal(t, sends, value(t, s, "work sent to the data centre that was out") > 0, way)
-			assert.Equal(t, sends, value(t, s, "service lost") == 0, way)
-			assert.Equal(t, 100.0, value(t, s, "exit accepted"), way)
+			assert.Equal(t, sends, valueOf(t, s, "work sent to the data centre that was out") > 0, policy)
+			assert.Equal(t, sends, valueOf(t, s, "service lost") == 0, policy)
+			assert.Equal(t, 100.0, valueOf(t, s, "exit accepted"), policy)
 		}
 		return
 	}
-	t.Fatal("no such trouble")
+	t.Fatal("fault case not found")
 }
--- a/internal/sagemeasure/configfleet.go
+++ b/internal/sagemeasure/configfleet.go
@@ -13,114 +13,116 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// Periods of a watcher, as the service "config" has them, in rounds of a second.
+// Periods of a watcher, in rounds of one second, as in the daemon's service "config".
 const (
 	confirmRounds = 2
 	watchRounds   = 15
 )
 
-// watchersEach is the number of nodes of a data centre that watch the store.
-const watchersEach = 2
+// watchersPerDataCentre is the number of nodes per data centre that watch the store.
+const watchersPerDataCentre = 2
 
-// configFleet is a member fleet whose nodes also exchange configuration, and the store behind them.
+// configFleet is a MemberFleet whose nodes also exchange configuration, with the store behind them.
 type configFleet struct {
 	*MemberFleet
-	nodes []*configNode
-	store sageobject.Memory
-	a     sageticket.Acceptor
-	// tables lets the nodes find each other through their member tables; else each knows all others
-	// from the start, which is far quicker to run.
-	tables bool
-	// all lets every node watch the store: the baseline.
-	all bool
-	// reaches says whether a node reaches the store.
-	reaches func(n *configNode) bool
-	round   int
-	number  uint64
-	// calls counts the calls to the store, waiting watches among them.
-	calls int64
+	nodes    []*configNode
+	store    sageobject.Memory
+	acceptor sageticket.Acceptor
+	// useTables lets the nodes find each other through their member tables. Otherwise each node knows
+	// all others from the start, which runs much faster.
+	useTables bool
+	// allWatch lets every node watch the store, as a baseline.
+	allWatch bool
+	// reachesStore reports whether a node can reach the store.
+	reachesStore func(n *configNode) bool
+	round        int
+	lastTicket   uint64
+	// storeCalls counts the calls to the store, including waiting watches.
+	storeCalls int64
 }
 
 // configNode is one node with its copy of the configuration.
 type configNode struct {
 	*MemberNode
-	index   int
-	replica *sagesync.Replica
-	bytes   int64 // what its part of the exchanges carried
-	watcher bool  // as of its last look at who is live
-	peers   []sagegossip.Peer
+	index        int
+	replica      *sagesync.Replica
+	sectionBytes int64 // bytes of the configuration section in its exchanges
+	watcher      bool  // as of the last check, see roleRounds
+	peers        []sagegossip.Peer
 }
 
-// counted counts the bytes of a section.
-type counted struct {
+// countingSection counts the bytes of a section.
+type countingSection struct {
 	sagegossip.Section
-	n *configNode
+	node *configNode
 }
 
-func (c *counted) Digest() []byte {
+// Digest implements [sagegossip.Section].
+func (c *countingSection) Digest() []byte {
 	d := c.Section.Digest()
-	c.n.bytes += int64(len(d))
+	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
-func (c *counted) Delta(digest []byte, budget int) []byte {
+// Delta implements [sagegossip.Section].
+func (c *countingSection) Delta(digest []byte, budget int) []byte {
 	d := c.Section.Delta(digest, budget)
-	c.n.bytes += int64(len(d))
+	c.node.sectionBytes += int64(len(d))
 	return d
 }
 
-// roleRounds is how often a node looks at who is live.
+// roleRounds is the interval at which a node checks whether it is a watcher.
 const roleRounds = 5
 
-// settleRounds lets the nodes of a new fleet meet each other.
-const settleRounds = 60
+// convergeRounds is the number of rounds in which the nodes of a new fleet find each other.
+const convergeRounds = 60
 
-// newConfigFleet returns a fleet of n nodes in so many data centres that have met each other.
+// newConfigFleet returns a fleet of n nodes whose nodes all hold the first ticket.
 func newConfigFleet(seed uint64, n, dataCentres int, tables bool) (*configFleet, error) {
-	f := &configFleet{MemberFleet: NewMemberFleet(seed), tables: tables, reaches: func(*configNode) bool { return true }}
-	f.a = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
+	f := &configFleet{MemberFleet: NewMemberFleet(seed), useTables: tables, reachesStore: func(*configNode) bool { return true }}
+	f.acceptor = sageticket.Acceptor{Store: &f.store, Now: func() time.Time { return f.Now }}
 	if err := f.AddNodes(n, dataCentres, sagemember.DefaultLimits()); err != nil {
-		return nil, fmt.Errorf("config fleet: %w", err)
+		return nil, fmt.Errorf("create config fleet: %w", err)
 	}
 	for i, m := range f.Nodes {
 		c := &configNode{MemberNode: m, index: i, replica: &sagesync.Replica{Now: func() time.Time { return f.Now }}}
-		own := &counted{Section: c.replica, n: c}
+		section := &countingSection{Section: c.replica, node: c}
 		if tables {
-			m.Engine.Sections = append(m.Engine.Sections, own)
+			m.Engine.Sections = append(m.Engine.Sections, section)
 		} else {
-			m.Engine.Sections = []sagegossip.Section{own}
-			c.peers = f.others(m)
+			m.Engine.Sections = []sagegossip.Section{section}
+			c.peers = f.otherPeers(m)
 		}
 		f.nodes = append(f.nodes, c)
 	}
-	if err := f.accept(f.nodes[0], "dc0", true); err != nil {
+	if err := f.submitTicket(f.nodes[0], "dc0", true); err != nil {
 		return nil, err
 	}
-	for range settleRounds {
+	for range convergeRounds {
 		f.step()
 	}
-	if c := f.behind(1); c > 0 {
-		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", c, n, settleRounds, ErrIncomplete)
+	if behind := f.nodesBehind(1); behind > 0 {
+		return nil, fmt.Errorf("%d of %d nodes lack the first ticket after %d rounds: %w", behind, n, convergeRounds, ErrIncomplete)
 	}
 	return f, nil
 }
 
-// accept submits a change of a data centre through a node that reaches the store. The acceptor has
-// it at once; the watchers have it with the next step.
-func (f *configFleet) accept(n *configNode, dataCentre string, in bool) error {
-	f.number++
-	t := &sageconfig.Ticket{Number: f.number, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
+// submitTicket submits a change of a data centre through a node that reaches the store. That node
+// applies it immediately; the watchers read it in the next step.
+func (f *configFleet) submitTicket(n *configNode, dataCentre string, inService bool) error {
+	f.lastTicket++
+	t := &sageconfig.Ticket{Number: f.lastTicket, Author: "operator", Reason: "planned exit", Changes: []sageconfig.Change{{
 		Key:        sageconfig.EntryKey{Kind: sageconfig.KindDataCentre, Name: dataCentre},
-		DataCentre: &sageconfig.DataCentre{InService: in},
+		DataCentre: &sageconfig.DataCentre{InService: inService},
 	}}}
-	if _, err := f.a.Submit(context.Background(), t); err != nil {
-		return fmt.Errorf("accept: %w", err)
+	if _, err := f.acceptor.Submit(context.Background(), t); err != nil {
+		return fmt.Errorf("submit ticket: %w", err)
 	}
-	return f.read(n)
+	return f.readStore(n)
 }
 
-// read brings a node up to date from the store.
-func (f *configFleet) read(n *configNode) error {
+// readStore updates a node's replica from the store.
+func (f *configFleet) readStore(n *configNode) error {
 	h, _, err := sageticket.ReadHead(context.Background(), &f.store)
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.index, err)
@@ -136,16 +138,16 @@
 	return nil
 }
 
-// watches says whether n watches the store, by its own view of who is live.
-func (f *configFleet) watches(n *configNode) bool {
-	if f.all || (f.round+n.index)%roleRounds != 0 {
-		return f.all || n.watcher
+// isWatching reports whether n watches the store, by its own view of which nodes are live.
+func (f *configFleet) isWatching(n *configNode) bool {
+	if f.allWatch || (f.round+n.index)%roleRounds != 0 {
+		return f.allWatch || n.watcher
 	}
 	var live []string
-	if f.tables {
-		for _, m := range n.Table.Live() {
-			if m.DataCentre == n.Table.Self.DataCentre {
-				live = append(live, m.Address)
+	if f.useTables {
+		for _, node := range n.Table.Live() {
+			if node.DataCentre == n.Table.Self.DataCentre {
+				live = append(live, node.Address)
 			}
 		}
 	}
@@ -154,37 +156,38 @@
 			live = append(live, p.Address)
 		}
 	}
-	n.watcher = sagesync.IsWatcher(n.Table.Self.Address, live, watchersEach)
+	n.watcher = sagesync.IsWatcher(n.Table.Self.Address, live, watchersPerDataCentre)
 	return n.watcher
 }
 
-// step lets a second pass: watchers that reach the store learn from it, then the nodes exchange.
+// step advances the fleet by one second: watchers that reach the store read it, then the nodes
+// exchange.
 func (f *configFleet) step() {
 	f.round++
 	for _, n := range f.nodes {
-		if !f.watches(n) {
-			f.feedStarved(n)
+		if !f.isWatching(n) {
+			f.readIfStale(n)
 			continue
 		}
 		if (f.round+n.index)%confirmRounds == 0 {
-			f.calls++
+			f.storeCalls++
 		}
 		if (f.round+n.index)%watchRounds == 0 {
-			f.calls++
+			f.storeCalls++
 		}
-		if !f.reaches(n) {
+		if !f.reachesStore(n) {
 			continue
 		}
 		before := n.replica.Current().Revision
-		// The store of the fleet never fails; a failed read would show as a node that stays behind.
-		if (f.round+n.index)%confirmRounds == 0 || before < f.number {
-			_ = f.read(n)
+		// This store doesn't fail; a failed read would show up as a node that stays behind.
+		if (f.round+n.index)%confirmRounds == 0 || before < f.lastTicket {
+			_ = f.readStore(n)
 		}
 		if n.replica.Current().Revision > before {
-			f.calls++ // the watch returned and is set again
+			f.storeCalls++ // the watch returned and is renewed
 		}
 	}
-	if f.tables {
+	if f.useTables {
 		f.RunRound()
 		return
 	}
@@ -192,27 +195,27 @@
 	for _, i := range f.Rand.Perm(len(f.nodes)) {
 		n := f.nodes[i]
 		if addr, ok := n.chooser.Next(n.peers, nil); ok {
-			// A failed exchange is what the fake link is for.
+			// Failed exchanges are part of the simulation.
 			_ = n.Engine.Exchange(context.Background(), n.MemberNode, addr)
 		}
 	}
 }
 
-// feedStarved lets a node that doesn't watch ask the store when its evidence has grown old.
-func (f *configFleet) feedStarved(n *configNode) {
-	starved := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
-	if !starved || (f.round+n.index)%confirmRounds != 0 {
+// readIfStale lets a node that doesn't watch read the store once its evidence of freshness is old.
+func (f *configFleet) readIfStale(n *configNode) {
+	stale := f.Now.After(n.replica.Status().ConfirmedAt.Add(sagesync.DefaultMaxEvidenceAge * 3 / 4))
+	if !stale || (f.round+n.index)%confirmRounds != 0 {
 		return
 	}
-	f.calls++
-	if f.reaches(n) {
-		// A failed read would show as a node that stays behind.
-		_ = f.read(n)
+	f.storeCalls++
+	if f.reachesStore(n) {
+		// A failed read would show up as a node that stays behind.
+		_ = f.readStore(n)
 	}
 }
 
-// others lists all nodes but one.
-func (f *configFleet) others(m *MemberNode) []sagegossip.Peer {
+// otherPeers returns all nodes but m.
+func (f *configFleet) otherPeers(m *MemberNode) []sagegossip.Peer {
 	var peers []sagegossip.Peer
 	for _, o := range f.Nodes {
 		if o != m {
@@ -222,22 +225,22 @@
 	return peers
 }
 
-// behind returns how many nodes don't hold a revision yet.
-func (f *configFleet) behind(revision uint64) int {
-	c := 0
+// nodesBehind returns the number of nodes that don't hold the revision yet.
+func (f *configFleet) nodesBehind(revision uint64) int {
+	count := 0
 	for _, n := range f.nodes {
 		if n.replica.Current().Revision < revision {
-			c++
+			count++
 		}
 	}
-	return c
+	return count
 }
 
-// bytesOut sums what the configuration's part of the exchanges carried.
-func (f *configFleet) bytesOut() int64 {
+// sectionBytes returns the total bytes of the configuration section in all exchanges.
+func (f *configFleet) sectionBytes() int64 {
 	sum := int64(0)
 	for _, n := range f.nodes {
-		sum += n.bytes
+		sum += n.sectionBytes
 	}
 	return sum
 }
--- a/internal/sagemeasure/contact.go
+++ b/internal/sagemeasure/contact.go
@@ -7,10 +7,10 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// QuorumContact measures how old a node's latest contact to most of the roster gets while all is well, by
-// the heartbeats of the real member tables and by the digests of the configuration. The rule "quorum" needs it to stay below the freshness period, or nodes
-// would stop serving in an outage of the store for no reason. The roster is one node of each data
-// centre.
+// QuorumContact measures how old a node's latest contact with a majority of the roster becomes in
+// normal operation, by the heartbeats of the member tables and by the digests of the configuration. The
+// rule "quorum" needs this age to stay below the freshness period; otherwise nodes would stop serving
+// during a store outage without need. The roster has one node of each data centre.
 func QuorumContact(seed uint64) ([]Sample, error) {
 	const rounds = 60
 	var out []Sample
@@ -21,23 +21,23 @@
 		}
 		roster := f.nodes[:size.dataCentres]
 		f.setRoster(roster)
-		for range settleRounds {
+		for range convergeRounds {
 			f.step()
 		}
 		for _, loss := range []float64{0, 0.3} {
 			f.LossRate = loss
 			var heartbeats, digests time.Duration
-			bytes := f.bytesOut()
+			bytes := f.sectionBytes()
 			for range rounds {
 				f.step()
 				for _, n := range f.nodes {
-					heartbeats = max(heartbeats, f.Now.Sub(n.contact(f.Now, roster)))
+					heartbeats = max(heartbeats, f.Now.Sub(n.lastQuorumContact(f.Now, roster)))
 					digests = max(digests, f.Now.Sub(n.replica.Status().QuorumAt))
 				}
 			}
 			name := fmt.Sprintf("%d nodes, %g%% lost", size.nodes, 100*loss)
 			limit := &Target{Comparison: AtMost, Limit: sagesync.DefaultMaxEvidenceAge.Seconds()}
-			perNode := float64(f.bytesOut()-bytes) / rounds / float64(len(f.nodes))
+			perNode := float64(f.sectionBytes()-bytes) / rounds / float64(len(f.nodes))
 			out = append(out,
 				Sample{Scenario: name, Policy: "heartbeats", Metric: "oldest contact to most of the roster", Unit: "s", Value: heartbeats.Seconds()},
 				Sample{Scenario: name, Policy: "digests", Metric: "oldest contact to most of the roster", Unit: "s", Value: digests.Seconds(), Target: limit},
@@ -59,17 +59,17 @@
 	}
 }
 
-// contact returns the latest instant at which n had contact to most of a roster.
-func (n *configNode) contact(now time.Time, roster []*configNode) time.Time {
+// lastQuorumContact returns the latest time at which n had contact with a majority of the roster.
+func (n *configNode) lastQuorumContact(now time.Time, roster []*configNode) time.Time {
 	latest := map[string]time.Time{n.Table.Self.Address: now}
 	for _, m := range n.Table.Live() {
 		if m.LastContact.After(latest[m.Address]) {
 			latest[m.Address] = m.LastContact
 		}
 	}
-	heard := make([]time.Time, len(roster))
+	contacts := make([]time.Time, len(roster))
 	for i, r := range roster {
-		heard[i] = latest[r.Table.Self.Address]
+		contacts[i] = latest[r.Table.Self.Address]
 	}
-	return sagesync.QuorumAt(now, heard)
+	return sagesync.QuorumAt(now, contacts)
 }
--- a/internal/sagemeasure/isolated.go
+++ b/internal/sagemeasure/isolated.go
@@ -8,42 +8,45 @@
 	"sagestand.example/sagestand/pkg/sagesync"
 )
 
-// The fleet of the isolation measure: three regions of three data centres with two nodes each. Data
-// centre d stands in region d/3; the store stands in region 0.
+// Fleet of the isolation measurement: three regions of three data centres with two nodes each. Data
+// centre d is in region d/3, the store in region 0.
 const (
 	isoDataCentres = 9
 	isoRegions     = 3
 	isoNodes       = 18
 	isoRounds      = 300
-	isoExitAt      = 30
-	// isoGrace is what "a few seconds" allows after an accepted exit, in rounds.
-	isoGrace = 8
-	// isoBookings is the part of the requests that may not be repeated.
-	isoBookings = 0.3
+	isoExitRound   = 30
+	// isoGraceRounds is the time after an accepted exit in which nodes may still send work to the data
+	// centre.
+	isoGraceRounds = 8
+	// isoBookingShare is the fraction of requests that aren't idempotent.
+	isoBookingShare = 0.3
 )
 
-// trouble is a failure that lasts for the whole measure: who reaches whom, and who the store.
-type trouble struct {
-	name  string
-	link  func(a, b *configNode) bool
-	store func(n *configNode) bool
-	// exit is the data centre that operators take out, or -1, and by which node.
-	exit, by int
+// isolationFault is a fault that lasts for the whole measurement: which nodes reach each other, and
+// which the store.
+type isolationFault struct {
+	name         string
+	reachable    func(a, b *configNode) bool
+	reachesStore func(n *configNode) bool
+	// exitDataCentre is the data centre that operators take out of service through exitNode, or -1.
+	exitDataCentre, exitNode int
 }
 
+// region returns the region of a node.
 func region(n *configNode) int { return n.index % isoDataCentres / isoRegions }
 
 func anyLink(_, _ *configNode) bool { return true }
 
 func sameRegion(a, b *configNode) bool { return region(a) == region(b) }
 
-// troubles lists the cases. The exit is in a region that is cut off from the store, where it matters
-// most: nodes there go on sending work to it if they don't know.
-func troubles() []trouble {
-	alone := func(n *configNode) bool { return n.index == 8 }
-	return []trouble{
+// isolationFaults returns the cases. The exit is in a region that is cut off from the store: nodes
+// there go on sending work to the data centre if they don't know of the exit.
+func isolationFaults() []isolationFault {
+	cutOff := func(n *configNode) bool { return n.index == 8 }
+	return []isolationFault{
 		{"store out", anyLink, func(*configNode) bool { return false }, -1, 0},
-		{"one node cut off, exit", func(a, b *configNode) bool { return alone(a) == alone(b) }, func(n *configNode) bool { return !alone(n) }, 8, 0},
+		{"one node cut off, exit", func(a, b *configNode) bool { return cutOff(a) == cutOff(b) }, func(n *configNode) bool { return !cutOff(n) }, 8, 0},
 		{
 			"far region cut off, exit",
 			func(a, b *configNode) bool { return (region(a) == 2) == (region(b) == 2) },
@@ -61,18 +64,18 @@
 	}
 }
 
-// Isolation measures what each rule for isolated nodes costs in service, and how much work it lets go
-// to a data centre that operators took out.
+// Isolation measures how much service each rule for isolated nodes costs, and how much work still goes
+// to a data centre that operators took out of service.
 func Isolation(seed uint64) ([]Sample, error) {
 	var out []Sample
-	for _, t := range troubles() {
-		for _, way := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
-			s, err := isolate(seed, t, sagesync.Rule{Isolated: way, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
+	for _, t := range isolationFaults() {
+		for _, policy := range []sagesync.IsolationPolicy{sagesync.IsolatedServe, sagesync.IsolatedIdempotent, sagesync.IsolatedFence, sagesync.IsolatedQuorum} {
+			s, err := measureIsolation(seed, t, sagesync.Rule{Isolated: policy, MaxEvidenceAge: sagesync.DefaultMaxEvidenceAge, CatchUpTimeout: sagesync.DefaultCatchUpTimeout})
 			if err != nil {
-				return nil, fmt.Errorf("%s, %s: %w", t.name, way, err)
+				return nil, fmt.Errorf("%s, %s: %w", t.name, policy, err)
 			}
 			for i := range s {
-				s[i].Scenario, s[i].Policy = t.name, string(way)
+				s[i].Scenario, s[i].Policy = t.name, string(policy)
 			}
 			out = append(out, s...)
 		}
@@ -80,101 +83,103 @@
 	return out, nil
 }
 
-// isolate runs one trouble under one rule. Each node gets the same load each round, and spreads it
-// over the data centres that are in service by its own state and that it reaches.
-func isolate(seed uint64, t trouble, rule sagesync.Rule) ([]Sample, error) {
+// measureIsolation runs one fault under one rule. Each node gets the same load per round and spreads it
+// over the data centres that it reaches and that are in service by its own state.
+func measureIsolation(seed uint64, t isolationFault, rule sagesync.Rule) ([]Sample, error) {
 	f, err := newConfigFleet(seed, isoNodes, isoDataCentres, true)
 	if err != nil {
 		return nil, err
 	}
 	for d := range isoDataCentres {
-		if err := f.accept(f.nodes[0], fmt.Sprintf("dc%d", d), true); err != nil {
+		if err := f.submitTicket(f.nodes[0], fmt.Sprintf("dc%d", d), true); err != nil {
 			return nil, err
 		}
 	}
-	for range settleRounds {
+	for range convergeRounds {
 		f.step()
 	}
-	byTable := make(map[*MemberNode]*configNode)
+	byMember := make(map[*MemberNode]*configNode)
 	for _, n := range f.nodes {
-		byTable[n.MemberNode] = n
+		byMember[n.MemberNode] = n
 	}
-	f.LinkDown = func(from, to *MemberNode) bool { return !t.link(byTable[from], byTable[to]) }
-	f.reaches = t.store
-	var lost, sent, offered float64
-	accepted := t.exit < 0
-	exitedAt := 0
+	f.LinkDown = func(from, to *MemberNode) bool { return !t.reachable(byMember[from], byMember[to]) }
+	f.reachesStore = t.reachesStore
+	var lostWork, sentToExited, offeredWork float64
+	accepted := t.exitDataCentre < 0
+	exitRound := 0
 	for round := 1; round <= isoRounds; round++ {
 		f.step()
 		for _, n := range f.nodes {
-			n.noteQuorum(f.Now)
+			n.recordQuorum(f.Now)
 		}
-		if round >= isoExitAt && !accepted && rule.MayAccept(f.Now, f.nodes[t.by].replica.Status()) {
-			if err := f.accept(f.nodes[t.by], fmt.Sprintf("dc%d", t.exit), false); err != nil {
+		if round >= isoExitRound && !accepted && rule.MayAccept(f.Now, f.nodes[t.exitNode].replica.Status()) {
+			if err := f.submitTicket(f.nodes[t.exitNode], fmt.Sprintf("dc%d", t.exitDataCentre), false); err != nil {
 				return nil, err
 			}
-			accepted, exitedAt = true, round
+			accepted, exitRound = true, round
 		}
 		for _, n := range f.nodes {
-			share, toOut := n.load(f, t, exitedAt > 0 && round > exitedAt+isoGrace)
-			served := servedPart(rule.Evaluate(f.Now, n.replica.Status()).Level)
-			offered++
-			lost += 1 - served
-			sent += served * share * toOut
+			share, exitedShare := n.workShare(f, t, exitRound > 0 && round > exitRound+isoGraceRounds)
+			served := servedShare(rule.Evaluate(f.Now, n.replica.Status()).Level)
+			offeredWork++
+			lostWork += 1 - served
+			sentToExited += served * share * exitedShare
 		}
 	}
-	yes := 0.0
+	acceptedPercent := 0.0
 	if accepted {
-		yes = 100
+		acceptedPercent = 100
 	}
 	out := []Sample{
-		{Metric: "service lost", Unit: "%", Value: 100 * lost / offered},
-		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sent / offered},
+		{Metric: "service lost", Unit: "%", Value: 100 * lostWork / offeredWork},
+		{Metric: "work sent to the data centre that was out", Unit: "%", Value: 100 * sentToExited / offeredWork},
 	}
-	if t.exit >= 0 {
-		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: yes})
+	if t.exitDataCentre >= 0 {
+		out = append(out, Sample{Metric: "exit accepted", Unit: "%", Value: acceptedPercent})
 	}
 	return out, nil
 }
 
-func servedPart(m sagesync.ServiceLevel) float64 {
+// servedShare returns the fraction of the requests that a node serves at a service level.
+func servedShare(m sagesync.ServiceLevel) float64 {
 	switch m {
 	case sagesync.ServeAll:
 		return 1
 	case sagesync.ServeIdempotent:
-		return 1 - isoBookings
+		return 1 - isoBookingShare
 	}
 	return 0
 }
 
-// load returns the part of n's work that goes to each data centre it uses, and 1 if one of these is
-// out although it may receive nothing any more.
-func (n *configNode) load(f *configFleet, t trouble, out bool) (share, toOut float64) {
-	used := 0
+// workShare returns the fraction of n's work that each data centre gets. exitedShare is 1 if n still
+// uses the data centre that must no longer receive work, otherwise 0.
+func (n *configNode) workShare(f *configFleet, t isolationFault, afterExit bool) (share, exitedShare float64) {
+	usedDataCentres := 0
 	for _, o := range f.nodes[:isoDataCentres] {
 		dc, ok := n.replica.Current().State.DataCentre(o.Table.Self.DataCentre)
-		if !ok || !dc.InService || !t.link(n, o) && n.index%isoDataCentres != o.index {
+		if !ok || !dc.InService || !t.reachable(n, o) && n.index%isoDataCentres != o.index {
 			continue
 		}
-		used++
-		if out && o.index == t.exit {
-			toOut = 1
+		usedDataCentres++
+		if afterExit && o.index == t.exitDataCentre {
+			exitedShare = 1
 		}
 	}
-	if used == 0 {
+	if usedDataCentres == 0 {
 		return 0, 0
 	}
-	return 1 / float64(used), toOut
+	return 1 / float64(usedDataCentres), exitedShare
 }
 
-// noteQuorum tells the replica when the node last had contact to most of the roster, which is all
-// nodes of this fleet: its table remembers dead ones for longer than the measure runs.
-func (n *configNode) noteQuorum(now time.Time) {
-	heard := []time.Time{now}
+// recordQuorum sets the time of the replica's latest contact with a majority of the roster. The roster
+// is all nodes of the fleet, which works because the table keeps dead nodes for longer than the
+// measurement runs.
+func (n *configNode) recordQuorum(now time.Time) {
+	contacts := []time.Time{now}
 	for _, m := range n.Table.All() {
 		if m.Incarnation != n.Table.LocalNode().Incarnation && m.Phase != sagemember.Gone {
-			heard = append(heard, m.LastContact)
+			contacts = append(contacts, m.LastContact)
 		}
 	}
-	n.replica.RecordQuorum(sagesync.QuorumAt(now, heard))
+	n.replica.RecordQuorum(sagesync.QuorumAt(now, contacts))
 }
--- a/internal/sagemeasure/memberfleet.go
+++ b/internal/sagemeasure/memberfleet.go
@@ -12,33 +12,34 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// errLost is how the fake link reports a lost message.
+// errLost is the error of an exchange whose message or response was lost.
 var errLost = errors.New("message lost")
 
-// MemberFleet runs the real member tables and exchanges of many nodes over a fake link, one round a
-// second of virtual time.
+// MemberFleet runs the member tables and exchanges of many nodes over a simulated network, in rounds of
+// one second of virtual time.
 type MemberFleet struct {
 	Now  time.Time
 	Rand *rand.Rand
-	// Loss is the part of the exchanges that fail, half of them after the peer took the message.
+	// LossRate is the fraction of exchanges that fail, half of them after the peer handled the message.
 	LossRate float64
-	// Cut says which direction of which link is broken.
+	// LinkDown reports whether the link is broken in the direction from one node to the other.
 	LinkDown func(from, to *MemberNode) bool
 	Nodes    []*MemberNode
-	// Bytes counts what all messages carried; Exchanges counts the meetings begun.
+	// MessageBytes is the total size of all messages, Exchanges the number of exchanges begun.
 	MessageBytes int64
 	Exchanges    int64
-	// DirectEvictions is the baseline: how often a node would have been dropped by a node whose last
-	// directFailures calls to it failed.
+	// BaselineEvictions counts the evictions of the baseline, which evicts a node after
+	// baselineFailures consecutive failed calls.
 	BaselineEvictions int64
 
-	failures map[[2]string]int
+	consecutiveFailures map[[2]string]int
 }
 
-// directFailures is how many failed calls in a row the baseline takes for death.
-const directFailures = 3
+// baselineFailures is the number of consecutive failed calls after which the baseline considers a node
+// dead.
+const baselineFailures = 3
 
-// MemberNode is one process of the fleet.
+// MemberNode is one process of a MemberFleet.
 type MemberNode struct {
 	Table   *sagemember.Table
 	Engine  *sagegossip.Engine
@@ -52,29 +53,30 @@
 // NewMemberFleet returns a fleet without nodes.
 func NewMemberFleet(seed uint64) *MemberFleet {
 	return &MemberFleet{
-		Now: time.Unix(1_800_000_000, 0), Rand: rand.New(rand.NewPCG(seed, 1)), failures: make(map[[2]string]int),
+		Now: time.Unix(1_800_000_000, 0), Rand: rand.New(rand.NewPCG(seed, 1)), consecutiveFailures: make(map[[2]string]int),
 	}
 }
 
-// Add starts n nodes over data centres in turn; the first node of the fleet is their hint.
-func (f *MemberFleet) AddNodes(n, dcs int, limits sagemember.Limits) error {
+// AddNodes starts n nodes, assigned to the data centres in turn. The first node of the fleet is the
+// seed of the others.
+func (f *MemberFleet) AddNodes(n, dataCentres int, limits sagemember.Limits) error {
 	for range n {
 		i := len(f.Nodes)
 		addr := fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
-		if _, err := f.StartNode(addr, fmt.Sprintf("dc%d", i%dcs), limits); err != nil {
+		if _, err := f.StartNode(addr, fmt.Sprintf("dc%d", i%dataCentres), limits); err != nil {
 			return fmt.Errorf("add node %d: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// Start starts a process at an address; one that ran there before is stopped.
-func (f *MemberFleet) StartNode(addr, dc string, limits sagemember.Limits) (*MemberNode, error) {
-	if old := f.NodeAt(addr); old != nil {
-		old.Stopped = true
+// StartNode starts a process at an address and stops any process that runs there.
+func (f *MemberFleet) StartNode(addr, dataCentre string, limits sagemember.Limits) (*MemberNode, error) {
+	if previous := f.NodeAt(addr); previous != nil {
+		previous.Stopped = true
 	}
 	t := &sagemember.Table{
-		Self:   sagemember.Node{Address: addr, Entry: addr, DataCentre: dc, Phase: sagemember.Serving},
+		Self:   sagemember.Node{Address: addr, Entry: addr, DataCentre: dataCentre, Phase: sagemember.Serving},
 		Limits: limits,
 		Now:    func() time.Time { return f.Now },
 		Random: f.Rand.Uint64,
@@ -88,14 +90,14 @@
 	n := &MemberNode{
 		Table:   t,
 		Engine:  &sagegossip.Engine{Sections: []sagegossip.Section{t}, Budget: 8 << 10},
-		chooser: &sagegossip.Chooser{Self: sagegossip.Peer{Address: addr, DataCentre: dc}, Rand: f.Rand},
+		chooser: &sagegossip.Chooser{Self: sagegossip.Peer{Address: addr, DataCentre: dataCentre}, Rand: f.Rand},
 		fleet:   f,
 	}
 	f.Nodes = append(f.Nodes, n)
 	return n, nil
 }
 
-// At returns the running process at an address.
+// NodeAt returns the running process at an address, or nil.
 func (f *MemberFleet) NodeAt(addr string) *MemberNode {
 	for _, n := range f.Nodes {
 		if !n.Stopped && n.Table.Self.Address == addr {
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// Running returns the processes that run and are not paused.
+// Running returns the processes that are neither stopped nor paused.
 func (f *MemberFleet) Running() []*MemberNode {
 	var list []*MemberNode
 	for _, n := range f.Nodes {
@@ -116,7 +118,8 @@
 	return list
 }
 
-// Round lets a second pass: every running node ticks and meets one peer, in random order.
+// RunRound advances the fleet by one second: every running node ticks and begins one exchange, in
+// random order.
 func (f *MemberFleet) RunRound() {
 	f.Now = f.Now.Add(time.Second)
 	list := f.Running()
@@ -128,25 +131,25 @@
 			continue
 		}
 		f.Exchanges++
-		f.noteDirect(n, addr, n.Engine.Exchange(context.Background(), n, addr))
+		f.recordBaseline(n, addr, n.Engine.Exchange(context.Background(), n, addr))
 	}
 }
 
-// noteDirect keeps the baseline's account of calls to nodes that run. A failed exchange is no error
-// here: it is what the fake link is for, and the table is told of it by the engine.
-func (f *MemberFleet) noteDirect(from *MemberNode, addr string, err error) {
+// recordBaseline counts consecutive failed calls to running nodes for the baseline. The error isn't
+// returned: failed exchanges are part of the simulation, and the engine reports them to the table.
+func (f *MemberFleet) recordBaseline(from *MemberNode, addr string, err error) {
 	link := [2]string{from.Table.Self.Address, addr}
 	if to := f.NodeAt(addr); err == nil || to == nil || to.Paused {
-		f.failures[link] = 0
+		f.consecutiveFailures[link] = 0
 		return
 	}
-	f.failures[link]++
-	if f.failures[link] == directFailures {
+	f.consecutiveFailures[link]++
+	if f.consecutiveFailures[link] == baselineFailures {
 		f.BaselineEvictions++
 	}
 }
 
-// Rounds lets rounds pass until done says so, at most limit, and returns how many did.
+// RunUntil runs rounds until done returns true, at most limit, and returns the number of rounds run.
 func (f *MemberFleet) RunUntil(limit int, done func() bool) int {
 	for i := range limit {
 		if done() {
@@ -157,10 +160,10 @@
 	return limit
 }
 
-// carry counts a message and says whether it arrives.
-func (f *MemberFleet) carry(from, to *MemberNode, parts []sagegossip.Part) bool {
+// deliver counts a message and reports whether it arrives.
+func (f *MemberFleet) deliver(from, to *MemberNode, parts []sagegossip.Part) bool {
 	for _, p := range parts {
-		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partFrame)
+		f.MessageBytes += int64(len(p.Section) + len(p.Data) + partOverheadBytes)
 	}
 	if to == nil || to.Stopped || to.Paused {
 		return false
@@ -168,30 +171,30 @@
 	return f.LinkDown == nil || !f.LinkDown(from, to)
 }
 
-// partFrame is what the protobuf encoding adds to a part.
-const partFrame = 8
+// partOverheadBytes is the size that the protobuf encoding adds to a part.
+const partOverheadBytes = 8
 
-// Meet implements [sagegossip.Transport] for the node that calls.
+// Meet implements [sagegossip.Transport].
 func (n *MemberNode) Meet(_ context.Context, addr string, digests []sagegossip.Part) (deltas, own []sagegossip.Part, err error) {
 	f, to := n.fleet, n.fleet.NodeAt(addr)
-	fate := f.Rand.Float64()
-	if !f.carry(n, to, digests) || fate < f.LossRate/2 {
+	lossDraw := f.Rand.Float64()
+	if !f.deliver(n, to, digests) || lossDraw < f.LossRate/2 {
 		return nil, nil, errLost
 	}
 	deltas, own, err = to.Engine.Answer(digests)
 	if err != nil {
 		return nil, nil, fmt.Errorf("answer: %w", err)
 	}
-	if !f.carry(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || fate < f.LossRate {
+	if !f.deliver(to, n, append(append([]sagegossip.Part(nil), deltas...), own...)) || lossDraw < f.LossRate {
 		return nil, nil, errLost
 	}
 	return deltas, own, nil
 }
 
-// Push implements [sagegossip.Transport] for the node that calls.
+// Push implements [sagegossip.Transport].
 func (n *MemberNode) Push(_ context.Context, addr string, deltas []sagegossip.Part) error {
 	to := n.fleet.NodeAt(addr)
-	if !n.fleet.carry(n, to, deltas) {
+	if !n.fleet.deliver(n, to, deltas) {
 		return errLost
 	}
 	if err := to.Engine.Merge(deltas); err != nil {
@@ -200,21 +203,22 @@
 	return nil
 }
 
-// Agreed says whether every running node counts exactly the running and paused nodes as live.
+// Converged reports whether the live nodes of every running node are exactly the running and the paused
+// nodes.
 func (f *MemberFleet) Converged() bool {
-	there := make(map[uint64]bool)
+	running := make(map[uint64]bool)
 	for _, n := range f.Nodes {
 		if !n.Stopped {
-			there[n.Table.LocalNode().Incarnation] = true
+			running[n.Table.LocalNode().Incarnation] = true
 		}
 	}
 	for _, n := range f.Running() {
 		live := n.Table.Live()
-		if len(live) != len(there) {
+		if len(live) != len(running) {
 			return false
 		}
 		for _, l := range live {
-			if !there[l.Incarnation] {
+			if !running[l.Incarnation] {
 				return false
 			}
 		}
@@ -222,7 +226,7 @@
 	return true
 }
 
-// Evictions sums how often a node took another for dead.
+// Evictions returns the number of times that a node considered another dead.
 func (f *MemberFleet) Evictions() int64 {
 	sum := int64(0)
 	for _, n := range f.Nodes {
--- a/internal/sagemeasure/result.go
+++ b/internal/sagemeasure/result.go
@@ -7,61 +7,64 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// result is the end of one request of the trace.
+// result is the outcome of one request of the trace.
 type result struct {
-	done    bool
-	refused sageplace.Reason
-	at      time.Duration // when it ended
-	cached  int
-	engine  *engine
-	started time.Duration
-	tries   int
+	completed     bool
+	refusalReason sageplace.Reason
+	endedAt       time.Duration
+	cachedTokens  int
+	engine        *engine
+	started       time.Duration
+	attempts      int
 }
 
-// reuse returns cached prompt tokens / prompt tokens of the requests from an instant on.
-func (p *replay) reuse(from time.Duration) float64 { return p.reuseBetween(from, p.now) }
+// cacheReuse returns cached prompt tokens / prompt tokens of the completed requests that arrived at or
+// after from.
+func (p *replay) cacheReuse(from time.Duration) float64 { return p.cacheReuseBetween(from, p.now) }
 
-func (p *replay) reuseBetween(from, to time.Duration) float64 {
+// cacheReuseBetween returns cached prompt tokens / prompt tokens of the completed requests that arrived
+// in [from, to).
+func (p *replay) cacheReuseBetween(from, to time.Duration) float64 {
 	cached, prompt := 0, 0
 	for i := range p.trace {
-		if q := &p.trace[i]; q.at >= from && q.at < to && p.results[i].done {
-			cached += p.results[i].cached
-			prompt += q.prompt()
+		if q := &p.trace[i]; q.at >= from && q.at < to && p.results[i].completed {
+			cached += p.results[i].cachedTokens
+			prompt += q.promptTokens()
 		}
 	}
 	return float64(cached) / float64(max(prompt, 1))
 }
 
-// inTime returns the part of the requests of a priority from an instant on that completed within
-// their deadline, and how many were refused.
-func (p *replay) inTime(from, to time.Duration, priority sagewire.Priority) (part float64, refused int) {
-	all, good := 0, 0
+// withinDeadline returns the fraction of the requests of a priority that arrived in [from, to) and
+// completed within their deadline, and the number that were refused.
+func (p *replay) withinDeadline(from, to time.Duration, priority sagewire.Priority) (fraction float64, refused int) {
+	total, inTime := 0, 0
 	for i := range p.trace {
 		q, res := &p.trace[i], &p.results[i]
 		if q.at < from || q.at >= to || q.priority != priority {
 			continue
 		}
-		all++
+		total++
 		switch {
-		case !res.done:
+		case !res.completed:
 			refused++
-		case res.at <= q.deadline:
-			good++
+		case res.endedAt <= q.deadline:
+			inTime++
 		}
 	}
-	return float64(good) / float64(max(all, 1)), refused
+	return float64(inTime) / float64(max(total, 1)), refused
 }
 
-// refused returns the part of the requests from an instant on that were refused.
-func (p *replay) refused(from time.Duration) float64 {
-	all, no := 0, 0
+// refusedShare returns the fraction of the requests that arrived at or after from and were refused.
+func (p *replay) refusedShare(from time.Duration) float64 {
+	total, refused := 0, 0
 	for i := range p.trace {
 		if p.trace[i].at >= from {
-			all++
-			if !p.results[i].done {
-				no++
+			total++
+			if !p.results[i].completed {
+				refused++
 			}
 		}
 	}
-	return float64(no) / float64(max(all, 1))
+	return float64(refused) / float64(max(total, 1))
 }
--- a/internal/sagemeasure/router.go
+++ b/internal/sagemeasure/router.go
@@ -9,122 +9,126 @@
 	"sagestand.example/sagestand/pkg/sageplace"
 )
 
-// router is one entry VM: what it believes, and its decision code.
+// router is one router VM: its view of the engines, and its placement policy.
 type router struct {
-	id     int
-	sees   []bool
-	table  *sageplace.Table
-	at     []int // engine of each place in the table
-	loads  *sageplace.Loads
-	policy sageplace.Policy
-	memory *sageplace.PrefixLocations
-	own    []int
-	last   []report
-	// estimates are the real ones of the daemon, one an engine.
+	id           int
+	candidates   []bool
+	table        *sageplace.Table
+	tableEngines []int // index of the engine at each position of the table
+	loads        *sageplace.Loads
+	policy       sageplace.Policy
+	locations    *sageplace.PrefixLocations
+	ownInFlight  []int
+	lastReports  []loadReport
+	// estimates are the daemon's load estimates, one per engine.
 	estimates []sageload.Estimate
 }
 
-// report is an engine's word on its load.
-type report struct {
+// loadReport is an engine's report on its load.
+type loadReport struct {
 	inFlight, completed int
 	generation          uint64
 	asOf                time.Duration
 }
 
-// boot gives a router a new process: it forgets what it remembered.
-func (p *replay) boot(r *router) {
+// startRouter starts a new process for a router, without the state of the previous one.
+func (p *replay) startRouter(r *router) {
 	r.policy = p.variant.policy(p)
-	r.memory = sageplace.NewPrefixLocations(1 << 14)
-	p.rebuild(r)
+	r.locations = sageplace.NewPrefixLocations(1 << 14)
+	p.rebuildTable(r)
 }
 
-// rebuild makes the router's table from what it believes of the engines.
-func (p *replay) rebuild(r *router) {
-	var ups []sageplace.Upstream
-	r.at = r.at[:0]
+// rebuildTable builds the router's table from the engines that it considers candidates.
+func (p *replay) rebuildTable(r *router) {
+	var upstreams []sageplace.Upstream
+	r.tableEngines = r.tableEngines[:0]
 	for i, e := range p.engines {
-		if r.sees[i] {
-			ups = append(ups, sageplace.Upstream{Name: e.name, Weight: e.slots})
-			r.at = append(r.at, i)
+		if r.candidates[i] {
+			upstreams = append(upstreams, sageplace.Upstream{Name: e.name, Weight: e.slots})
+			r.tableEngines = append(r.tableEngines, i)
 		}
 	}
-	r.table = sageplace.NewTable(ups)
-	r.loads = sageplace.NewLoads(len(ups))
-	r.loads.Refresh(func(i int) sageplace.Load { return p.load(r, r.at[i]) })
+	r.table = sageplace.NewTable(upstreams)
+	r.loads = sageplace.NewLoads(len(upstreams))
+	r.loads.Refresh(func(i int) sageplace.Load { return p.estimatedLoad(r, r.tableEngines[i]) })
 }
 
-// load is the router's belief of an engine, by its last report and own requests since.
-func (p *replay) load(r *router, i int) sageplace.Load {
-	last, free := r.last[i], engineSlots
+// estimatedLoad returns the load of an engine as estimated by the router, from the last report and its
+// own requests since.
+func (p *replay) estimatedLoad(r *router, i int) sageplace.Load {
+	last, free := r.lastReports[i], engineSlots
 	if p.allotments != nil {
-		free = p.allotments.free(r.id, i)
+		free = p.allotments.freeUnits(r.id, i)
 	}
 	return sageplace.Load{
 		InFlight: r.estimates[i].InFlight(),
-		Cap:      bears(last.completed), Free: free,
+		Cap:      capacityAfter(last.completed), Free: free,
 		Known: r.estimates[i].Known(p.instant()), CacheGeneration: last.generation,
 	}
 }
 
-func (p *replay) report(i int, e *engine) {
+// sendReports sends an engine's report to all routers, each with its own delay.
+func (p *replay) sendReports(i int, e *engine) {
 	if !e.up {
 		return
 	}
-	rep := report{inFlight: e.inFlight(), completed: e.completed, generation: e.generation, asOf: p.now}
-	e.last = rep
+	rep := loadReport{inFlight: e.inFlight(), completed: e.completed, generation: e.generation, asOf: p.now}
+	e.lastReport = rep
 	for _, r := range p.routers {
-		delay := p.variant.feed.delay/10 + time.Duration(p.rand.Int64N(int64(p.variant.feed.delay*9/10)))
-		p.after(delay, func() { p.hear(r, i, rep) })
+		delay := p.variant.loadFeed.maxDelay/10 + time.Duration(p.rand.Int64N(int64(p.variant.loadFeed.maxDelay*9/10)))
+		p.after(delay, func() { p.receiveReport(r, i, rep) })
 	}
 }
 
-func (p *replay) hear(r *router, i int, rep report) {
-	if rep.asOf < r.last[i].asOf {
+// receiveReport handles a report unless the router has a newer one. The load is updated again when the
+// report expires.
+func (p *replay) receiveReport(r *router, i int, rep loadReport) {
+	if rep.asOf < r.lastReports[i].asOf {
 		return
 	}
-	r.last[i] = rep
+	r.lastReports[i] = rep
 	r.estimates[i].Observe(p.instant(), sageload.Report{
 		BootID: fmt.Sprint(rep.generation), InFlight: rep.inFlight, AsOf: epoch.Add(rep.asOf),
 	})
-	p.update(r, i)
-	p.after(silentAfter, func() { p.update(r, i) })
+	p.updateLoad(r, i)
+	p.after(maxReportAge, func() { p.updateLoad(r, i) })
 }
 
-func (p *replay) update(r *router, i int) {
-	if k := slices.Index(r.at, i); k >= 0 {
-		r.loads.Set(k, p.load(r, i))
+func (p *replay) updateLoad(r *router, i int) {
+	if k := slices.Index(r.tableEngines, i); k >= 0 {
+		r.loads.Set(k, p.estimatedLoad(r, i))
 	}
 }
 
-// see tells a router, after a delay of its own, that an engine is a candidate or none.
-func (p *replay) see(r *router, i int, candidate bool, delay time.Duration) {
+// setCandidate tells a router, after delay, whether an engine is a candidate.
+func (p *replay) setCandidate(r *router, i int, candidate bool, delay time.Duration) {
 	p.after(delay, func() {
-		if r.sees[i] != candidate {
-			r.sees[i] = candidate
-			// A new one is unknown, and cold.
-			r.last[i], r.estimates[i] = report{}, sageload.Estimate{MaxReportAge: silentAfter}
-			for range r.own[i] {
+		if r.candidates[i] != candidate {
+			r.candidates[i] = candidate
+			// The load of a new candidate is unknown, and the engine counts as cold.
+			r.lastReports[i], r.estimates[i] = loadReport{}, sageload.Estimate{MaxReportAge: maxReportAge}
+			for range r.ownInFlight[i] {
 				r.estimates[i].RecordDispatch()
 			}
-			p.rebuild(r)
+			p.rebuildTable(r)
 		}
 	})
 }
 
-// announce tells all routers, each after a delay up to changeDelay.
+// announce sends a change to all routers, each with a random delay up to maxChangeDelay.
 func (p *replay) announce(i int, candidate bool) {
 	for _, r := range p.routers {
-		p.see(r, i, candidate, time.Duration(p.rand.Int64N(int64(changeDelay))))
+		p.setCandidate(r, i, candidate, time.Duration(p.rand.Int64N(int64(maxChangeDelay))))
 	}
 }
 
-// count corrects what the router knows of an engine by n own requests.
-func (p *replay) count(r *router, i, n int) {
-	r.own[i] += n
+// recordOwnRequests changes the router's count of its own requests at an engine by n, which is 1 or -1.
+func (p *replay) recordOwnRequests(r *router, i, n int) {
+	r.ownInFlight[i] += n
 	if n > 0 {
 		r.estimates[i].RecordDispatch()
 	} else {
 		r.estimates[i].RecordEnd()
 	}
-	p.update(r, i)
+	p.updateLoad(r, i)
 }
--- a/internal/sagemeasure/surge.go
+++ b/internal/sagemeasure/surge.go
@@ -10,28 +10,29 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// Shape of the surge measure: routers with equal parts of the slots, ten client accounts of equal
-// weight, one of which sends a multiple of what the whole fleet can serve for half of the time.
+// Parameters of the surge measurement: routers share the slots equally, and one of ten client accounts
+// of equal weight sends a multiple of what the whole fleet can serve from surgeStart on.
 const (
-	surgeRouters  = 8
-	surgeSlots    = 24 // of each router
-	surgeAccounts = 10
-	surgeTime     = 3 * time.Minute
-	surgeFrom     = time.Minute
-	surgeService  = 400 * time.Millisecond
-	surgePatience = 3 * time.Second
-	surgeUse      = 0.6 // of the slots, by the nine others and the tenth before its surge
-	surgeTimes    = 5   // the surge as a multiple of all slots
-	surgeQueue    = 200
+	surgeRouters     = 8
+	surgeSlots       = 24 // per router
+	surgeAccounts    = 10
+	surgeDuration    = 3 * time.Minute
+	surgeStart       = time.Minute
+	surgeMeanService = 400 * time.Millisecond
+	surgeDeadline    = 3 * time.Second
+	surgeUtilisation = 0.6 // of the slots, by all accounts without the surge
+	surgeMultiple    = 5   // rate of the surge as a multiple of what the fleet can serve
+	surgeMaxQueue    = 200
 )
 
 // surgeQueuing is one way to queue the requests of a router.
 type surgeQueuing struct {
-	name string
-	make func() surgeQueuer
+	name     string
+	newQueue func() surgeQueuer
 }
 
-// surgeQueuer offers requests and takes their ends; items are those of the scheduler.
+// surgeQueuer queues requests. Offer adds a request, Done ends one; both return the items whose state
+// changed.
 type surgeQueuer interface {
 	Offer(now time.Time, r sagefair.Request) (*sagefair.Item, []*sagefair.Item)
 	Done(now time.Time, it *sagefair.Item) []*sagefair.Item
@@ -39,17 +40,17 @@
 
 var surgeQueuings = []surgeQueuing{
 	{"fair shares", func() surgeQueuer {
-		s := &sagefair.Scheduler{MaxQueue: surgeQueue}
+		s := &sagefair.Scheduler{MaxQueue: surgeMaxQueue}
 		s.SetSlots(epoch, surgeSlots)
 		return s
 	}},
 	{"first in first out", func() surgeQueuer { return &fifo{slots: surgeSlots} }},
 }
 
-// surgeCase says where the surge comes in and how it is marked.
+// surgeCase describes where the surge arrives and which priority it has.
 type surgeCase struct {
 	name     string
-	routers  int // that get the surge
+	routers  int // that receive the surge
 	priority sagewire.Priority
 }
 
@@ -59,28 +60,29 @@
 	{"surge marked urgent", surgeRouters, sagewire.Urgent},
 }
 
-// Surge measures what other accounts get while one surges, against the same run without a surge.
+// Surge measures the service of the other accounts while one account surges, relative to the same run
+// without a surge.
 func Surge(seed uint64) ([]Sample, error) {
 	var out []Sample
 	for _, c := range surgeCases {
 		for _, q := range surgeQueuings {
-			calm := newSurgeWorld(q, c, 0, seed)
-			surged := newSurgeWorld(q, c, surgeTimes, seed)
-			calm.runUntil(surgeTime)
-			surged.runUntil(surgeTime)
-			out = append(out, surgeSamples(c, q, calm, surged)...)
+			baseline := newSurgeSimulation(q, c, 0, seed)
+			withSurge := newSurgeSimulation(q, c, surgeMultiple, seed)
+			baseline.runUntil(surgeDuration)
+			withSurge.runUntil(surgeDuration)
+			out = append(out, surgeSamples(c, q, baseline, withSurge)...)
 		}
 	}
 	return out, nil
 }
 
-func surgeSamples(c surgeCase, q surgeQueuing, calm, surged *surgeWorld) []Sample {
-	kept := 100 * float64(surged.good) / float64(calm.good)
+func surgeSamples(c surgeCase, q surgeQueuing, baseline, withSurge *surgeSimulation) []Sample {
+	goodputShare := 100 * float64(withSurge.goodput) / float64(baseline.goodput)
 	s := []Sample{
-		{Metric: "goodput of others, of that without surge", Unit: "%", Value: kept},
-		{Metric: "p99 of others without surge", Unit: "ms", Value: calm.p99()},
-		{Metric: "p99 of others with surge", Unit: "ms", Value: surged.p99()},
-		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * surged.surgeTime.Seconds() / surged.allTime.Seconds()},
+		{Metric: "goodput of others, of that without surge", Unit: "%", Value: goodputShare},
+		{Metric: "p99 of others without surge", Unit: "ms", Value: baseline.p99()},
+		{Metric: "p99 of others with surge", Unit: "ms", Value: withSurge.p99()},
+		{Metric: "surging account's part of slot time", Unit: "%", Value: 100 * withSurge.surgeSlotTime.Seconds() / withSurge.totalSlotTime.Seconds()},
 	}
 	if q.name == "fair shares" {
 		s[0].Target = &Target{AtLeast, 98}
@@ -91,94 +93,97 @@
 	return s
 }
 
-type surgeWorld struct {
+// surgeSimulation is one run of a case with one way of queuing.
+type surgeSimulation struct {
 	clock
 
 	rand   *rand.Rand
 	queues []surgeQueuer
-	timers map[*sagefair.Item]*surgeJob
+	jobs   map[*sagefair.Item]*surgeJob
 
-	good               int // requests of others that ended within their deadline, during the surge
-	latencies          []time.Duration
-	surgeTime, allTime time.Duration
+	goodput                      int // requests of other accounts that completed within their deadline
+	latencies                    []time.Duration
+	surgeSlotTime, totalSlotTime time.Duration
 }
 
 type surgeJob struct {
-	router  int
-	account int
-	came    time.Duration
-	service time.Duration
+	router    int
+	account   int
+	arrivedAt time.Duration
+	service   time.Duration
 }
 
-func newSurgeWorld(q surgeQueuing, c surgeCase, times float64, seed uint64) *surgeWorld {
-	w := &surgeWorld{rand: rand.New(rand.NewPCG(seed, 13)), timers: make(map[*sagefair.Item]*surgeJob)}
+func newSurgeSimulation(q surgeQueuing, c surgeCase, multiple float64, seed uint64) *surgeSimulation {
+	sim := &surgeSimulation{rand: rand.New(rand.NewPCG(seed, 13)), jobs: make(map[*sagefair.Item]*surgeJob)}
 	for range surgeRouters {
-		w.queues = append(w.queues, q.make())
+		sim.queues = append(sim.queues, q.newQueue())
 	}
-	full := surgeRouters * surgeSlots / surgeService.Seconds()
+	fleetRate := surgeRouters * surgeSlots / surgeMeanService.Seconds()
 	for a := range surgeAccounts {
 		source := rand.New(rand.NewPCG(seed, uint64(100+a)))
-		w.arrive(source, a, surgeUse*full/surgeAccounts, surgeRouters, sagewire.Normal)
+		sim.scheduleArrival(source, a, surgeUtilisation*fleetRate/surgeAccounts, surgeRouters, sagewire.Normal)
 	}
-	if times > 0 {
+	if multiple > 0 {
 		source := rand.New(rand.NewPCG(seed, 99))
-		w.after(surgeFrom, func() { w.arrive(source, 0, times*full*float64(c.routers)/surgeRouters, c.routers, c.priority) })
+		sim.after(surgeStart, func() {
+			sim.scheduleArrival(source, 0, multiple*fleetRate*float64(c.routers)/surgeRouters, c.routers, c.priority)
+		})
 	}
-	return w
+	return sim
 }
 
-// arrive makes the requests of one account come; each account draws from a source of its own, so
-// that the others' requests are the same with and without the surge.
-func (w *surgeWorld) arrive(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
-	w.after(time.Duration(source.ExpFloat64()/rate*float64(time.Second)), func() {
-		j := &surgeJob{router: source.IntN(routers), account: account, came: w.now,
-			service: time.Duration(source.ExpFloat64() * float64(surgeService))}
-		w.offer(j, p)
-		w.arrive(source, account, rate, routers, p)
+// scheduleArrival generates the requests of one account. Each account has its own random source, so
+// that the requests of the others are the same with and without the surge.
+func (sim *surgeSimulation) scheduleArrival(source *rand.Rand, account int, rate float64, routers int, p sagewire.Priority) {
+	sim.after(time.Duration(source.ExpFloat64()/rate*float64(time.Second)), func() {
+		j := &surgeJob{router: source.IntN(routers), account: account, arrivedAt: sim.now,
+			service: time.Duration(source.ExpFloat64() * float64(surgeMeanService))}
+		sim.offer(j, p)
+		sim.scheduleArrival(source, account, rate, routers, p)
 	})
 }
 
-func (w *surgeWorld) offer(j *surgeJob, p sagewire.Priority) {
-	now := w.instant()
-	it, others := w.queues[j.router].Offer(now, sagefair.Request{
-		Account: fmt.Sprint("account-", j.account), Weight: 1, Priority: p, Deadline: now.Add(surgePatience)})
-	w.timers[it] = j
-	w.start(append(others, it))
+func (sim *surgeSimulation) offer(j *surgeJob, p sagewire.Priority) {
+	now := sim.instant()
+	it, others := sim.queues[j.router].Offer(now, sagefair.Request{
+		Account: fmt.Sprint("account-", j.account), Weight: 1, Priority: p, Deadline: now.Add(surgeDeadline)})
+	sim.jobs[it] = j
+	sim.start(append(others, it))
 }
 
-// start runs the items that got their slot.
-func (w *surgeWorld) start(items []*sagefair.Item) {
+// start runs the items that got a slot and drops those that were refused.
+func (sim *surgeSimulation) start(items []*sagefair.Item) {
 	for _, it := range items {
-		j := w.timers[it]
+		j := sim.jobs[it]
 		switch it.State {
 		case sagefair.Refused:
-			delete(w.timers, it)
+			delete(sim.jobs, it)
 		case sagefair.Running:
-			w.after(j.service, func() { w.end(it, j) })
+			sim.after(j.service, func() { sim.finish(it, j) })
 		}
 	}
 }
 
-func (w *surgeWorld) end(it *sagefair.Item, j *surgeJob) {
-	delete(w.timers, it)
-	if w.now >= surgeFrom {
-		w.allTime += j.service
+func (sim *surgeSimulation) finish(it *sagefair.Item, j *surgeJob) {
+	delete(sim.jobs, it)
+	if sim.now >= surgeStart {
+		sim.totalSlotTime += j.service
 		if j.account == 0 {
-			w.surgeTime += j.service
-		} else if took := w.now - j.came; took <= surgePatience {
-			w.good++
-			w.latencies = append(w.latencies, took)
+			sim.surgeSlotTime += j.service
+		} else if latency := sim.now - j.arrivedAt; latency <= surgeDeadline {
+			sim.goodput++
+			sim.latencies = append(sim.latencies, latency)
 		}
 	}
-	w.start(w.queues[j.router].Done(w.instant(), it))
+	sim.start(sim.queues[j.router].Done(sim.instant(), it))
 }
 
-func (w *surgeWorld) p99() float64 {
-	slices.Sort(w.latencies)
-	return float64(w.latencies[len(w.latencies)*99/100]) / float64(time.Millisecond)
+func (sim *surgeSimulation) p99() float64 {
+	slices.Sort(sim.latencies)
+	return float64(sim.latencies[len(sim.latencies)*99/100]) / float64(time.Millisecond)
 }
 
-// fifo is the baseline: one bounded queue for all, first in first out.
+// fifo is the baseline: one bounded first-in, first-out queue for all accounts.
 type fifo struct {
 	slots, running int
 	queue          []*sagefair.Item
@@ -191,7 +196,7 @@
 	case f.running < f.slots:
 		f.running++
 		it.State = sagefair.Running
-	case len(f.queue) >= surgeQueue:
+	case len(f.queue) >= surgeMaxQueue:
 		it.State = sagefair.Refused
 	default:
 		f.queue = append(f.queue, it)
--- a/internal/sagemeasure/variants.go
+++ b/internal/sagemeasure/variants.go
@@ -12,67 +12,72 @@
 type variant struct {
 	name   string
 	policy func(p *replay) sageplace.Policy
-	// token lets placement tokens ride with the callers; memory lets each router remember the chats
-	// that it served.
-	token, memory bool
-	// yield lets less urgent requests leave room for urgent ones.
-	yield bool
-	// allot, if set, bounds requests in flight by allotments of the engines' homes.
-	allot *allotRule
-	// feed is reports if it is zero.
-	feed feed
+	// token lets callers send placement tokens; routerMemory lets each router remember the chats that
+	// it served.
+	token, routerMemory bool
+	// headroom makes less urgent requests leave capacity for urgent ones.
+	headroom bool
+	// allotments, if set, bounds the requests in flight by allotments that the engines' coordinators
+	// grant.
+	allotments *allotmentRule
+	// loadFeed is reportFeed if it is zero.
+	loadFeed loadFeed
 }
 
-// ours is what the daemon does: placement by the engines' lagging reports and own requests since,
-// under allotments of what each engine bears.
-var ours = variant{
-	name: "sagestand", token: true, yield: true,
-	allot: &allotRule{multiple: noMultiple, headroom: 1, onDemand: true}, policy: byLoad(sageplace.LoadBounds(promised)),
+// sagestand is what the daemon does: placement by the engines' lagging reports and the router's own
+// requests since, with allotments of each engine's capacity.
+var sagestand = variant{
+	name: "sagestand", token: true, headroom: true,
+	allotments: &allotmentRule{meanMultiple: unlimitedMultiple, headroom: 1, onDemand: true}, policy: widthByLoad(sageplace.LoadBounds(maxLoadMultiple)),
 }
 
-// noMultiple leaves the allotments of an engine at what it bears.
-const noMultiple = 1e6
+// unlimitedMultiple leaves an engine's capacity as the only limit of its allotments.
+const unlimitedMultiple = 1e6
 
-// oursCounts is ours if homes told the routers' counts with each grant, which the daemon doesn't.
-var oursCounts = variant{name: "sagestand, counts", token: true, yield: true, feed: counts, allot: ours.allot, policy: ours.policy}
+// sagestandCounts is sagestand if coordinators also sent the routers' counts with each grant, which the
+// daemon doesn't do.
+var sagestandCounts = variant{name: "sagestand, counts", token: true, headroom: true, loadFeed: countFeed, allotments: sagestand.allotments, policy: sagestand.policy}
 
-// oursAllotted is oursCounts if homes also granted no more than 1.4 x mean, each unit on demand,
-// which the daemon doesn't.
-var oursAllotted = variant{
-	name: "sagestand, mean allotted", token: true, yield: true, feed: counts,
-	allot: &allotRule{multiple: 1.4, onDemand: true}, policy: byLoad(1.4, 1.1),
+// sagestandAllotted is sagestandCounts if coordinators also granted at most 1.4 x mean, each unit on
+// demand, which the daemon doesn't do.
+var sagestandAllotted = variant{
+	name: "sagestand, mean allotted", token: true, headroom: true, loadFeed: countFeed,
+	allotments: &allotmentRule{meanMultiple: 1.4, onDemand: true}, policy: widthByLoad(1.4, 1.1),
 }
 
-// estimates is ours without allotments.
-var estimates = variant{name: "estimates alone", token: true, yield: true, policy: ours.policy}
+// estimatesOnly is sagestand without allotments.
+var estimatesOnly = variant{name: "estimates alone", token: true, headroom: true, policy: sagestand.policy}
 
-// own reports whether v is one of the project's own ways, which have targets.
-func own(v variant) bool {
-	return v.name == ours.name || v.name == oursCounts.name || v.name == oursAllotted.name
+// isSagestand reports whether v is one of the project's own variants, which have targets.
+func isSagestand(v variant) bool {
+	return v.name == sagestand.name || v.name == sagestandCounts.name || v.name == sagestandAllotted.name
 }
 
-// firstVersion is the bounded order alone, which the project began with.
-var firstVersion = variant{name: "first version", policy: narrow(1.25, 1.25)}
+// firstVersion is bounded placement in hash order alone, the project's first policy.
+var firstVersion = variant{name: "first version", policy: noWidening(1.25, 1.25)}
 
-func byLoad(bound, fresh float64) func(*replay) sageplace.Policy {
+// widthByLoad returns a policy that widens a hot context by load.
+func widthByLoad(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByLoad(1024)}
+		return &sageplace.Placer[*sageplace.WidthByLoad]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByLoad(1024)}
 	}
 }
 
-func byShare(bound, fresh float64) func(*replay) sageplace.Policy {
+// widthByShare returns a policy that widens a hot context by its share of the router's own requests.
+func widthByShare(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: fresh, WidthPolicy: sageplace.NewWidthByShare(1024)}
+		return &sageplace.Placer[*sageplace.WidthByShare]{LoadBound: bound, UncachedLoadBound: uncachedBound, WidthPolicy: sageplace.NewWidthByShare(1024)}
 	}
 }
 
-func narrow(bound, fresh float64) func(*replay) sageplace.Policy {
+// noWidening returns a policy that keeps each context on one engine.
+func noWidening(bound, uncachedBound float64) func(*replay) sageplace.Policy {
 	return func(*replay) sageplace.Policy {
-		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: fresh}
+		return &sageplace.Placer[sageplace.NoWidening]{LoadBound: bound, UncachedLoadBound: uncachedBound}
 	}
 }
 
-var oracle = variant{name: "oracle", policy: func(p *replay) sageplace.Policy { return &seer{p} }}
+var oracle = variant{name: "oracle", policy: func(p *replay) sageplace.Policy { return &oraclePolicy{p} }}
 
 var baselines = []variant{
 	{name: "random", policy: func(p *replay) sageplace.Policy { return &sageplace.Random{Rand: p.rand} }},
@@ -82,27 +87,28 @@
 	{name: "plain hash", policy: func(*replay) sageplace.Policy { return sageplace.PlainHash{} }},
 }
 
-// seerBound is the bound of the oracle, the same as ours.
-var seerBound, _ = sageplace.LoadBounds(promised)
+// oracleBound is the load bound of the oracle, the same as that of sagestand.
+var oracleBound, _ = sageplace.LoadBounds(maxLoadMultiple)
 
-// seer is the oracle: it sees the true caches and loads of all engines without lag, and sends each
-// request to the one under the bound that holds most of its prompt, the least loaded of these.
-type seer struct{ p *replay }
+// oraclePolicy is the reference for the other policies: it knows the true caches and loads of all
+// engines without lag. Of the engines below the bound it chooses the one that holds most of the prompt,
+// and among equals the least loaded.
+type oraclePolicy struct{ p *replay }
 
 // Choose implements [sageplace.Policy].
-func (s *seer) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
+func (s *oraclePolicy) Choose(_ time.Time, _ *sageplace.Table, _ *sageplace.Loads, q *sageplace.Query) sageplace.Choice {
 	p := s.p
-	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, history: 1 << 20}
-	total, capacity := 1, 0
+	r := &request{context: q.Context, contextTokens: 1 << 20, chat: q.Chat, historyTokens: 1 << 20}
+	totalLoad, totalCapacity := 1, 0
 	for _, e := range p.engines {
 		if p.usable(e) {
-			total += e.inFlight()
-			capacity += e.bears()
+			totalLoad += e.inFlight()
+			totalCapacity += e.capacity()
 		}
 	}
 	best, cached, load := -1, -1, 0
 	for i, e := range p.engines {
-		if !p.usable(e) || e.inFlight()+1 > min(e.bears(), ceiling(seerBound, total, capacity, e.bears())) {
+		if !p.usable(e) || e.inFlight()+1 > min(e.capacity(), loadLimit(oracleBound, totalLoad, totalCapacity, e.capacity())) {
 			continue
 		}
 		c := e.cache.cached(r)
@@ -116,15 +122,16 @@
 	return sageplace.Choice{Index: best, Reason: sageplace.ReasonHashOrder}
 }
 
-// usable reports whether an engine is a candidate in truth.
+// usable reports whether an engine is in fact a candidate.
 func (p *replay) usable(e *engine) bool { return e.up && !e.leaving && p.inService[e.dataCentre] }
 
-// ceiling returns ceil(multiple x mean) for an engine that bears that much of the whole capacity.
-func ceiling(multiple float64, total, capacity, bears int) int {
-	return int(math.Ceil(multiple * float64(total) * float64(bears) / float64(max(capacity, 1))))
+// loadLimit returns ceil(multiple x mean) for an engine with a part engineCapacity of the total
+// capacity.
+func loadLimit(multiple float64, totalLoad, totalCapacity, engineCapacity int) int {
+	return int(math.Ceil(multiple * float64(totalLoad) * float64(engineCapacity) / float64(max(totalCapacity, 1))))
 }
 
-// all returns every policy that a table compares.
-func all() []variant {
-	return slices.Concat([]variant{oracle, ours, oursCounts, oursAllotted, estimates, firstVersion}, baselines)
+// allVariants returns all variants that the tables compare.
+func allVariants() []variant {
+	return slices.Concat([]variant{oracle, sagestand, sagestandCounts, sagestandAllotted, estimatesOnly, firstVersion}, baselines)
 }
