--- a/internal/sagefollow/follower.go
+++ b/internal/sagefollow/follower.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// peerFetchTimeout is long enough for some hundred kilobytes over the slowest links.
+	// peerFetchTimeout is long enough for a few hundred kilobytes over the slowest links.
 	peerFetchTimeout = 2 * time.Second
 	// remoteFetchDelay is how long a node waits for new content to reach its own data centre before it
 	// fetches the content from another one.
--- a/internal/sagefollow/listing.go
+++ b/internal/sagefollow/listing.go
@@ -9,7 +9,7 @@
 )
 
 // maxListingAge is how long an unfinished listing may be resumed. Changes after its first page come from the
-// store's history, of which this is a quarter.
+// store's history, which reaches back four times as long.
 const maxListingAge = 5 * time.Second
 
 // listing is a listing in progress that may have several pages. It has the revision of its first page; the
--- a/internal/sagemesh/aggregator.go
+++ b/internal/sagemesh/aggregator.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// aggregatorHash orders nodes with equal link widths. The order differs from that of [Service.Rank], so that the
+// aggregatorHash orders nodes with equal link bandwidths. The order differs from that of [Service.Rank], so that the
 // nodes that watch the store aren't aggregators as well.
 func aggregatorHash(address string) uint64 { return xxhash.Sum64String(address + "/hub") }
 
@@ -22,11 +22,11 @@
 	return address == p.primary || address == p.backup
 }
 
-// aggregators returns the aggregator and its backup by data centre. They are the two nodes with the widest links
+// aggregators returns the aggregator and its backup by data centre. They are the two nodes with the fastest links
 // among those that aren't leaving; aggregatorHash decides between equal links.
 //
-// The aggregator of fifty nodes handles some five hundred datagrams a second. Many fleets have a few nodes with
-// wide links and many with narrow ones, on which updates would be delayed.
+// The aggregator of fifty nodes handles some five hundred datagrams a second. In many fleets most nodes have slow
+// links, over which an aggregator would send updates late.
 func (s *Service) aggregators() map[string]aggregatorPair {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sagemesh/doc.go
+++ b/internal/sagemesh/doc.go
@@ -12,7 +12,7 @@
 // aggregator. Nodes send heartbeats to both at the shortest interval. The aggregator adds up the counts of its
 // nodes, sends the sum to the other aggregators and the total of all data centres to its nodes, and forwards which
 // engine has cached which prompt part and which nodes are unresponsive. There is no election: each node regards
-// the one with the widest link among those in contact as the aggregator. Without aggregators, everything but the
+// the one with the fastest link among those in contact as the aggregator. Without aggregators, everything but the
 // sums and the prompt parts listed by engines still arrives later, with the broadcast rounds. The standby nodes,
 // which query the store or stand by to do so, also exchange heartbeats at the shortest interval.
 //
--- a/internal/sagemesh/fetch.go
+++ b/internal/sagemesh/fetch.go
@@ -88,7 +88,7 @@
 type Copies map[string]*sagefollow.Follower
 
 // maxConcurrentCopies is the number of copies sent at a time; on the slowest links more would delay all of them.
-// A peer that is refused will receive positions from others that have the content by then.
+// A refused peer fetches the content later from another node that has it by then and announces it.
 const maxConcurrentCopies = 4
 
 // Handle adds a handler for the copies to a mux.
--- a/internal/sagemesh/heartbeat.go
+++ b/internal/sagemesh/heartbeat.go
@@ -19,7 +19,7 @@
 	Node       string
 	Entry      string // the address for callers
 	DataCentre string
-	// LinkMbps is the width of the node's link, 0 if unknown.
+	// LinkMbps is the bandwidth of the node's link, 0 if unknown.
 	LinkMbps int
 }
 
@@ -44,7 +44,8 @@
 	Leaving bool
 	// StoreUnreachable says that the store doesn't answer the sender.
 	StoreUnreachable bool
-	// Synced says that the sender knows which prompt parts engines have cached as well as the rest of the fleet.
+	// Synced says that the sender's cache resync is complete: it knows as much about the engines' caches as the
+	// rest of the fleet.
 	Synced bool
 	Stamp  Stamp
 	// Echo is the last stamp that the sender received from the receiver.
@@ -57,7 +58,7 @@
 	Broken []string
 	// Sum is set by the aggregator of a data centre; nil from other nodes.
 	Sum *Sum
-	// Held are prompt parts newly observed in the caches of upstreams.
+	// Held are cached prompt parts by upstream that were newly observed in requests.
 	Held map[string][]uint64
 	// Listed are cached prompt parts that the upstreams listed themselves.
 	Listed map[string][]sagechain.PartHash
--- a/internal/sagemesh/large_fleet_test.go
+++ b/internal/sagemesh/large_fleet_test.go
@@ -143,7 +143,7 @@
 }
 
 // All nodes of a large fleet start together. Each gets the list of cached parts from an engine and sends it to the
-// others. If it sent the list directly, all lists would reach each narrow link at the same moment, most would be
+// others. If it sent the list directly, all lists would reach each slow link at the same moment, most would be
 // lost, and for seconds a third of the prompts cached by some engine would be processed again.
 func TestListedPartsReachAllNodesAfterRestart(t *testing.T) {
 	t.Parallel()
@@ -192,13 +192,13 @@
 // that another engine has cached.
 func TestUpdatesReachLargeFleetWithinOneSecond(t *testing.T) {
 	t.Parallel()
-	const facts = 200
+	const parts = 200
 	for _, nodes := range []int{8, 60, largeFleetSize} {
 		v := newVirtualFleet(t, 5, nodes, min(nodes/2, largeFleetCentres))
 		v.advance(4 * time.Second)
 		sentAt := make(map[uint64]sageclock.Instant)
 		sender := make(map[uint64]*virtualNode)
-		for part := range uint64(facts) {
+		for part := range uint64(parts) {
 			n := v.nodes[v.rnd.IntN(nodes)]
 			n.heldUpdates = map[string][]uint64{"e": append(n.heldUpdates["e"], part)}
 			sentAt[part], sender[part] = v.now, n
--- a/internal/sagemesh/mesh_test.go
+++ b/internal/sagemesh/mesh_test.go
@@ -284,7 +284,9 @@
 		n := newNode(a, a, addrs...)
 		n.DataCentre = []string{"north", "south"}[i%2]
 		nodes[a] = n
-		n.FillSum = func(h *Heartbeat, all bool) { h.Sum = &Sum{FleetWide: all, InFlight: map[string]int{"e": 1}} }
+		n.FillSum = func(h *Heartbeat, fleetWide bool) {
+			h.Sum = &Sum{FleetWide: fleetWide, InFlight: map[string]int{"e": 1}}
+		}
 		n.OnHeartbeat = func(h *Heartbeat, _ sageclock.Instant) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/sagemesh/rollout_test.go
+++ b/internal/sagemesh/rollout_test.go
@@ -40,9 +40,9 @@
 			p.answers.Set(p.tracker.Counts())
 			h.Answers, h.Plans = p.answers.Report(), p.tracker.Plans()
 		}
-		n.FillSum = func(h *Heartbeat, all bool) {
-			h.Sum = &Sum{FleetWide: all, Answers: p.answers.SumGroup(f.now, n.DataCentre)}
-			if all {
+		n.FillSum = func(h *Heartbeat, fleetWide bool) {
+			h.Sum = &Sum{FleetWide: fleetWide, Answers: p.answers.SumGroup(f.now, n.DataCentre)}
+			if fleetWide {
 				h.Sum.Answers = p.answers.Sum(f.now)
 			}
 		}
--- a/internal/sagemesh/rounds.go
+++ b/internal/sagemesh/rounds.go
@@ -49,7 +49,7 @@
 // untilNextBroadcast returns the time until the next broadcast round.
 //
 // In a large fleet it is random. The nodes start at the same moment, and with rounds that are seconds apart, their
-// datagrams would otherwise arrive over the narrow links in bursts.
+// datagrams would otherwise arrive over the slow links in bursts.
 func (s *Service) untilNextBroadcast() time.Duration {
 	d := s.Interval()
 	if d == shortestInterval {
--- a/internal/sagemesh/service.go
+++ b/internal/sagemesh/service.go
@@ -61,14 +61,14 @@
 type Service struct {
 	// Name, Address (for other nodes), Entry (for callers) and DataCentre identify this node.
 	Name, Address, Entry, DataCentre string
-	// LinkMbps is the width of this node's link, 0 if unknown. Nodes with wide links become aggregators.
+	// LinkMbps is the bandwidth of this node's link, 0 if unknown. Nodes with fast links become aggregators.
 	LinkMbps int
 	// Seeds are addresses of some other nodes.
 	Seeds []string
 	// Fill sets the state of this node in a heartbeat, except for its identity and the stamps.
 	Fill func(h *Heartbeat)
 	// FillSum adds the sum of the counts of this data centre's nodes, or of all nodes.
-	FillSum func(h *Heartbeat, all bool)
+	FillSum func(h *Heartbeat, fleetWide bool)
 	// FillUpdates adds the cached prompt parts that have not been sent yet.
 	FillUpdates func(h *Heartbeat)
 	// OnHeartbeat is called for each heartbeat from a node whose identity is known. The stamp is the instant of
--- a/internal/sagemesh/updates.go
+++ b/internal/sagemesh/updates.go
@@ -20,7 +20,7 @@
 	bytesPerCount = 18
 	// listedLinkShare is the fraction of an aggregator's link that listed parts may use.
 	listedLinkShare = 0.4
-	// defaultLinkMbps is assumed for a link of unknown width.
+	// defaultLinkMbps is assumed for a link of unknown bandwidth.
 	defaultLinkMbps = 100
 )
 
@@ -44,8 +44,8 @@
 // collectUpdates queues the cached parts that have not been sent yet, for the next broadcast round and for the
 // aggregator. Listed parts take only one path, through the aggregator if the fleet has one.
 //
-// When all nodes of a large fleet start together and each sends its lists to all others, some hundred kilobytes
-// arrive at each narrow link at the same moment, and most of them are lost.
+// When all nodes of a large fleet start together and each sends its lists to all others, a few hundred kilobytes
+// arrive at each slow link at the same moment, and most of them are lost.
 func (s *Service) collectUpdates() {
 	h := new(Heartbeat)
 	s.FillUpdates(h)
--- a/internal/sagemesh/virtual_test.go
+++ b/internal/sagemesh/virtual_test.go
@@ -85,7 +85,7 @@
 }
 
 // newVirtualFleet returns a fleet whose nodes start within 0.3 s and know each other's addresses, as they would
-// from the store. The first three nodes of each data centre have wide links.
+// from the store. The first three nodes of each data centre have fast links.
 func newVirtualFleet(t testing.TB, seed uint64, nodes, centres int) *virtualFleet {
 	v := &virtualFleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: make(map[string]*virtualNode), now: sageclock.Instant(time.Hour)}
 	v.cutOff = func(*virtualNode, *virtualNode) bool { return false }
--- a/internal/sagerouter/cacheresync.go
+++ b/internal/sagerouter/cacheresync.go
@@ -120,7 +120,7 @@
 // propagate waits until the other nodes have reported their engines' answers, and broadcasts this node's answers
 // again when more nodes join. It reports whether a synced peer was queried successfully instead.
 //
-// Updates on cached parts are sent only once, to the nodes known at that time, so nodes that start some hundred
+// Updates on cached parts are sent only once, to the nodes known at that time, so nodes that start a few hundred
 // milliseconds later would miss them.
 //
 // A node that starts alone and discovers its peers late, because its seeds are gone, would know only the engines
--- a/internal/sagerouter/cacheresync_test.go
+++ b/internal/sagerouter/cacheresync_test.go
@@ -165,8 +165,8 @@
 			f.requireAllKnown(n)
 			require.True(t, n.synced.Load())
 		}
-		for id, asks := range f.queries {
-			require.Equal(t, 1, asks, "each query delays the engine %s", id)
+		for id, queries := range f.queries {
+			require.Equal(t, 1, queries, "each query delays the engine %s", id)
 		}
 		require.Len(t, f.queries, len(f.engines))
 	})
--- a/internal/sagerouter/heartbeat.go
+++ b/internal/sagerouter/heartbeat.go
@@ -100,10 +100,10 @@
 	if stamp == 0 {
 		return
 	}
-	mayFetch := h.DataCentre == n.Settings.DataCentre || n.mesh.IsFirstInDataCentre()
+	fetchNow := h.DataCentre == n.Settings.DataCentre || n.mesh.IsFirstInDataCentre()
 	for kind, p := range h.Copies {
 		if f := n.copies[kind]; f != nil {
-			f.HandlePosition(context.Background(), h.Address, p, stamp, mayFetch)
+			f.HandlePosition(context.Background(), h.Address, p, stamp, fetchNow)
 		}
 	}
 }
@@ -126,10 +126,10 @@
 }
 
 // contentChanged sends heartbeats after a copy changed: to all peers if this node read the change from the store
-// (own is true), or to those of this data centre if it came from a peer and this node fetches for them.
-func (n *Node) contentChanged(own bool) {
-	if own || n.mesh.IsFirstInDataCentre() {
-		n.mesh.TriggerHeartbeats(own)
+// (fromStore is true), or to those of this data centre if it came from a peer and this node fetches for them.
+func (n *Node) contentChanged(fromStore bool) {
+	if fromStore || n.mesh.IsFirstInDataCentre() {
+		n.mesh.TriggerHeartbeats(fromStore)
 	}
 }
 
--- a/internal/sagerouter/latency.go
+++ b/internal/sagerouter/latency.go
@@ -9,7 +9,7 @@
 
 // Initial values and limits of the estimates.
 const (
-	// initialServiceTime is the duration of an exchange: some hundred tokens at some milliseconds each.
+	// initialServiceTime is the duration of an exchange: a few hundred tokens at a few milliseconds each.
 	initialServiceTime = time.Second
 	// initialPrefillPerToken is the prefill time of the slowest known engines, 55 tokens per millisecond.
 	initialPrefillPerToken = time.Second / 55000
--- a/internal/sagerouter/latency_test.go
+++ b/internal/sagerouter/latency_test.go
@@ -17,8 +17,8 @@
 	const prompt, perToken = 10000, 200 * time.Microsecond
 	require.Less(t, f.PrefillTime("s", prompt), prompt*perToken/5, "initial estimate")
 	for i := range 400 {
-		unread := 100 + i%12*900
-		f.RecordFirstEvent(&sagerelay.Pick{Upstream: e, UncachedTokens: unread}, 60*time.Millisecond+time.Duration(unread)*perToken)
+		uncached := 100 + i%12*900
+		f.RecordFirstEvent(&sagerelay.Pick{Upstream: e, UncachedTokens: uncached}, 60*time.Millisecond+time.Duration(uncached)*perToken)
 	}
 	require.InDelta(t, float64(prompt*perToken), float64(f.PrefillTime("s", prompt)), 0.1*float64(prompt*perToken))
 	require.Equal(t, initialPrefillPerToken*prompt, f.PrefillTime("another", prompt), "each service has its own estimate")
--- a/internal/sagerouter/quarantine_test.go
+++ b/internal/sagerouter/quarantine_test.go
@@ -55,11 +55,11 @@
 	if s.objects == nil {
 		s.objects = make(map[string]bool)
 	}
-	b := new(sagequarantine.Tracker)
+	tracker := new(sagequarantine.Tracker)
 	for c := range sagequarantine.CrashID(sagequarantine.DefaultThreshold) {
-		b.RecordCrash(startTime, c, crashingRequest)
+		tracker.RecordCrash(startTime, c, crashingRequest)
 	}
-	return &quarantineReconciler{Self: "vm1", Kind: "q", Tracker: b, Store: s, Rank: func() int { return rank }, Log: sagelog.New(io.Discard, "vm1")}
+	return &quarantineReconciler{Self: "vm1", Kind: "q", Tracker: tracker, Store: s, Rank: func() int { return rank }, Log: sagelog.New(io.Discard, "vm1")}
 }
 
 func TestReconcilerWritesAfterDelayForRank(t *testing.T) {
--- a/internal/sagerouter/registrar.go
+++ b/internal/sagerouter/registrar.go
@@ -23,9 +23,9 @@
 
 // registrar registers this node in the store and lists the other registered nodes.
 //
-// Each node registers before it lists. Of two that start at the same time, at least one therefore sees the other,
-// and its heartbeat introduces it to the other one. A restarted node is usually still registered and finds that
-// out from the list alone, which saves one call per node when a large fleet restarts.
+// Each node registers before it lists. Of two that start at the same time, at least one therefore finds the other
+// in the list and sends it a heartbeat, by which the other one discovers it. A restarted node is usually still
+// registered and finds that out from the list alone, which saves one call per node when a large fleet restarts.
 type registrar struct{ node *Node }
 
 // Run registers the node, with retries, and returns when ctx ends.
--- a/internal/sagerouter/registrar_test.go
+++ b/internal/sagerouter/registrar_test.go
@@ -81,8 +81,8 @@
 	require.Equal(t, 5, store.calls)
 }
 
-// A node that is new to a running fleet, or registered with an outdated address, could not be found by the others
-// without registering.
+// A node that is new to a running fleet must register, or the others could not find it in the store. A node whose
+// entry has an outdated address tries to register too, which leaves the entry unchanged, and must still start.
 func TestUnregisteredNodeRegistersAtStart(t *testing.T) {
 	store := new(entryStore)
 	m := newRegistrar(t, 9, false, store)
--- a/internal/sagerouter/rollouts.go
+++ b/internal/sagerouter/rollouts.go
@@ -79,8 +79,8 @@
 
 // step issues a new plan for each order that isn't in a final state.
 //
-// A node that can't reach the store advances plans only if no other node can reach it either: rolling back a bad
-// version doesn't depend on the store.
+// A node that can't reach the store advances plans only if no other node can reach it either, so that a bad
+// version is rolled back during a store outage too.
 func (c *rolloutController) step(ctx context.Context, now sageclock.Instant) {
 	n := c.node
 	entries := n.fleet.rollouts.Entries()
--- a/internal/sagerouter/view_test.go
+++ b/internal/sagerouter/view_test.go
@@ -77,8 +77,8 @@
 	return c
 }
 
-// The first answer after a store outage concerned the configuration, and the registry of upstreams never learned
-// that the outage was over. From then on, deleted upstreams received requests for two more seconds.
+// The first answer after a store outage concerned the configuration, and the registry of upstreams was not notified
+// of the end of the outage. From then on, deleted upstreams received requests for two more seconds.
 func TestAnyStoreAnswerEndsOutage(t *testing.T) {
 	v := newView()
 	v.applyUpstreams([]sagefollow.Change{put("e1", 1, `{"Service":"s","Address":"a:1"}`)}, false)
--- a/pkg/sagegossip/engine.go
+++ b/pkg/sagegossip/engine.go
@@ -71,7 +71,7 @@
 			parts = append(parts, Part{Section: s.Name(), Data: s.Digest()})
 			return nil
 		})
-		_ = err // counted by guard; the other sections still take part
+		_ = err // counted by runSection; the other sections still take part
 	}
 	return parts
 }
@@ -95,7 +95,7 @@
 			left -= len(d)
 			return nil
 		})
-		_ = err // counted by guard; the other sections still take part
+		_ = err // counted by runSection; the other sections still take part
 	}
 	return parts
 }
@@ -164,7 +164,7 @@
 			f(o)
 			return nil
 		})
-		_ = err // counted by guard
+		_ = err // counted by runSection
 	}
 }
 
--- a/pkg/sagegossip/engine_test.go
+++ b/pkg/sagegossip/engine_test.go
@@ -108,17 +108,17 @@
 					dcOf[p.Address] = p.DataCentre
 				}
 				const rounds = 40
-				far := 0
+				remote := 0
 				for range rounds {
 					a, ok := c.Next(peers, nil)
 					require.True(t, ok)
 					if dcOf[a] != c.Self.DataCentre {
-						far++
+						remote++
 						pairs[c.Self.DataCentre+dcOf[a]] = true
 					}
 				}
 				if size.n > size.dcs {
-					require.LessOrEqual(t, far, rounds/2)
+					require.LessOrEqual(t, remote, rounds/2)
 				}
 			}
 			require.Len(t, pairs, size.dcs*(size.dcs-1))
@@ -127,7 +127,7 @@
 }
 
 // After a rack of twenty nodes failed, their urgent addresses took every round, and the heartbeats of the other
-// nodes reached nobody.
+// nodes reached no node.
 func TestUrgentAddressesTakeEveryThirdRound(t *testing.T) {
 	c, peers := newChooser(0, 8, 2)
 	urgent := 0
--- a/pkg/sagehealth/lost_test.go
+++ b/pkg/sagehealth/lost_test.go
@@ -34,7 +34,8 @@
 
 // loadResult is the result of simulateLoad.
 type loadResult struct {
-	avoided, broken, aboveBound float64 // fractions of the picks of an engine, of the requests, of the requests
+	// avoided is the fraction of the calls of Avoid that returned true, the others are fractions of the requests.
+	avoided, broken, aboveBound float64
 }
 
 // simulateLoad runs ten seconds of virtual time in which nodes send each request to the less loaded of two engines
