--- a/internal/sageconn/tracker.go
+++ b/internal/sageconn/tracker.go
@@ -26,7 +26,7 @@
 	t.current, t.use = c, use
 	t.mu.Unlock()
 	// The upstream may have restarted since the request got its unit of the allotment, and the
-	// connection may lead to its cold successor. Sealed, the connection carries nothing, and the
+	// connection may lead to its cold successor. Nothing can be written to a sealed connection, so the
 	// request counts as not executed.
 	if t.BootID != "" && c.bootID != "" && c.bootID != t.BootID {
 		c.seal(use)
--- a/internal/sagerelay/crash.go
+++ b/internal/sagerelay/crash.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// crashOf returns the ID of the crash that ends this start of an upstream.
-func crashOf(u *sageupstream.Entry) sagequarantine.CrashID {
+// crashIDOf returns the ID of the crash that ends this start of an upstream.
+func crashIDOf(u *sageupstream.Entry) sagequarantine.CrashID {
 	return sagequarantine.CrashIDOf(u.ID, u.Born)
 }
 
@@ -77,7 +77,7 @@
 // recordAbandoned records that this node cancelled the request. The upstream may still be executing
 // it.
 func (x *exchange) recordAbandoned() {
-	x.j.s.Quarantine.RecordAbandoned(sageclock.Now(), crashOf(x.p.Upstream), x.j.fingerprint())
+	x.j.s.Quarantine.RecordAbandoned(sageclock.Now(), crashIDOf(x.p.Upstream), x.j.fingerprint())
 }
 
 // probeStopped probes whether an upstream has stopped. Concurrent calls share one probe.
@@ -95,7 +95,7 @@
 	for _, f := range requests {
 		s.Log.Limited(sagelog.KindStateChange, "Upstream crashed under a request.", "upstream", u.ID, "service", u.Service, "fingerprint", f.String())
 	}
-	for _, e := range s.Quarantine.RecordCrash(now, crashOf(u), requests...) {
+	for _, e := range s.Quarantine.RecordCrash(now, crashIDOf(u), requests...) {
 		s.Log.Info("Request quarantined.", "fingerprint", e.Request.String(), "crashes", len(e.Crashes), "learned", "here", "upstream", u.ID)
 	}
 }
--- a/internal/sagerelay/exchange.go
+++ b/internal/sagerelay/exchange.go
@@ -69,7 +69,7 @@
 }
 
 // startStallTimer starts a timer that cancels the exchange of a repeatable request if no response
-// data arrives while another upstream could still respond in time. The timer first asks for the
+// data arrives while another upstream could still respond in time, but only if the fleet allows a
 // retry: without one, a late response is better than none.
 func (x *exchange) startStallTimer() *time.Timer {
 	j := x.j
@@ -88,8 +88,8 @@
 // firstByteTimeout is the time allowed for the first byte of the response to a repeatable request.
 //
 // It includes the prefill time of the prompt. Otherwise the exchange is cancelled during prefill, the
-// next engine starts from the beginning and is cancelled as well. Only completely read prompts stay
-// in the cache, so the same prompt would fail again and again.
+// next engine starts from the beginning and is cancelled as well. Only completely prefilled prompts
+// stay in the cache, so every attempt would fail in the same way.
 func (j *job) firstByteTimeout() time.Duration {
 	timeout := max(minStallTimeout, time.Duration(firstByteShare*float64(j.route.Objective)))
 	return timeout + time.Duration(prefillFactor*float64(j.s.Fleet.PrefillTime(j.serviceName, j.meta.Chain.Tokens())))
--- a/internal/sagerelay/service.go
+++ b/internal/sagerelay/service.go
@@ -159,7 +159,8 @@
 // reserveBody reserves buffer space for the request's body and reports whether there was enough.
 //
 // Bodies are buffered completely so that requests can be sent again. Without a limit, many large
-// bodies at the same time would exhaust the node's memory.
+// bodies at the same time would exhaust the node's memory. A body above the limit is accepted if no
+// other is buffered.
 func (s *Service) reserveBody(j *job, limits sageroute.Limits) bool {
 	n := j.r.ContentLength
 	if n < 0 {
--- a/internal/sagesse/doc.go
+++ b/internal/sagesse/doc.go
@@ -11,6 +11,7 @@
 //		w.Write(e.Raw)
 //	}
 //
-// The end of the input is reported as io.ErrUnexpectedEOF, also between two events. Only the caller,
-// which knows the framing of the body, can tell whether the stream may end there.
+// The end of the input is always reported as io.ErrUnexpectedEOF. [Reader.CleanEOF] reports whether
+// it came between two events. Only the caller, which knows the framing of the body, can decide
+// whether the stream may end there.
 package sagesse
--- a/internal/sagesse/event.go
+++ b/internal/sagesse/event.go
@@ -40,7 +40,7 @@
 }
 
 // CleanEOF reports, after an error of [Reader.Next], whether the input ended without a read error
-// between two events. Whether a stream may end there is up to the caller.
+// between two events.
 func (r *Reader) CleanEOF() bool { return r.cleanEOF }
 
 // Next returns the next event.
--- a/pkg/sagechain/holders.go
+++ b/pkg/sagechain/holders.go
@@ -102,8 +102,8 @@
 	return true
 }
 
-// expire drops expired holders, and the whole index if it is still full. A dropped holder costs one more read of
-// the part; an unbounded index would exhaust the memory.
+// expire drops expired holders, the parts that still have maxHolders afterwards, and the complete index if it is
+// still full. A dropped holder costs one more read of the part; an unbounded index would exhaust the memory.
 func (h *holderIndex) expire(now sageclock.Instant) {
 	for part, hs := range h.parts {
 		for u, o := range hs {
--- a/pkg/sagechain/placer.go
+++ b/pkg/sagechain/placer.go
@@ -147,7 +147,7 @@
 	return best
 }
 
-// Record records that an upstream reads the chain of a request.
+// Record records that an upstream reads the shared parts of a request's chain.
 func (p *Placer) Record(now sageclock.Instant, upstream string, c Chain) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/sagechain/placer_test.go
+++ b/pkg/sagechain/placer_test.go
@@ -149,9 +149,8 @@
 }
 
 // Prevents overload of one of the usable engines if three of eleven are in a data centre out of service and three
-// are cold. The other five carried everything, and one of them had 22 requests while twice the mean of all eleven
-// was
-// 19.
+// are cold. The other five got all requests, and one of them had 22 while twice the mean of all eleven was 19. Every
+// engine must stay within the platform's cap.
 func TestFewEnginesAreLoadedEvenly(t *testing.T) {
 	p := new(Placer)
 	cands, params := candidates(5), BoundParams{ExcludedUpstreams: 6}
@@ -176,9 +175,9 @@
 		return out
 	}
 	for _, tt := range []struct {
-		name string
-		rest BoundParams
-		want float64
+		name   string
+		params BoundParams
+		want   float64
 	}{
 		{"all usable", BoundParams{}, 2*5 + 1.5},
 		// Sums of counts arrive every 0.3 s; the requests sent in between are missing from them.
@@ -188,7 +187,7 @@
 		{"other cap factor", BoundParams{CapFactor: 1.5}, 1.5*5 + 1.5},
 		{"few usable", BoundParams{ExcludedUpstreams: 20}, 5 + 1},
 	} {
-		require.InDelta(t, tt.want, LoadBound(loaded(10, 5), tt.rest), 1e-9, tt.name)
+		require.InDelta(t, tt.want, LoadBound(loaded(10, 5), tt.params), 1e-9, tt.name)
 	}
 }
 
--- a/pkg/sagechain/simulation_test.go
+++ b/pkg/sagechain/simulation_test.go
@@ -11,8 +11,8 @@
 	"sagestand.example/sagestand/pkg/sageclock"
 )
 
-// The figures of the simulation are the users': twelve engines that read 55 prompt tokens a millisecond, chains of
-// a common part and one of 23 long or 138 short documents, requests of about a second, 64 requests a second, and
+// The simulation uses the users' figures: twelve engines that read 55 prompt tokens a millisecond, chains of a
+// common part and one of 23 long or 138 short documents, 64 requests a second that take about a second each, and
 // nodes that exchange counts every 200 ms.
 const (
 	engines                 = 12
@@ -211,8 +211,8 @@
 	}
 }
 
-// Prevents overload by lagging counts: ninety nodes exchange counts every 0.9 s, and each takes engines for free
-// that others have filled in the meantime. One request in thirty reached an engine above the platform's cap.
+// Prevents overload by lagging counts: ninety nodes exchange counts every 0.9 s, and each sends to engines that
+// others have filled in the meantime. One request in thirty reached an engine above the platform's cap.
 func TestSimulatedLaggingCounts(t *testing.T) {
 	for seed := range uint64(5) {
 		m := newSimulation(seed, manyNodes, 900*time.Millisecond)
--- a/pkg/sagequarantine/fingerprint.go
+++ b/pkg/sagequarantine/fingerprint.go
@@ -12,8 +12,8 @@
 // ErrFingerprint is returned for text that is not a fingerprint.
 var ErrFingerprint = errors.New("fingerprint is not 16 hexadecimal digits")
 
-// Fingerprint identifies what a request asks for and which client account sends it, whatever the attempt. Requests
-// with equal fingerprints are the same to an upstream.
+// Fingerprint identifies a request by its content and its client account. All attempts of a request have the same
+// fingerprint, and requests with equal fingerprints are the same to an upstream.
 type Fingerprint uint64
 
 // digits is the length of a fingerprint's text.
--- a/pkg/sagequarantine/outbox.go
+++ b/pkg/sagequarantine/outbox.go
@@ -36,10 +36,10 @@
 	(*o)[i].local = true
 }
 
-// expire drops the messages that have been sent for sendFor.
+// expire drops the messages that were queued messageTTL ago or earlier.
 func (o *outbox) expire(now sageclock.Instant) {
 	n := 0
-	for n < len(*o) && now.Sub((*o)[n].queuedAt) >= sendFor {
+	for n < len(*o) && now.Sub((*o)[n].queuedAt) >= messageTTL {
 		n++
 	}
 	if n > 0 {
--- a/pkg/sagequarantine/tracker.go
+++ b/pkg/sagequarantine/tracker.go
@@ -24,9 +24,9 @@
 	QuarantineDuration = 30 * time.Minute
 	// suspectTTL is the time after its last crash for which a suspect is recorded.
 	suspectTTL = QuarantineDuration
-	// sendFor is how long a message is included in this node's heartbeats. It covers several of them, since some
-	// may be lost.
-	sendFor = 1500 * time.Millisecond
+	// messageTTL is how long a message is included in this node's heartbeats. It covers several of them, since
+	// some may be lost.
+	messageTTL = 1500 * time.Millisecond
 	// abandonedTTL is how long an upstream may continue to execute a request that its node has abandoned.
 	abandonedTTL = 5 * time.Second
 
--- a/pkg/sagerollout/controller.go
+++ b/pkg/sagerollout/controller.go
@@ -110,7 +110,8 @@
 	return s.test.Verdict()
 }
 
-// Verdict returns the last verdict on an order, and the route that decided it.
+// Verdict returns the verdict of an order's [SequentialTest], and the route that decided it. The test gets no
+// evidence if Evaluate is set.
 func (c *Controller) Verdict(order uint64) (Verdict, string) {
 	if s := c.orders[order]; s != nil {
 		return s.test.Verdict()
--- a/pkg/sagerollout/plan.go
+++ b/pkg/sagerollout/plan.go
@@ -61,8 +61,8 @@
 // supersedes reports whether a plan replaces another one of the same order.
 //
 // A final phase is never superseded by another phase, whatever the sequence, except that a rollback supersedes a
-// completion. Two nodes may both act as the controller, and the one that knows less must not send requests to a
-// version that the other one rolled back.
+// completion. Two nodes may both act as the controller, and one that hasn't received the other's rollback must not
+// send requests to that version again.
 func (p *Plan) supersedes(o *Plan) bool {
 	switch {
 	case p.Phase.Final() != o.Phase.Final():
--- a/pkg/sagerollout/rollout_test.go
+++ b/pkg/sagerollout/rollout_test.go
@@ -71,8 +71,8 @@
 	require.Equal(t, ArmAny, tr.Arm(at(2200), "other", "r"))
 }
 
-// Prevents requests to a version that was rolled back when another node acts as the controller, knows less, and
-// issues a later plan.
+// Prevents requests to a version that was rolled back when another node acts as the controller, hasn't received the
+// rollback, and issues a plan with a higher sequence.
 func TestFinalPhaseIsNotSuperseded(t *testing.T) {
 	tr := new(Tracker)
 	tr.Put(order(1, "v2"))
--- a/pkg/sagerollout/splitter.go
+++ b/pkg/sagerollout/splitter.go
@@ -9,8 +9,9 @@
 // with the fewest requests for the target are preferred, so that a version that is bad only on a rare route is
 // detected as fast as one that is bad on a busy route.
 type Splitter struct {
-	// InitialCredit is a random number in [0, 1). It makes some of many nodes that get few requests each send one
-	// to the target, so that the share holds for all nodes together. It is set before use.
+	// InitialCredit is a random number in [0, 1). Without it, nodes that get few requests each would never reach
+	// the credit for a request to the target. With it some of them do, so that the share holds for all nodes
+	// together. It is set before use.
 	InitialCredit float64
 
 	credit float64
--- a/pkg/sageshare/share_test.go
+++ b/pkg/sageshare/share_test.go
@@ -22,7 +22,7 @@
 }
 
 // Engines that have just restarted are overloaded if every node sends them as much as one node may:
-// the sum is many times the limit. Here every node asks in each millisecond.
+// the sum is many times the limit. Here every node calls Allow each millisecond.
 func TestColdUpstreamRateOfAllNodesIsLimited(t *testing.T) {
 	const perSecond, bound = 10, 10*1.5 + 5
 	for _, n := range []int{1, 2, 8, 9, 91} {
--- a/pkg/sageupstream/registry_test.go
+++ b/pkg/sageupstream/registry_test.go
@@ -128,8 +128,9 @@
 	require.Equal(t, []string{"c"}, r.TakeStopped(at(9000)))
 }
 
-// Only this node was cut off from the store. More than a second after its return an upstream leaves. If the grace period started with the deletion, the upstream would get requests for two more
-// seconds, 41 ms longer than is allowed for a leaving one.
+// Only this node was cut off from the store. More than a second after the store is reachable again, an
+// upstream leaves. If the grace period started with the deletion, the upstream would get requests for
+// two more seconds, 41 ms longer than is allowed for a leaving one.
 func TestGraceStartsWithStoreReturn(t *testing.T) {
 	r := new(Registry)
 	r.Put(entry("a"))
