--- a/pkg/sageburn/doc.go
+++ b/pkg/sageburn/doc.go
@@ -1,11 +1,11 @@
 // Package sageburn measures service levels. For each client account and priority it counts good and bad
 // requests over several windows, and computes how fast the error budget is used up (the burn rate).
 //
-// A request is good if it ended complete (or correctly as already run) and its first byte arrived
-// within the latency of the objective. Refusals and unknown outcomes are bad, except those that the
-// caller alone caused (see [Fault]). The burn rate of a window is the fraction of bad requests divided
-// by the fraction that the objective allows. At a rate of 1 the budget lasts exactly for the period of
-// the objective.
+// A request is good if its outcome is complete or already run and its first byte arrived within the
+// latency of the objective. Refusals and unknown outcomes are bad, except those that the caller alone
+// caused (see [Fault]). The burn rate of a window is the fraction of bad requests divided by the
+// fraction that the objective allows. At a rate of 1 the budget lasts exactly for the period of the
+// objective.
 //
 // An alert requires a high rate in two windows: the long one shows that the burn is significant, the
 // short one that it continues. Reference: Beyer, Murphy, Rensin, Kawahara, Thorne (eds.), "The Site
--- a/pkg/sageburn/objective.go
+++ b/pkg/sageburn/objective.go
@@ -72,7 +72,7 @@
 
 // The faults.
 const (
-	// FaultNone: the request ended with its complete response.
+	// FaultNone: the outcome is complete or already run.
 	FaultNone Fault = iota
 	// FaultCaller: the request as sent could not be served; it counts neither as good nor as bad.
 	FaultCaller
--- a/pkg/sageclaim/committer.go
+++ b/pkg/sageclaim/committer.go
@@ -178,7 +178,7 @@
 		case err != nil:
 			p.err = err
 		default:
-			p.resolve(log)
+			p.setResult(log)
 		}
 		close(p.done)
 	}
@@ -199,8 +199,8 @@
 	return live
 }
 
-// resolve sets the result of an entry from the log after the commit.
-func (p *pending) resolve(log *ClaimLog) {
+// setResult sets the result of an entry from the log after the commit.
+func (p *pending) setResult(log *ClaimLog) {
 	rec, ok := log.Record(p.entry.Account, p.entry.Key)
 	switch {
 	case p.entry.Op == OpClaim && (!ok || rec.State == StateReleased):
--- a/pkg/sageclock/clock.go
+++ b/pkg/sageclock/clock.go
@@ -1,7 +1,7 @@
 // Package sageclock provides a clock that also counts the time during which a VM is suspended.
 //
 // The monotonic clock behind [time.Now] stops while a VM is suspended, and the wall clock may jump.
-// Checks that a proof is at most a few seconds old therefore use the time since boot.
+// Checks that a freshness proof is at most a few seconds old therefore use the time since boot.
 //
 // # Usage
 //
--- a/pkg/sageconfig/ticket.go
+++ b/pkg/sageconfig/ticket.go
@@ -28,8 +28,8 @@
 // checker is the value of an entry that can be validated.
 type checker interface{ Check() error }
 
-// states returns the values that are set in c, by kind.
-func (c *Change) states() map[Kind]checker {
+// values returns the values that are set in c, by kind.
+func (c *Change) values() map[Kind]checker {
 	m := make(map[Kind]checker, 1)
 	if c.Route != nil {
 		m[KindRoute] = c.Route
@@ -61,7 +61,7 @@
 	if err := c.Key.Check(); err != nil {
 		return err
 	}
-	m := c.states()
+	m := c.values()
 	if c.Deleted {
 		if len(m) != 0 {
 			return fmt.Errorf("%s is deleted but has a value: %w", c.Key, ErrInvalidTicket)
--- a/pkg/sagefair/pick.go
+++ b/pkg/sagefair/pick.go
@@ -61,7 +61,7 @@
 }
 
 // hasFreeSlot reports whether a slot is free for a class. Bulk requests leave every eighth slot free: a
-// long reconciliation would hold it for as long as it runs, and urgent requests can't wait for that.
+// long bulk request would hold it for as long as it runs, and urgent requests can't wait for that.
 func (s *Scheduler) hasFreeSlot(p sagewire.Priority) bool {
 	if p == sagewire.Bulk {
 		return s.running < s.slots-s.slots/8
--- a/pkg/sagemember/damper.go
+++ b/pkg/sagemember/damper.go
@@ -6,7 +6,7 @@
 const (
 	// maxFlaps bounds the penalty: at most 1+1<<maxFlaps consecutive successes are needed to come up.
 	maxFlaps = 5
-	// flapDecayInterval is how long something has to stay up for one of its flaps to be forgotten.
+	// flapDecayInterval is how long a node or target has to stay up for its flap count to drop by one.
 	flapDecayInterval = 5 * time.Minute
 )
 
@@ -57,7 +57,7 @@
 	return true
 }
 
-// decay forgets one flap for each flapDecayInterval that the target has been up.
+// decay lowers the flap count by one for each flapDecayInterval that the target has been up.
 func (d *damper) decay(now time.Time) {
 	if d.flaps > 0 && now.Sub(d.decayFrom) > flapDecayInterval {
 		d.flaps--
--- a/pkg/sagemember/incarnation.go
+++ b/pkg/sagemember/incarnation.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 // newIncarnation returns a random number rather than a count or a time: a VM without a disk that is
-// replaced at the same address remembers no count, and its clock may be behind that of its predecessor.
+// replaced at the same address has lost any count, and its clock may be behind that of its predecessor.
 func (t *Table) newIncarnation() uint64 {
 	random := t.Random
 	if random == nil {
--- a/pkg/sagemember/table.go
+++ b/pkg/sagemember/table.go
@@ -49,7 +49,7 @@
 	// sentCounter is the heartbeat that was last sent, and sentCount is how often it was sent.
 	sentCounter uint64
 	sentCount   int
-	// queried holds the nodes that called this one, and so received the question, while it was suspect;
+	// queried holds the nodes that called this one while the entry was suspect, and so were asked about it;
 	// checkedBy holds those that have also had the chance to report a later heartbeat.
 	queried   map[uint64]bool
 	checkedBy map[uint64]bool
--- a/pkg/sagemember/table_test.go
+++ b/pkg/sagemember/table_test.go
@@ -13,7 +13,7 @@
 	"sagestand.example/sagestand/pkg/sagemember"
 )
 
-// newFleet returns a fleet of n nodes in dcs data centres that know each other.
+// newFleet returns a fleet of n nodes in dcs data centres whose views have converged.
 func newFleet(t *testing.T, n, dcs int) *sagemeasure.MemberFleet {
 	t.Helper()
 	f := sagemeasure.NewMemberFleet(1)
@@ -29,7 +29,7 @@
 	}
 }
 
-// findNode returns what n knows of an incarnation.
+// findNode returns an incarnation as n's table has it.
 func findNode(n *sagemeasure.MemberNode, id uint64) (sagemember.Node, bool) { return n.Table.Node(id) }
 
 func TestJoinLeaveAndDeathReachEveryNode(t *testing.T) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against evictions of healthy nodes under message loss, which would move chats each time: no
-// contact from a node must not count as its death before other nodes were asked.
+// Guards against evictions of healthy nodes under message loss, which would move chats each time: a
+// node without contact must not be declared dead before other nodes were asked about it.
 func TestIndirectChecksReduceEvictionsUnderLoss(t *testing.T) {
 	evictions := func(checks int) int64 {
 		f := newFleet(t, 24, 4)
@@ -115,9 +115,9 @@
 	require.True(t, f.Converged(), "the isolated node rejoins")
 }
 
-// Guards against confusing a VM with its replacement at the same address: clients would be sent to the
-// old one, or the new one would be evicted with it, if the two counted as one node or late heartbeats
-// of the old one counted.
+// Guards against confusing a VM with its replacement at the same address. If the two counted as one
+// node, or late heartbeats of the old VM counted, clients would be sent to the old VM, or the new one
+// would be evicted with it.
 func TestReplacementAtSameAddress(t *testing.T) {
 	f := newFleet(t, 8, 4)
 	old := f.Nodes[4]
--- a/pkg/sageobject/client.go
+++ b/pkg/sageobject/client.go
@@ -32,7 +32,7 @@
 
 func (c *Client) objectURL(key string) string { return c.URL + "/v1/objects/" + key }
 
-// do sends one request and reads the whole response. An error before the response is complete wraps
+// do sends one request and reads the complete response. An error before the response is complete wraps
 // noResponseErr. If the context ends before there is a response, a read returns the context's error; a
 // write still wraps ErrUnknown, because it may have taken effect.
 func (c *Client) do(req *http.Request, noResponseErr error) (int, http.Header, []byte, error) {
--- a/pkg/sageobject/memory.go
+++ b/pkg/sageobject/memory.go
@@ -23,9 +23,10 @@
 // Memory is an in-memory store. The zero value is ready for use.
 //
 // Before and After are optional hooks for fault injection and must be set before first use. They are
-// called before and after the effect of each operation, and an error that one returns is returned by
-// the operation. An error of Before prevents the effect, as in an outage. An error of After simulates a
-// lost response to an operation that took effect, and should wrap [ErrUnknown] for writes.
+// called before and after the effect of each operation, except that After is not called for a list. An
+// error that one returns is returned by the operation. An error of Before prevents the effect, as in an
+// outage. An error of After simulates a lost response to an operation that took effect, and should wrap
+// [ErrUnknown] for writes.
 type Memory struct {
 	Before func(op Op, key string) error
 	After  func(op Op, key string) error
--- a/pkg/sageplace/doc.go
+++ b/pkg/sageplace/doc.go
@@ -13,10 +13,10 @@
 // # The bound
 //
 // The first upstream of the order whose load stays within a multiple of the mean takes the request
-// (bounded loads). The bound is the integer ceil(multiple * (total+1) * cap/capacity), so one request
-// always fits on an idle fleet. The spill follows the same order: all routers spill a key to the same
-// next upstream, whose cache becomes warm as well. An upstream whose load is unknown does not count as
-// idle.
+// (bounded loads). The bound is the integer ceil(multiple * (total+1) * cap/totalCap), where the totals
+// are those of the upstreams of known load, so one request always fits on an idle fleet. The spill
+// follows the same order: all routers spill a key to the same next upstream, whose cache becomes warm
+// as well. An upstream whose load is unknown does not count as idle.
 //
 // # Returning chats
 //
--- a/pkg/sageplace/placer.go
+++ b/pkg/sageplace/placer.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// DefaultLoadBound is the multiple of the mean load that no upstream should exceed.
-// docs/design/placement.md describes how it was measured.
+// DefaultLoadBound is the multiple of the mean load that no upstream should exceed. Bounds of 1.1 and
+// 1.25 don't spread the load more evenly, because load reports lag, and 1.35 kept less of the cache;
+// see docs/design/placement.md.
 const DefaultLoadBound = 1.5
 
 // LoadBounds returns the bounds of a [Placer] for a multiple of the mean that should seldom be
--- a/pkg/sagesync/bench_test.go
+++ b/pkg/sagesync/bench_test.go
@@ -10,14 +10,14 @@
 	"sagestand.example/sagestand/pkg/sageticket"
 )
 
-// thingCount is the number of things in a configuration of the design size: 32,000 client accounts,
+// entryCount is the number of entries in a configuration of the design size: 32,000 client accounts,
 // 2,300 runners, and routes, sets and data centres.
-const thingCount = 34_500
+const entryCount = 34_500
 
 // newLargeReplica returns a replica of the design size.
 func newLargeReplica(c *clock) *Replica {
 	s := sageconfig.NewState()
-	for i := range thingCount {
+	for i := range entryCount {
 		s.Apply(sageconfig.Entry{TicketNumber: 1, Change: sageconfig.Change{
 			Key:           sageconfig.EntryKey{Kind: sageconfig.KindClientAccount, Name: fmt.Sprintf("account-%d", i)},
 			ClientAccount: &sageconfig.ClientAccount{KeySHA256: fmt.Sprintf("%x", sha256.Sum256([]byte{byte(i), byte(i >> 8)})), Weight: 1},
@@ -109,7 +109,7 @@
 	for b.Loop() {
 		before := heap()
 		s := sageconfig.NewState()
-		for i := range thingCount {
+		for i := range entryCount {
 			e, err := decodeEntry(raw)
 			if err != nil {
 				b.Fatal(err)
--- a/pkg/sagesync/contact.go
+++ b/pkg/sagesync/contact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// mergeContacts merges a peer's last contacts to the roster nodes, each given by the clock of that
+// mergeContacts merges a peer's last contacts with the roster nodes, each given by the clock of that
 // node. It ignores names outside the roster, and instants too far ahead of the local clock, which would
 // count as contact for too long.
 func (r *Replica) mergeContacts(contacts map[string]int64) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// ownContacts returns the newest known contact to each roster node, including this node itself.
+// ownContacts returns the newest known contact with each roster node, including this node itself.
 func (r *Replica) ownContacts() map[string]int64 {
 	if len(r.Roster) == 0 {
 		return nil
@@ -36,8 +36,8 @@
 	return c
 }
 
-// quorumContact returns the latest instant at which this node had contact to a majority of the roster,
-// the zero time without a roster.
+// quorumContact returns the latest instant at which this node had contact with a majority of the
+// roster, the zero time without a roster.
 func (r *Replica) quorumContact() time.Time {
 	if len(r.Roster) == 0 {
 		return time.Time{}
--- a/pkg/sagesync/property_test.go
+++ b/pkg/sagesync/property_test.go
@@ -62,8 +62,8 @@
 	for i, n := range f.nodes {
 		s := n.Current()
 		require.Equal(t, entries(f.store.stateAt(s.Revision)), entries(s.State), "node %d at revision %d", i, s.Revision)
-		for th, e := range f.lastServed[i].All() {
-			require.GreaterOrEqual(t, s.State.TicketNumber(th), e.TicketNumber, "the ticket number of %s went back at node %d", th, i)
+		for key, e := range f.lastServed[i].All() {
+			require.GreaterOrEqual(t, s.State.TicketNumber(key), e.TicketNumber, "the ticket number of %s went back at node %d", key, i)
 		}
 		f.lastServed[i] = s.State
 		for k, rec := range n.tail {
--- a/pkg/sagesync/replica.go
+++ b/pkg/sagesync/replica.go
@@ -75,7 +75,7 @@
 	contacts    map[string]time.Time // last contact by roster name, by that node's clock
 	reassembly  reassembler
 	transfer    *stateTransfer
-	index       thingIndex
+	index       keyIndex
 	changed     chan struct{}
 }
 
@@ -113,7 +113,7 @@
 	return r.changed
 }
 
-// RecordQuorum records an instant at which the node had contact to a majority of the roster.
+// RecordQuorum records an instant at which the node had contact with a majority of the roster.
 func (r *Replica) RecordQuorum(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/sagesync/replica_test.go
+++ b/pkg/sagesync/replica_test.go
@@ -18,7 +18,7 @@
 	c := &clock{start}
 	s, peer := newFilledStore(t, c, 12, 200)
 	peer.MaxTail = 2
-	s.accept(t, 0, "dc0", "zz") // changes the first and the last thing of the transfer
+	s.accept(t, 0, "dc0", "zz") // changes the first and the last entry of the transfer
 	node := &Replica{Now: c.Now}
 	const budget = 1500
 	exchange(t, node, peer, budget)
@@ -32,8 +32,8 @@
 	assert.Equal(t, uint64(13), node.Current().Revision)
 }
 
-// Guards against a ticket, or the state of one thing, that is larger than one exchange can carry: a
-// node that can't receive it in fragments would never get past it.
+// Guards against a ticket, or a single entry, that is larger than one exchange can carry: a node that
+// can't receive it in fragments would never get past it.
 func TestLargeTicket(t *testing.T) {
 	c := &clock{start}
 	s := newTestStore()
@@ -146,7 +146,7 @@
 }
 
 // Guards against a chunk meant for an earlier process: a node restarts while it receives the state. If
-// it merged such a chunk, the served state would lack the things in between.
+// it merged such a chunk, the served state would lack the entries in between.
 func TestChunkForEarlierProcess(t *testing.T) {
 	c := &clock{start}
 	s, peer := newFilledStore(t, c, 60, 300)
@@ -214,7 +214,7 @@
 	assert.Equal(t, entries(s.stateAt(1)), entries(held.State))
 }
 
-// A node that can't reach the store gets contact to the roster only through a peer. Neither a clock
+// A node that can't reach the store is in contact with the roster only through a peer. Neither a clock
 // that runs ahead nor a name outside the roster may add to the contact.
 func TestContacts(t *testing.T) {
 	c := &clock{start}
--- a/pkg/sagesync/rule.go
+++ b/pkg/sagesync/rule.go
@@ -25,7 +25,7 @@
 	IsolatedIdempotent IsolationPolicy = "idempotent_only"
 	// IsolatedFence refuses all requests.
 	IsolatedFence IsolationPolicy = "fence"
-	// IsolatedQuorum accepts recent contact to a majority of the roster in place of fresh evidence.
+	// IsolatedQuorum accepts recent contact with a majority of the roster in place of fresh evidence.
 	// Without such contact the node accepts no tickets, and without either it refuses all requests.
 	IsolatedQuorum IsolationPolicy = "quorum"
 )
@@ -72,7 +72,7 @@
 	// ConfirmedAt is the latest instant at which the store is known to have had no revision above
 	// Revision.
 	ConfirmedAt time.Time
-	// QuorumAt is the latest instant at which the node had contact to a majority of the roster.
+	// QuorumAt is the latest instant at which the node had contact with a majority of the roster.
 	QuorumAt time.Time
 }
 
@@ -123,15 +123,15 @@
 }
 
 // MayAccept reports whether a node with status s may accept tickets at now. Under [IsolatedQuorum] both
-// this and serving without fresh evidence need contact to a majority of the roster, so that the two
+// this and serving without fresh evidence need contact with a majority of the roster, so that the two
 // majorities always share a node.
 func (r Rule) MayAccept(now time.Time, s Status) bool {
 	return r.Isolated != IsolatedQuorum || !now.After(s.QuorumAt.Add(r.MaxEvidenceAge))
 }
 
-// QuorumAt returns the latest instant since which this node has had contact to a majority of a roster.
-// It is given the last contact, direct or through other nodes, to each roster node: now for this node
-// itself, zero for a node that was never in contact. Without a roster it returns now.
+// QuorumAt returns the latest instant such that a majority of a roster had its last contact then or
+// later. It is given the last contact, direct or through other nodes, with each roster node: now for
+// this node itself, zero for a node that was never in contact. Without a roster it returns now.
 //
 // The roster must be the same on all nodes and include the unreachable ones. If only reachable nodes
 // counted, an isolated minority would always consider itself complete. If each node added itself to a
--- a/pkg/sagesync/section.go
+++ b/pkg/sagesync/section.go
@@ -8,8 +8,8 @@
 
 var _ sagegossip.Section = (*Replica)(nil)
 
-// envelopeBytes bounds the size of a delta without its payload: mainly the names of two things of the
-// greatest length, or the ID of a fragment.
+// envelopeBytes bounds the size of a delta without its payload: mainly two entry keys of the greatest
+// length, or the ID of a fragment.
 const envelopeBytes = 800
 
 // minPayloadBytes is the smallest payload that is worth sending.
--- a/pkg/sagesync/transfer.go
+++ b/pkg/sagesync/transfer.go
@@ -101,29 +101,29 @@
 	r.publish(t.base, t.state, t.records)
 }
 
-// thingKey is a thing with its sort key in the order of a transfer.
-type thingKey struct {
-	key   string
-	thing sageconfig.EntryKey
+// sortedKey is an entry key and its text, by which a transfer is ordered.
+type sortedKey struct {
+	key      string
+	entryKey sageconfig.EntryKey
 }
 
-// thingIndex holds the things of one revision in order.
-type thingIndex struct {
+// keyIndex holds the entry keys of one revision in order.
+type keyIndex struct {
 	revision uint64
-	keys     []thingKey
+	keys     []sortedKey
 }
 
-// indexOf returns the things of s in order. The index is built once for each revision that is sent.
-func (r *Replica) indexOf(s *Snapshot) []thingKey {
+// indexOf returns the entry keys of s in order. The index is built once for each revision that is sent.
+func (r *Replica) indexOf(s *Snapshot) []sortedKey {
 	if r.index.revision == s.Revision {
 		return r.index.keys
 	}
-	keys := make([]thingKey, 0, s.State.Len())
+	keys := make([]sortedKey, 0, s.State.Len())
 	for t := range s.State.All() {
-		keys = append(keys, thingKey{key: t.String(), thing: t})
+		keys = append(keys, sortedKey{key: t.String(), entryKey: t})
 	}
 	sort.Slice(keys, func(i, j int) bool { return keys[i].key < keys[j].key })
-	r.index = thingIndex{revision: s.Revision, keys: keys}
+	r.index = keyIndex{revision: s.Revision, keys: keys}
 	return keys
 }
 
@@ -138,7 +138,7 @@
 	ch.Last = ch.After
 	i := sort.Search(len(keys), func(i int) bool { return keys[i].key > ch.After })
 	for size := 0; i < len(keys); i++ {
-		e, _ := s.State.Get(keys[i].thing)
+		e, _ := s.State.Get(keys[i].entryKey)
 		raw := encode(e)
 		if size += len(raw) + 1; size > budget {
 			if len(ch.Entries) == 0 {
--- a/pkg/sagesync/wire.go
+++ b/pkg/sagesync/wire.go
@@ -19,12 +19,12 @@
 	At       time.Time `json:"at"`
 }
 
-// digest tells a peer what this node holds and how far an unfinished transfer has come.
+// digest describes to a peer what this node holds and how far an unfinished transfer has come.
 type digest struct {
 	Revision uint64   `json:"revision"`
 	Observed uint64   `json:"heard"`
 	Evidence Evidence `json:"evidence,omitzero"`
-	// Contacts holds the last known contact to each roster node, in milliseconds of Unix time.
+	// Contacts holds the last known contact with each roster node, in milliseconds of Unix time.
 	Contacts map[string]int64 `json:"contacts,omitempty"`
 	// Partial describes an incomplete fragmented record or entry, nil if there is none.
 	Partial *partialDigest `json:"partial,omitempty"`
@@ -64,8 +64,8 @@
 	Bytes  []byte `json:"bytes"`
 }
 
-// chunk holds the entries of the state at Revision, sorted by thing, from after After up to Last. If
-// the next entry alone exceeds the budget, the chunk holds a fragment of it instead.
+// chunk holds the entries of the state at Revision, sorted by key, whose keys are above After and at
+// most Last. If the next entry alone exceeds the budget, the chunk holds a fragment of it instead.
 type chunk struct {
 	Revision uint64            `json:"revision"`
 	After    string            `json:"after,omitempty"`
--- a/pkg/sageticket/accept_test.go
+++ b/pkg/sageticket/accept_test.go
@@ -72,7 +72,7 @@
 }
 
 // An operator takes a data centre out of service, and the response of the store is lost although the
-// update took effect. If Submit reported a rejection, the operator would submit another plan while the
+// update took effect. If Submit reported a rejection, the operator would submit another ticket while the
 // first is in force.
 func TestSubmitLostResponse(t *testing.T) {
 	store := newFaultyStore()
