--- a/cmd/sagestand/serve.go
+++ b/cmd/sagestand/serve.go
@@ -42,9 +42,9 @@
 		return sagesettings.Settings{}, fmt.Errorf("%w: --settings FILE is missing", sagecli.ErrUsage)
 	}
 	cfg, err := sagesettings.Load(path)
-	var faults sagesettings.FieldErrors
-	if errors.As(err, &faults) {
-		return cfg, fmt.Errorf("%w: %s: %v", sagecli.ErrSettings, path, faults)
+	var fieldErrs sagesettings.FieldErrors
+	if errors.As(err, &fieldErrs) {
+		return cfg, fmt.Errorf("%w: %s: %v", sagecli.ErrSettings, path, fieldErrs)
 	}
 	if err != nil {
 		return cfg, fmt.Errorf("%w: %v", sagecli.ErrSettings, err)
--- a/cmd/sagestand/settings.go
+++ b/cmd/sagestand/settings.go
@@ -26,30 +26,30 @@
 		Args:    sagecli.ExactArgs("FILE"),
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := sagesettings.Load(args[0])
-			var faults sagesettings.FieldErrors
-			if err != nil && !errors.As(err, &faults) {
+			var fieldErrs sagesettings.FieldErrors
+			if err != nil && !errors.As(err, &fieldErrs) {
 				return fmt.Errorf("%w: %v", sagecli.ErrSettings, err)
 			}
 			report := struct {
 				OK     bool                     `json:"ok"`
 				Faults sagesettings.FieldErrors `json:"faults"`
-			}{OK: len(faults) == 0, Faults: faults}
+			}{OK: len(fieldErrs) == 0, Faults: fieldErrs}
 			if report.Faults == nil {
 				report.Faults = sagesettings.FieldErrors{}
 			}
 			perr := out.Print(c.OutOrStdout(), report, func(w io.Writer) {
-				for _, f := range faults {
+				for _, f := range fieldErrs {
 					_, _ = fmt.Fprintf(w, "%s: %s\n", f.Path, f.Problem)
 				}
-				if len(faults) == 0 {
+				if len(fieldErrs) == 0 {
 					_, _ = fmt.Fprintln(w, "ok")
 				}
 			})
 			if perr != nil {
 				return perr
 			}
-			if len(faults) > 0 {
-				return fmt.Errorf("%w: %s: %d invalid fields, see above", sagecli.ErrSettings, args[0], len(faults))
+			if len(fieldErrs) > 0 {
+				return fmt.Errorf("%w: %s: %d invalid fields, see above", sagecli.ErrSettings, args[0], len(fieldErrs))
 			}
 			return nil
 		},
--- a/internal/sageadmission/doc.go
+++ b/internal/sageadmission/doc.go
@@ -3,7 +3,7 @@
 //
 // Each upstream set has its own scheduler, so that a set at capacity doesn't delay requests for other
 // sets. The slots of a scheduler are the units of the in-flight allotments that this node holds at the
-// set's upstreams. While requests wait, the load service asks for more units.
+// set's upstreams. While requests wait, the load service requests more units.
 //
 // # Usage
 //
--- a/internal/sageadmission/service.go
+++ b/internal/sageadmission/service.go
@@ -26,7 +26,8 @@
 
 // Load provides the number of requests that this node may have in flight.
 type Load interface {
-	// Slots returns the number of units held at the upstreams. A positive queued makes it ask for more.
+	// Slots returns the number of units held at the upstreams. queued is the number of waiting requests, for
+	// which more units are requested.
 	Slots(upstreams []string, queued int) int
 }
 
@@ -205,7 +206,7 @@
 // awaitUnits waits while a set has no units but may soon have some.
 //
 // Without it, each of these changes would refuse all requests of a set: a node has just started, a
-// ticket has just added the set, or the coordinators of its upstreams have just died. The node then
+// ticket has just added the set, or the coordinators of its upstreams have just failed. The node then
 // holds no units for the seconds that a new coordinator must wait before it grants any.
 func (s *Service) awaitUnits(ctx context.Context, set string, upstreams []string) *sagewire.Refusal {
 	for {
@@ -265,7 +266,7 @@
 	}
 }
 
-// reasonDetails explains the reasons of the scheduler to people.
+// reasonDetails holds the human-readable detail for each reason of the scheduler.
 var reasonDetails = map[sagewire.Reason]string{
 	sagewire.ReasonAccountLimit: "the client account has as many requests waiting as its share allows",
 	sagewire.ReasonOverloaded:   "no in-flight allotment is free and the queue is full",
--- a/internal/sageadmission/units_test.go
+++ b/internal/sageadmission/units_test.go
@@ -10,9 +10,9 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// The router that grants the units of a set dies, and no units exist until its successor may grant.
-// Requests in that time were refused as overloaded although nothing was in flight. They must wait for
-// the successor, up to noUnitsTimeout.
+// The coordinator that grants the units of a set fails, and no units exist until its successor may grant
+// any. Requests in that time were refused as overloaded although nothing was in flight. They must wait
+// for the successor, up to noUnitsTimeout.
 func TestTemporaryLossOfUnits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, f := newService(1)
--- a/internal/sageburnd/doc.go
+++ b/internal/sageburnd/doc.go
@@ -1,7 +1,7 @@
 // Package sageburnd implements the service "burn" of a node. It counts finished requests, returns its
 // counts to other nodes, and adds the counts of all nodes for an operator's report.
 //
-// Nodes exchange counts only when an operator requests a report: the node then asks each live node
+// Nodes exchange counts only when an operator requests a report: the node then calls each live node
 // once. Nodes that don't respond are listed in the report, since their counts are missing from it.
 //
 // # Usage
--- a/internal/sageconfigd/service.go
+++ b/internal/sageconfigd/service.go
@@ -54,7 +54,7 @@
 	Revision   uint64 `json:"revision"`
 	// Since is when this node first observed that revision on Node; in [TicketStatus], the ticket's revision.
 	Since time.Time `json:"since,omitzero"`
-	// LastContact is when Node was last heard from.
+	// LastContact is when this node last received a newer heartbeat of Node.
 	LastContact time.Time `json:"heard_at,omitzero"`
 }
 
--- a/internal/sageentry/handler_test.go
+++ b/internal/sageentry/handler_test.go
@@ -23,11 +23,11 @@
 
 // fakeSteps implements every step behind the entry. Each attempt gets the next of results.
 type fakeSteps struct {
-	state        *sageconfig.State
-	serving      *sagewire.Refusal
-	results      []sagedispatch.Result
-	claimRefusal *sagewire.Refusal
-	storedAnswer *sagedispatch.BufferedResponse
+	state          *sageconfig.State
+	serving        *sagewire.Refusal
+	results        []sagedispatch.Result
+	claimRefusal   *sagewire.Refusal
+	storedResponse *sagedispatch.BufferedResponse
 
 	attempts     []*sagedispatch.Attempt
 	finished     []sagewire.Outcome
@@ -58,7 +58,7 @@
 
 func (f *fakeSteps) Claim(context.Context, *Request) (*Claim, *sagedispatch.BufferedResponse, *sagewire.Refusal) {
 	if f.claimRefusal != nil {
-		return nil, f.storedAnswer, f.claimRefusal
+		return nil, f.storedResponse, f.claimRefusal
 	}
 	return &Claim{}, nil, nil
 }
@@ -205,8 +205,8 @@
 
 func TestRepeatGetsStoredAnswer(t *testing.T) {
 	f := &fakeSteps{
-		claimRefusal: &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: sagewire.ReasonKeyInUse},
-		storedAnswer: &sagedispatch.BufferedResponse{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
+		claimRefusal:   &sagewire.Refusal{Outcome: sagewire.AlreadyRun, Reason: sagewire.ReasonKeyInUse},
+		storedResponse: &sagedispatch.BufferedResponse{Status: 201, Header: http.Header{"Content-Type": {"text/plain"}}, Body: []byte("box 7")},
 	}
 	w := call(testService(f), "POST", "/v1/services/orders/x", "", sagewire.HeaderIdempotencyKey, "k")
 	assert.Equal(t, 201, w.Code)
--- a/internal/sageentry/refuse.go
+++ b/internal/sageentry/refuse.go
@@ -47,19 +47,19 @@
 
 // refuseClaim responds to a request whose key is already claimed, with the stored response if there is
 // one.
-func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, storedAnswer *sagedispatch.BufferedResponse, ref *sagewire.Refusal) {
-	if storedAnswer == nil || ref.Outcome != sagewire.AlreadyRun {
+func (s *Service) refuseClaim(w http.ResponseWriter, req *Request, storedResponse *sagedispatch.BufferedResponse, ref *sagewire.Refusal) {
+	if storedResponse == nil || ref.Outcome != sagewire.AlreadyRun {
 		s.refuse(w, req, ref, 0)
 		return
 	}
 	h := w.Header()
-	for k, v := range storedAnswer.Header {
+	for k, v := range storedResponse.Header {
 		h[k] = v
 	}
 	h.Set(sagewire.HeaderOutcome, string(sagewire.AlreadyRun))
-	h.Set("Content-Length", strconv.Itoa(len(storedAnswer.Body)))
-	w.WriteHeader(storedAnswer.Status)
-	_, _ = w.Write(storedAnswer.Body)
+	h.Set("Content-Length", strconv.Itoa(len(storedResponse.Body)))
+	w.WriteHeader(storedResponse.Status)
+	_, _ = w.Write(storedResponse.Body)
 	s.Recorder.Record(newObservation(req, sagewire.AlreadyRun, ref.Reason, 0))
 }
 
--- a/internal/sageentry/serve.go
+++ b/internal/sageentry/serve.go
@@ -82,9 +82,9 @@
 		return
 	}
 	defer release()
-	claim, storedAnswer, ref := s.claim(ctx, req)
+	claim, storedResponse, ref := s.claim(ctx, req)
 	if ref != nil {
-		s.refuseClaim(w, req, storedAnswer, ref)
+		s.refuseClaim(w, req, storedResponse, ref)
 		return
 	}
 	res, pick, attempts := s.runAttempts(ctx, w, req)
--- a/internal/sagekernel/kernel.go
+++ b/internal/sagekernel/kernel.go
@@ -36,7 +36,7 @@
 
 // Kernel runs the services of one process.
 type Kernel struct {
-	// StopTimeout limits the whole stop, counted from its beginning.
+	// StopTimeout limits the total time in which all services must stop.
 	StopTimeout time.Duration
 	Log         sagelog.Logger
 
--- a/internal/sageloadd/request.go
+++ b/internal/sageloadd/request.go
@@ -23,7 +23,7 @@
 		}
 		coordinator, ok := s.coordinatorOf(u, live)
 		if !ok || s.pendingCalls[coordinator] {
-			// A new request invalidates the response to the previous one. If calls took longer than a
+			// A new request would invalidate the response to the pending one. If calls took longer than a
 			// round, no response would ever be applied.
 			continue
 		}
@@ -99,7 +99,7 @@
 	u.exhausted = !g.Pending && g.Units < u.requestedUnits
 	if g.ReportFresh {
 		u.estimate.Observe(time.Now(), g.Report)
-		u.capacity = g.Cap
+		u.cap = g.Cap
 	}
 }
 
--- a/internal/sageloadd/service.go
+++ b/internal/sageloadd/service.go
@@ -245,11 +245,11 @@
 const maxInitialUpstreams = 3
 
 // requestInitialUnits marks a few upstreams of a set of which this node holds no unit, so that the next request
-// asks for one unit of each. It reports whether an urgent request is needed. The caller holds mu.
+// includes one unit of each. It reports whether an urgent request is needed. The caller holds mu.
 //
 // Without it a new node would never serve: it places requests only with a unit, and otherwise requests units
-// only of upstreams that it has used. Requesting from a large set as a whole would cost a call to each
-// coordinator every round. Each second another few are selected, in case some are out of service or cold.
+// only of upstreams that it has used. Requesting units of all upstreams of a large set would cost a call to
+// each coordinator every round. Each second another few are selected, in case some are out of service or cold.
 func (s *Service) requestInitialUnits(names []string, now time.Time) bool {
 	start := int((sageload.NodeHash(s.Node) + uint64(now.Unix())) % uint64(max(len(names), 1)))
 	needsRequest := false
--- a/internal/sageloadd/upstream.go
+++ b/internal/sageloadd/upstream.go
@@ -19,7 +19,7 @@
 
 	allotment      sageload.Allotment
 	estimate       sageload.Estimate
-	capacity       int
+	cap            int
 	detector       sageload.Detector
 	coldObserved   bool // the latency has indicated a cold engine since the last request
 	lastUsed       time.Time
@@ -47,7 +47,7 @@
 func (u *upstream) view(now time.Time) sageload.View {
 	r := u.estimate.Report()
 	v := sageload.View{
-		Upstream: u.name, InFlight: u.estimate.InFlight(), Cap: u.capacity, Free: u.allotment.Free(now),
+		Upstream: u.name, InFlight: u.estimate.InFlight(), Cap: u.cap, Free: u.allotment.Free(now),
 		Known: u.estimate.Known(now), BootID: u.allotment.BootID(), CacheGeneration: r.CacheGeneration,
 	}
 	if !u.engine {
@@ -124,7 +124,7 @@
 }
 
 // updateUpstream applies the fields that a change ticket can change. An upstream that returns to service counts
-// as cold: in the meantime its caches were used by others or not at all.
+// as cold, because while it was out of service its caches were used by other clients or not at all.
 func (s *Service) updateUpstream(u *upstream, c *sageconfig.Upstream, st *sageconfig.State) {
 	outOfService := c.Leaving
 	if dc, ok := st.DataCentre(c.DataCentre); ok && !dc.InService {
--- a/internal/sagelocator/doc.go
+++ b/internal/sagelocator/doc.go
@@ -1,5 +1,5 @@
-// Package sagelocator implements the service "locate" of a node: it tells callers which VMs to connect
-// to, based on the member table and the configuration in force.
+// Package sagelocator implements the service "locate" of a node: it returns the addresses of the VMs to
+// which a caller should connect, based on the member table and the configuration in force.
 //
 // # Usage
 //
--- a/internal/sagelocator/service.go
+++ b/internal/sagelocator/service.go
@@ -9,7 +9,7 @@
 	"sagestand.example/sagestand/pkg/sagewire"
 )
 
-// retryDelay is how long a refused caller should wait before it asks this node again.
+// retryDelay is how long a refused caller should wait before it calls this node again.
 const retryDelay = time.Second
 
 // Members is the node's view of the members of the fleet.
--- a/internal/sagelog/limit.go
+++ b/internal/sagelog/limit.go
@@ -18,7 +18,7 @@
 	numKinds
 )
 
-// Lines of one kind that are written in a second. Under a storm of failures, logging must cost no more
+// Limits on the lines of one kind per second. Under a storm of failures, logging must cost no more
 // than a hundredth of a small VM's processor. For served requests, samples are enough.
 const (
 	linesPerSecond       = 20
--- a/internal/sagemembers/service.go
+++ b/internal/sagemembers/service.go
@@ -63,8 +63,8 @@
 	s.Table.AddSeeds(s.Seeds...)
 	t := time.NewTicker(s.HeartbeatPeriod)
 	defer t.Stop()
-	start := time.NewTicker(readyPollInterval)
-	defer start.Stop()
+	readyTicker := time.NewTicker(readyPollInterval)
+	defer readyTicker.Stop()
 	var nextList time.Time
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -82,9 +82,9 @@
 			return nil
 		case now := <-t.C:
 			s.tick(now)
-		case <-start.C:
+		case <-readyTicker.C:
 			if s.announceServing() {
-				start.Stop()
+				readyTicker.Stop()
 			}
 		}
 	}
--- a/internal/sageorders/service.go
+++ b/internal/sageorders/service.go
@@ -47,11 +47,11 @@
 	HTTP        *http.Client
 	Log         sagelog.Logger
 
-	applied map[string]appliedOrder
+	sent map[string]sentOrder
 }
 
-// appliedOrder identifies the order last sent to an engine, and the time at which it was sent.
-type appliedOrder struct {
+// sentOrder identifies the order last sent to an engine, and the time at which it was sent.
+type sentOrder struct {
 	number  uint64
 	fencing uint64
 	at      time.Time
@@ -104,8 +104,8 @@
 	if state == nil {
 		return
 	}
-	if s.applied == nil {
-		s.applied = make(map[string]appliedOrder)
+	if s.sent == nil {
+		s.sent = make(map[string]sentOrder)
 	}
 	var g errgroup.Group
 	g.SetLimit(maxConcurrent)
@@ -114,10 +114,10 @@
 		if err != nil {
 			continue
 		}
-		if a := s.applied[w.upstream]; a.number == w.number && a.fencing == p.Fencing && now.Before(a.at.Add(resendInterval)) {
+		if a := s.sent[w.upstream]; a.number == w.number && a.fencing == p.Fencing && now.Before(a.at.Add(resendInterval)) {
 			continue
 		}
-		s.applied[w.upstream] = appliedOrder{number: w.number, fencing: p.Fencing, at: now}
+		s.sent[w.upstream] = sentOrder{number: w.number, fencing: p.Fencing, at: now}
 		g.Go(func() error {
 			if err := s.send(ctx, &w); err != nil {
 				s.Log.Warn("Can't send an order.", "upstream", w.upstream, "ticket", w.number, "err", err)
@@ -129,7 +129,7 @@
 	}
 	if err := g.Wait(); err != nil {
 		// Resend all orders in the next renewal interval, whichever of them failed.
-		s.applied = nil
+		s.sent = nil
 	}
 	if ctx.Err() != nil {
 		s.Lease.Relinquish()
--- a/internal/sageorders/service_test.go
+++ b/internal/sageorders/service_test.go
@@ -85,7 +85,7 @@
 			require.NoError(t, b.Lease.AcquireOrRenew(t.Context()))
 			time.Sleep(b.Lease.MaxDeliveryDelay)
 			b.Apply(t.Context(), time.Now())
-			a.applied = nil
+			a.sent = nil
 			a.Apply(t.Context(), paused)
 			assert.Error(t, a.send(t.Context(), &newestOrders(testState(checks))[0]), "the lease must be checked again before sending")
 			_, log = e.CurrentOrder()
@@ -129,7 +129,7 @@
 		require.NoError(t, high.Lease.AcquireOrRenew(t.Context()))
 		high.Apply(t.Context(), time.Now())
 		require.NoError(t, s.Lease.AcquireOrRenew(t.Context()))
-		s.applied = nil
+		s.sent = nil
 		s.Apply(t.Context(), time.Now())
 		_, err = s.Lease.Permit(time.Now(), true)
 		require.ErrorIs(t, err, sagelease.ErrNotHeld)
--- a/internal/sagepeer/server.go
+++ b/internal/sagepeer/server.go
@@ -51,7 +51,8 @@
 }
 
 // MountRequestService registers a service whose calls are part of handling callers' requests. Its traffic is counted
-// in [Server.RequestBytes] and not in [Server.Bytes]. With TLS, it is counted in [Server.Bytes] all the same.
+// in [Server.RequestBytes] and not in [Server.Bytes]. With TLS it is counted in [Server.Bytes], because the counting
+// connection is then hidden by the TLS connection.
 func (s *Server) MountRequestService(m Mountable) { s.mount(m, countAsRequests(m, &s.requestBytes)) }
 
 // Mount registers a service.
--- a/internal/sageplacement/group.go
+++ b/internal/sageplacement/group.go
@@ -92,14 +92,14 @@
 }
 
 // refresh reads the loads again if they are older than maxLoadAge.
-func (g *group) refresh(now time.Time, load Load, ended uint64) {
+func (g *group) refresh(now time.Time, load Load, releases uint64) {
 	if age := now.Sub(g.loadsReadAt); age < 0 || age >= maxLoadAge {
-		g.readLoads(now, load, ended)
+		g.readLoads(now, load, releases)
 	}
 }
 
-func (g *group) readLoads(now time.Time, load Load, ended uint64) {
-	g.loadsReadAt, g.releasesAtRead = now, ended
+func (g *group) readLoads(now time.Time, load Load, releases uint64) {
+	g.loadsReadAt, g.releasesAtRead = now, releases
 	g.loads.Refresh(func(i int) sageplace.Load {
 		v := load.View(g.table.Upstreams[i].Name)
 		return sageplace.Load{
--- a/internal/sageplacement/service.go
+++ b/internal/sageplacement/service.go
@@ -290,6 +290,7 @@
 	return sagewire.Refuse(sagewire.ReasonOverloaded, "every upstream of the set is at its bound", at)
 }
 
+// ruleNames holds the value of the metric label "rule" for each reason.
 var ruleNames = [...]string{
 	sageplace.ReasonNoCandidate: "empty", sageplace.ReasonAllAtBound: "over", sageplace.ReasonCachedPrefix: "kept",
 	sageplace.ReasonHashOrder: "first", sageplace.ReasonSpilled: "spilled", sageplace.ReasonLoadUnknown: "silent",
